--- a/crates/millwind-core/src/evacuation.rs
+++ b/crates/millwind-core/src/evacuation.rs
@@ -1,5 +1,5 @@
-//! Zones that operators have asked to be emptied: nothing new goes to their
-//! instances until the request is taken back.
+//! Zone evacuations requested by operators. While a zone is being evacuated, its
+//! instances receive no new work.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,27 @@
 use crate::Instant;
 use crate::ids::ZoneName;
 
-/// The zones that are being evacuated, as of one revision of the store.
+/// The zones being evacuated as of one revision of the store.
 ///
-/// A request may have been acknowledged before this node heard of it: a zone counts
-/// from the time since when it may have been asked for, so that a node that hears late
-/// is not late in leaving the zone.
+/// A request may have been acknowledged before this node learns about it. The start of
+/// an evacuation is therefore the earliest time at which it may have been requested, so
+/// that a late notification does not delay leaving the zone.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Evacuations {
-    /// By zone, since when its evacuation may have been asked for, as far as this node
-    /// knows.
+    /// Earliest time at which the evacuation of each zone may have been requested.
     since: BTreeMap<ZoneName, Instant>,
-    /// By zone that may be used again, when this node heard that it may.
-    returned: BTreeMap<ZoneName, Instant>,
-    /// Store revision up to which the requests are known; none where they are not.
+    /// Time at which this node learned that the evacuation of a zone was withdrawn.
+    withdrawn_at: BTreeMap<ZoneName, Instant>,
+    /// Store revision of the known requests; none before the first listing.
     revision: StoreRevision,
 }
 
-/// What a newer listing changed.
+/// Zones whose evacuation started or ended with an update.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EvacuationChange {
-    /// Zones to be emptied from now on.
+    /// Zones whose evacuation has started.
     pub begun: Vec<ZoneName>,
-    /// Zones that may be used again.
+    /// Zones whose evacuation was withdrawn.
     pub taken_back: Vec<ZoneName>,
 }
 
@@ -40,30 +39,30 @@
     }
 }
 
-/// A change of one request, as a watch of the store tells of it.
+/// A change to one evacuation request, reported by a watch on the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationEvent {
-    /// The zone.
+    /// Zone to which the request applies.
     pub zone: ZoneName,
-    /// It is asked for; else taken back.
+    /// True if the evacuation is requested, false if the request is withdrawn.
     pub is_requested: bool,
     /// Store revision of the change.
     pub revision: StoreRevision,
 }
 
-/// One request with the time since when it may have been made.
+/// An evacuation request and the earliest time at which it may have been made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DatedEvacuation {
-    /// The zone.
+    /// Zone to evacuate.
     pub zone: ZoneName,
-    /// Since when it may have been asked for.
+    /// Earliest time at which the evacuation may have been requested.
     pub since: Instant,
 }
 
 impl Evacuations {
-    /// Takes in all requests that the store held at `revision`; one that is older
-    /// than what is known changes nothing. Those that are new here may have been made
-    /// at `since`.
+    /// Replaces the known requests by all those in the store at `revision` and returns
+    /// the difference. Zones that were not known before are dated `since`. A listing
+    /// older than the known revision is ignored.
     pub fn apply(&mut self, zones: &[ZoneName], revision: StoreRevision, since: Instant) -> EvacuationChange {
         let dated: Vec<_> = zones
             .iter()
@@ -75,8 +74,8 @@
         self.apply_dated(&dated, revision, since)
     }
 
-    /// As [`Evacuations::apply`], where each request has a date of its own; `now` dates
-    /// those that were taken back.
+    /// Like [`Evacuations::apply`], but each request carries its own time. Withdrawals are
+    /// dated `now`.
     pub fn apply_dated(
         &mut self,
         requests: &[DatedEvacuation],
@@ -88,34 +87,33 @@
         }
         let is_restored = !self.revision.is_none() && self.revision.era < revision.era;
         self.revision = revision;
-        // A store that was restored may lack requests that are still asked for: they are
-        // written again, and hold until then.
-        let is_asked = |zone: &ZoneName| is_restored || requests.iter().any(|request| request.zone == *zone);
+        // A store restored from a backup may lack active requests, which are written
+        // again. Until then they remain in effect.
+        let is_active = |zone: &ZoneName| is_restored || requests.iter().any(|request| request.zone == *zone);
         let taken_back: Vec<_> = self
             .since
             .keys()
-            .filter(|zone| !is_asked(zone))
+            .filter(|zone| !is_active(zone))
             .cloned()
             .collect();
         for zone in &taken_back {
             self.since.remove(zone);
-            self.returned.insert(zone.clone(), now);
+            self.withdrawn_at.insert(zone.clone(), now);
         }
         let mut begun = Vec::new();
         for request in requests {
             if !self.includes(&request.zone) {
-                self.returned.remove(&request.zone);
+                self.withdrawn_at.remove(&request.zone);
                 begun.push(request.zone.clone());
             }
             let since = self.since.entry(request.zone.clone()).or_insert(request.since);
-            // Whoever heard of it earlier knows better.
             *since = (*since).min(request.since);
         }
         EvacuationChange { begun, taken_back }
     }
 
-    /// Takes in changes that a watch told at `now`, all of one report. Before a listing
-    /// they say nothing of the other zones, and change nothing.
+    /// Applies the changes of one watch notification received at `now`. Changes received
+    /// before the first listing are ignored, since the other zones are still unknown.
     pub fn apply_events(&mut self, events: &[EvacuationEvent], now: Instant) -> EvacuationChange {
         if !self.is_known() {
             return EvacuationChange::default();
@@ -128,7 +126,7 @@
             })
             .collect();
         let mut newest = self.revision;
-        // What is older is part of what is known already.
+        // The known listing already includes older changes.
         for event in events.iter().filter(|event| event.revision > self.revision) {
             newest = newest.max(event.revision);
             let is_listed = requests.iter().any(|request| request.zone == event.zone);
@@ -144,15 +142,15 @@
         self.apply_dated(&requests, newest, now)
     }
 
-    /// Whether the requests are known as of some revision of the store.
+    /// Whether a listing of the requests was received.
     pub fn is_known(&self) -> bool {
         !self.revision.is_none()
     }
 
-    /// When this node heard that `zone` may be used again; none where it was not
-    /// evacuated as far as it knows, or is.
+    /// Time at which this node learned that the evacuation of `zone` was withdrawn; `None`
+    /// if `zone` is being evacuated or never was as far as this node knows.
     pub fn returned_at(&self, zone: &ZoneName) -> Option<Instant> {
-        self.returned.get(zone).copied()
+        self.withdrawn_at.get(zone).copied()
     }
 
     /// Whether `zone` is being evacuated.
@@ -160,17 +158,18 @@
         self.since.contains_key(zone)
     }
 
-    /// Since when the evacuation of `zone` may have been asked for; none where it is not.
+    /// Earliest time at which the evacuation of `zone` may have been requested; `None` if
+    /// `zone` is not being evacuated.
     pub fn since(&self, zone: &ZoneName) -> Option<Instant> {
         self.since.get(zone).copied()
     }
 
-    /// The zones, each with the time since when its evacuation may have been asked for.
+    /// The zones being evacuated, each with the earliest time of its request.
     pub fn zones(&self) -> impl Iterator<Item = (&ZoneName, Instant)> {
         self.since.iter().map(|(zone, since)| (zone, *since))
     }
 
-    /// Store revision up to which the requests are known; none where they are not.
+    /// Store revision of the known requests; none before the first listing.
     pub fn revision(&self) -> StoreRevision {
         self.revision
     }
--- a/crates/millwind-core/src/failover.rs
+++ b/crates/millwind-core/src/failover.rs
@@ -1,58 +1,59 @@
-//! Whether a group's leader must be replaced, by whom and by which replica.
+//! Leader failure detection and successor selection for a replication group.
 //!
-//! The groups do not elect: some node orders the promotion of a replica. An
-//! unneeded promotion costs a moment without writes and breaks no promise, so
-//! suspicion is quick; but one node's broken link is no evidence while others
-//! still reach the leader.
+//! Groups do not elect a leader themselves: a proxy node orders the promotion of a
+//! replica. An unnecessary promotion interrupts writes briefly but loses no
+//! acknowledged commit, so the timeouts are short. A node that alone cannot reach the
+//! leader does not replace it while more of its peers still can.
 
 use crate::Instant;
 use crate::ids::InstanceName;
 use crate::position::Position;
 
-/// Times of the failover decision, in milliseconds.
+/// Timeouts of the failover decision, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FailoverTimes {
-    /// Silence after which a leader is suspected.
+    /// Time without contact after which agreeing peers or a stale heartbeat suffice to
+    /// replace the leader. Half of it suffices if the leader refuses connections.
     pub suspect_ms: u64,
-    /// Silence after which a lone witness may act without agreement.
+    /// Time without contact after which a node replaces the leader without confirmation.
     pub alone_ms: u64,
-    /// Heartbeat silence that confirms a suspicion.
+    /// Heartbeat age that confirms a suspected failure.
     pub heartbeat_ms: u64,
 }
 
-/// What is known about the leader of a group.
+/// The state of a group's leader as observed by one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LeaderEvidence {
-    /// Since when every contact of this node has failed.
+    /// Time since which every attempt of this node to contact the leader has failed.
     pub failing_since: Option<Instant>,
-    /// Its process refused or reset a connection: it is not merely slow.
+    /// The leader's host refused or reset a connection, so its process is not merely slow.
     pub is_refusing: bool,
-    /// It has announced that it will end, or has left the list of instances.
+    /// The leader has announced its shutdown or is no longer in the list of instances.
     pub is_leaving: bool,
-    /// Its zone is being evacuated, and a healthy replica stands in another one.
+    /// The leader's zone is being evacuated and another zone has a healthy replica.
     pub must_leave_zone: bool,
-    /// Time since its last heartbeat in the store, where the store is heard.
+    /// Age of the leader's last heartbeat in the store; `None` if the store is unreachable.
     pub heartbeat_age_ms: Option<u64>,
-    /// Peers whose fresh report says that they reach it.
+    /// Number of peers that recently reported reaching the leader.
     pub peers_reaching: usize,
-    /// Peers whose fresh report says that they don't.
+    /// Number of peers that recently reported not reaching the leader.
     pub peers_failing: usize,
-    /// Replicas of the group that answer this node.
+    /// Number of the group's replicas that this node reaches.
     pub replicas_reached: usize,
-    /// Since when its statements hang, though it answers health checks.
+    /// Time since which statements on the leader hang although health checks succeed.
     pub unresponsive_since: Option<Instant>,
-    /// Its statements fail often, though it answers health checks.
+    /// Statements on the leader fail often although health checks succeed.
     pub is_outlier: bool,
-    /// Replicas whose statements neither hang nor fail often.
+    /// Number of replicas whose statements neither hang nor fail often.
     pub healthy_replicas: usize,
 }
 
-/// What follows from the evidence.
+/// The decision that follows from the evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaderVerdict {
-    /// Nothing is wrong.
+    /// The leader stays and no failure is suspected.
     Healthy,
-    /// Something is wrong, but not yet enough.
+    /// The leader may have failed, but the evidence does not justify a replacement.
     Suspected,
     /// A replica must take over.
     Replace(ReplaceReason),
@@ -61,34 +62,34 @@
 /// Why a leader is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplaceReason {
-    /// It announced its end.
+    /// The leader announced its shutdown.
     Leaving,
-    /// Its zone is being evacuated.
+    /// The leader's zone is being evacuated.
     Evacuated,
-    /// Its process is gone.
-    Refusing,
-    /// Several nodes fail to reach it.
-    Agreed,
-    /// Its heartbeat has stopped too.
-    HeartbeatSilent,
-    /// Nobody else can be asked.
-    Alone,
-    /// Its statements hang.
+    /// The leader's host refuses connections.
+    ConnectionRefused,
+    /// Peers confirm that the leader is unreachable.
+    ConfirmedByPeers,
+    /// The leader is unreachable and its heartbeat in the store is stale.
+    HeartbeatStale,
+    /// The leader was unreachable for so long that no confirmation is required.
+    Unconfirmed,
+    /// Statements on the leader hang.
     Unresponsive,
-    /// Its statements fail often.
+    /// Statements on the leader fail often.
     Outlier,
-    /// It stands in a region that customers' terms exclude.
+    /// The leader runs in a region that customers do not allow.
     Relocating,
 }
 
 impl ReplaceReason {
-    /// Whether the leader answers health checks all the same, so that only
-    /// nodes that run statements there notice.
+    /// Whether the leader still answers health checks, so that only nodes that run
+    /// statements on it can detect the failure.
     pub const fn is_by_statements(self) -> bool {
         matches!(self, ReplaceReason::Unresponsive | ReplaceReason::Outlier)
     }
 
-    /// Whether the leader still serves, so that its commits need not be lost.
+    /// Whether the leader is still running, so that the handover need not lose commits.
     pub const fn is_of_live_leader(self) -> bool {
         self.is_by_statements()
             || matches!(
@@ -97,20 +98,20 @@
             )
     }
 
-    /// Whether nothing is wrong with the leader but where it stands.
+    /// Whether a healthy leader is moved away from its zone or region.
     pub const fn is_move(self) -> bool {
         matches!(self, ReplaceReason::Evacuated | ReplaceReason::Relocating)
     }
 
-    /// The name in logs.
+    /// Name used in logs.
     pub const fn name(self) -> &'static str {
         match self {
             ReplaceReason::Leaving => "leaving",
             ReplaceReason::Evacuated => "evacuated",
-            ReplaceReason::Refusing => "refusing",
-            ReplaceReason::Agreed => "agreed",
-            ReplaceReason::HeartbeatSilent => "heartbeat_silent",
-            ReplaceReason::Alone => "alone",
+            ReplaceReason::ConnectionRefused => "refusing",
+            ReplaceReason::ConfirmedByPeers => "agreed",
+            ReplaceReason::HeartbeatStale => "heartbeat_silent",
+            ReplaceReason::Unconfirmed => "alone",
             ReplaceReason::Unresponsive => "unresponsive",
             ReplaceReason::Outlier => "outlier",
             ReplaceReason::Relocating => "relocating",
@@ -118,7 +119,9 @@
     }
 }
 
-/// Judges a leader by the evidence.
+/// Decides whether to replace the leader.
+///
+/// Never returns [`LeaderVerdict::Replace`] to a node that reaches no replica.
 pub fn judge_leader(now: Instant, evidence: &LeaderEvidence, times: &FailoverTimes) -> LeaderVerdict {
     if evidence.replicas_reached == 0 {
         return match evidence.failing_since {
@@ -133,35 +136,35 @@
         if evidence.must_leave_zone {
             return LeaderVerdict::Replace(ReplaceReason::Evacuated);
         }
-        return judge_statements(now, evidence, times);
+        return evaluate_statements(now, evidence, times);
     };
-    let silent_ms = now.millis_since(failing_since);
+    let unreachable_ms = now.millis_since(failing_since);
     if evidence.peers_reaching > evidence.peers_failing {
         return LeaderVerdict::Suspected;
     }
-    if evidence.is_refusing && silent_ms * 2 >= times.suspect_ms {
-        return LeaderVerdict::Replace(ReplaceReason::Refusing);
+    if evidence.is_refusing && unreachable_ms * 2 >= times.suspect_ms {
+        return LeaderVerdict::Replace(ReplaceReason::ConnectionRefused);
     }
-    if silent_ms < times.suspect_ms {
+    if unreachable_ms < times.suspect_ms {
         return LeaderVerdict::Suspected;
     }
     if evidence.peers_failing > 0 {
-        return LeaderVerdict::Replace(ReplaceReason::Agreed);
+        return LeaderVerdict::Replace(ReplaceReason::ConfirmedByPeers);
     }
     if evidence
         .heartbeat_age_ms
         .is_some_and(|age| age >= times.heartbeat_ms)
     {
-        return LeaderVerdict::Replace(ReplaceReason::HeartbeatSilent);
+        return LeaderVerdict::Replace(ReplaceReason::HeartbeatStale);
     }
-    if silent_ms >= times.alone_ms {
-        return LeaderVerdict::Replace(ReplaceReason::Alone);
+    if unreachable_ms >= times.alone_ms {
+        return LeaderVerdict::Replace(ReplaceReason::Unconfirmed);
     }
     LeaderVerdict::Suspected
 }
 
-/// Judges a leader that answers health checks by how its statements end.
-fn judge_statements(now: Instant, evidence: &LeaderEvidence, times: &FailoverTimes) -> LeaderVerdict {
+/// Decides about a leader that answers health checks from the results of its statements.
+fn evaluate_statements(now: Instant, evidence: &LeaderEvidence, times: &FailoverTimes) -> LeaderVerdict {
     if evidence.healthy_replicas == 0 {
         return LeaderVerdict::Healthy;
     }
@@ -177,67 +180,72 @@
     LeaderVerdict::Healthy
 }
 
-/// A replica that may take over.
+/// A replica that is a candidate for promotion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Successor {
-    /// The replica.
+    /// Name of the replica.
     pub instance: InstanceName,
-    /// What its log has received.
+    /// Position up to which the replica has received the log.
     pub received: Position,
-    /// Whether it will soon end.
+    /// Whether the replica will shut down soon.
     pub is_leaving: bool,
-    /// Whether its zone is being evacuated: it could lead only for a moment.
+    /// Whether the replica's zone is being evacuated, so that another move would follow.
     pub is_evacuated: bool,
-    /// What its region would serve of the statements that need the leader, in any unit;
-    /// the same for all where customers allow every region.
+    /// Share of the statements requiring the leader that may run in the replica's region,
+    /// in any unit; equal for all candidates if customers allow every region.
     pub allowed_worth: u64,
-    /// Whether it has just started and takes few statements.
+    /// Whether the replica has just started and its caches are cold.
     pub is_cold: bool,
-    /// Whether an earlier order named it, which may still be carried out; breaks
-    /// ties.
+    /// Whether an earlier promotion order, which may still be in progress, names the
+    /// replica; breaks ties.
     pub is_named: bool,
-    /// Whether it runs in this node's own zone; breaks ties.
+    /// Whether the replica runs in the zone of this node; breaks ties.
     pub is_near: bool,
 }
 
-/// Chooses the replica that takes over, or none while the answers of too few
-/// replicas are known.
+/// Returns the replica to promote, or `None` if too few replicas have answered or none
+/// of them qualifies.
 ///
-/// Where a commit is acknowledged only after `sync_replicas` of `replicas`
-/// replicas have received it, each set of `replicas - sync_replicas + 1`
-/// replicas holds it; so many must have answered, and received nothing more
-/// since they did.
+/// With synchronous replication a commit is acknowledged once `sync_replicas` of
+/// `replicas` replicas have received it, so any `replicas - sync_replicas + 1` replicas
+/// include one that holds the commit. At least that many must have answered, and they
+/// must not have received anything since.
 ///
-/// Where the present leader is alive, `must_hold` is what it has reported: a
-/// replica that lacks it would undo acknowledged commits without need. Those that hold it
-/// all lose nothing, so that among them the one goes first that serves most; else the one
-/// that has received most.
+/// If the leader is alive, `must_hold` is the position that it reported; promoting a
+/// replica behind that position would lose acknowledged commits. Replicas at or past it
+/// lose nothing, so they are ranked by the share of statements they can serve. Without
+/// `must_hold`, replicas are ranked by the log position they have received.
 pub fn choose_successor(
-    answered: &[Successor],
+    candidates: &[Successor],
     replicas: usize,
     sync_replicas: usize,
     must_hold: Option<Position>,
 ) -> Option<&Successor> {
-    let needed = match sync_replicas {
+    let required_answers = match sync_replicas {
         0 => 1,
         required => (replicas + 1).saturating_sub(required).max(1),
     };
-    if answered.len() < needed {
+    if candidates.len() < required_answers {
         return None;
     }
-    let furthest = answered.iter().map(|successor| successor.received).max()?;
-    answered
+    let most_advanced = candidates.iter().map(|successor| successor.received).max()?;
+    candidates
         .iter()
-        .filter(|successor| sync_replicas == 0 || successor.received == furthest)
-        .filter(|successor| must_hold.is_none_or(|least| successor.received >= least))
+        .filter(|successor| sync_replicas == 0 || successor.received == most_advanced)
+        .filter(|successor| must_hold.is_none_or(|minimum| successor.received >= minimum))
         .max_by_key(|successor| {
-            let loses_least = must_hold.is_none().then_some(successor.received);
-            let serves = (
+            let received_if_lossy = must_hold.is_none().then_some(successor.received);
+            let serving_order = (
                 !successor.is_evacuated,
                 successor.allowed_worth,
                 !successor.is_cold,
             );
-            let breaks_ties = (successor.received, successor.is_named, successor.is_near);
-            (!successor.is_leaving, loses_least, serves, breaks_ties)
+            let tie_breakers = (successor.received, successor.is_named, successor.is_near);
+            (
+                !successor.is_leaving,
+                received_if_lossy,
+                serving_order,
+                tie_breakers,
+            )
         })
 }
--- a/crates/millwind-core/tests/failover.rs
+++ b/crates/millwind-core/tests/failover.rs
@@ -39,10 +39,10 @@
     assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
     evidence.peers_failing = 1;
     let verdict = judge_leader(now, &evidence, &TIMES);
-    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Agreed));
+    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::ConfirmedByPeers));
     let (now, evidence) = failing_for(1_300);
     let verdict = judge_leader(now, &evidence, &TIMES);
-    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Alone));
+    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Unconfirmed));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let (now, mut evidence) = failing_for(500);
     evidence.heartbeat_age_ms = Some(2_500);
     let verdict = judge_leader(now, &evidence, &TIMES);
-    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::HeartbeatSilent));
+    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::HeartbeatStale));
     evidence.failing_since = None;
     assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
 }
@@ -126,7 +126,7 @@
     assert!(choose_successor(&answered, 2, 0, more).is_none());
     assert!(ReplaceReason::Unresponsive.is_of_live_leader());
     assert!(ReplaceReason::Leaving.is_of_live_leader());
-    assert!(!ReplaceReason::Refusing.is_of_live_leader());
+    assert!(!ReplaceReason::ConnectionRefused.is_of_live_leader());
 }
 
 #[test]
@@ -175,7 +175,7 @@
     evidence.failing_since = Some(Instant::from_millis(98_000));
     evidence.peers_failing = 2;
     let verdict = judge_leader(now, &evidence, &TIMES);
-    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Agreed));
+    assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::ConfirmedByPeers));
     evidence = LeaderEvidence {
         must_leave_zone: true,
         ..LeaderEvidence::default()
