--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -1,5 +1,6 @@
-//! Admission to an instance: a fixed number of slots, a bounded queue shared
-//! fairly between tenants by weight, and deadlines that are refused early.
+//! Admission control for an instance: a fixed number of execution slots and a bounded,
+//! weighted fair queue across tenants. Requests that would miss their deadline are
+//! refused without waiting.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,43 +8,45 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::TenantName;
 
-/// Weight of the newest service time in the running mean, as one in this many.
+/// The newest sample has a weight of one in this many in the moving average of the
+/// service time.
 const SERVICE_TIME_SMOOTHING: u64 = 8;
-/// Virtual time is counted in this many units per request of weight one.
+/// Virtual time by which a request advances a tenant of weight one.
 const VIRTUAL_UNIT: u64 = 1 << 16;
 
-/// Limits of one instance's queue.
+/// Limits of one instance's admission queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Requests that may run at the same time.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue_length: usize,
 }
 
 /// A request that asks for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// Names the request to the owner of the queue.
+    /// Identifies the request to the owner of the queue.
     pub id: u64,
-    /// Tenant whose share it draws on.
+    /// Tenant whose share of the queue the request uses.
     pub tenant: TenantName,
-    /// The tenant's weight, at least 1.
+    /// Weight of the tenant in the fair queue; zero counts as one.
     pub weight: u32,
-    /// What the request counts for; a setpoint counts double.
+    /// Priority of the request: a full queue evicts requests of lower value first.
     pub value: u32,
-    /// When its answer must be there.
+    /// Time by which the request must be answered.
     pub deadline: Instant,
 }
 
-/// What to do with a ticket.
+/// Result of a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Runs now.
+    /// The request holds a slot and may run now.
     Granted,
-    /// Waits; a later call names it.
+    /// The request waits until [`AdmissionQueue::release`] or
+    /// [`AdmissionQueue::grant_next`] returns its ticket.
     Queued,
-    /// Refused, not run.
+    /// The request is refused and must not run.
     Refused(ErrorKind),
 }
 
@@ -65,7 +68,7 @@
 }
 
 impl AdmissionQueue {
-    /// An empty queue with these limits.
+    /// Creates an empty queue with these limits.
     pub fn new(limits: AdmissionLimits) -> Self {
         AdmissionQueue {
             limits,
@@ -77,47 +80,47 @@
         }
     }
 
-    /// Requests running now.
+    /// Number of requests that hold a slot.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests waiting now.
+    /// Number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Running mean of the time a slot is held, in microseconds.
+    /// Moving average of the time for which a slot is held, in microseconds.
     pub fn service_time_us(&self) -> u64 {
         self.service_time_us
     }
 
-    /// Asks for a slot at `now`.
+    /// Requests a slot for `ticket` at `now`.
     ///
-    /// A full queue makes room for a request of higher value by refusing the
-    /// newest one of the lowest value; `displaced` receives its id.
-    pub fn admit(&mut self, now: Instant, ticket: Ticket, displaced: &mut Vec<u64>) -> Admission {
+    /// If the queue is full, a ticket of higher value evicts the newest ticket of the
+    /// lowest value; the id of the evicted ticket is pushed to `evicted`.
+    pub fn admit(&mut self, now: Instant, ticket: Ticket, evicted: &mut Vec<u64>) -> Admission {
         if self.running < self.limits.slots {
             self.running += 1;
             return Admission::Granted;
         }
-        if self.expected_finish(now) > ticket.deadline {
+        if self.estimated_completion(now) > ticket.deadline {
             return Admission::Refused(ErrorKind::WindowTooShort);
         }
-        if self.queued >= self.limits.queue_length && !self.displace(ticket.value, displaced) {
+        if self.queued >= self.limits.queue_length && !self.evict_lowest_value(ticket.value, evicted) {
             return Admission::Refused(ErrorKind::QueueFull);
         }
         self.enqueue(ticket);
         Admission::Queued
     }
 
-    fn expected_finish(&self, now: Instant) -> Instant {
+    fn estimated_completion(&self, now: Instant) -> Instant {
         let slots = u64::from(self.limits.slots.max(1));
         let rounds = self.queued as u64 / slots + 1;
         Instant(now.0 + rounds * self.service_time_us)
     }
 
-    fn displace(&mut self, value: u32, displaced: &mut Vec<u64>) -> bool {
+    fn evict_lowest_value(&mut self, value: u32, evicted: &mut Vec<u64>) -> bool {
         let lowest = self
             .tenants
             .iter()
@@ -146,7 +149,7 @@
         };
         if let Some(ticket) = queue.waiting.remove(index) {
             self.queued -= 1;
-            displaced.push(ticket.id);
+            evicted.push(ticket.id);
         }
         true
     }
@@ -154,26 +157,28 @@
     fn enqueue(&mut self, ticket: Ticket) {
         let queue = self.tenants.entry(ticket.tenant.clone()).or_default();
         if queue.waiting.is_empty() {
-            // An idle tenant must not save up a claim on the past.
+            // An idle tenant does not accumulate credit.
             queue.virtual_time = queue.virtual_time.max(self.virtual_now);
         }
         queue.waiting.push_back(ticket);
         self.queued += 1;
     }
 
-    /// Takes back a slot held for `held_us` microseconds and names the ticket
-    /// that gets it, if any. Tickets that can no longer finish in their window
-    /// are pushed to `expired`.
+    /// Releases a slot held for `held_us` microseconds and returns the ticket that it
+    /// passes to, if any. The ids of tickets that can no longer meet their deadline are
+    /// pushed to `expired`.
     pub fn release(&mut self, now: Instant, held_us: u64, expired: &mut Vec<u64>) -> Option<Ticket> {
         self.running = self.running.saturating_sub(1);
-        self.learn_service_time(held_us);
+        self.update_service_time(held_us);
         self.grant_next(now, expired)
     }
 
-    /// Gives a free slot to the next waiting ticket, if there are both.
+    /// Grants a free slot to the next waiting ticket and returns the ticket; `None` if no
+    /// slot is free or no ticket waits. Expired tickets are handled as in
+    /// [`Self::release`].
     pub fn grant_next(&mut self, now: Instant, expired: &mut Vec<u64>) -> Option<Ticket> {
         while self.running < self.limits.slots {
-            let ticket = self.pop_fairest()?;
+            let ticket = self.pop_next()?;
             if ticket.deadline < Instant(now.0 + self.service_time_us) {
                 expired.push(ticket.id);
                 continue;
@@ -184,7 +189,7 @@
         None
     }
 
-    /// Drops a waiting ticket whose caller has gone; true if it was waiting.
+    /// Removes a ticket from the queue; returns false if it was not waiting.
     pub fn cancel(&mut self, id: u64) -> bool {
         for queue in self.tenants.values_mut() {
             if let Some(index) = queue.waiting.iter().position(|ticket| ticket.id == id) {
@@ -196,12 +201,12 @@
         false
     }
 
-    fn learn_service_time(&mut self, held_us: u64) {
+    fn update_service_time(&mut self, held_us: u64) {
         let kept = self.service_time_us * (SERVICE_TIME_SMOOTHING - 1);
         self.service_time_us = (kept + held_us) / SERVICE_TIME_SMOOTHING;
     }
 
-    fn pop_fairest(&mut self) -> Option<Ticket> {
+    fn pop_next(&mut self) -> Option<Ticket> {
         let queue = self
             .tenants
             .values_mut()
--- a/crates/millwind-core/src/eligibility.rs
+++ b/crates/millwind-core/src/eligibility.rs
@@ -1,36 +1,36 @@
-//! Which instances a statement may use, and which nodes may pass it on: one
-//! decision for reads, writes, forwarding, failover and second tries.
+//! Eligibility of instances to run a statement and of nodes to forward it. Reads, writes,
+//! forwarding, failover and retries share these rules.
 //!
-//! What only makes an instance slower or scarce (load, warm-up, doubts) is no
-//! matter of eligibility: that orders the instances that may be used.
+//! Conditions that only affect preference, such as load, warm-up or a suspected failure,
+//! are not part of eligibility: they rank the eligible instances.
 
 use crate::data_residency::AllowedRegions;
 use crate::ids::RegionName;
 
-/// What decides whether an instance may be used.
+/// The properties of an instance that determine its eligibility.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceFacts<'a> {
-    /// Region it runs in; none where its zone is not in the settings.
+    /// Region of the instance; `None` if its zone is not in the settings.
     pub region: Option<&'a RegionName>,
-    /// Its zone is being evacuated.
+    /// The instance's zone is being evacuated.
     pub is_evacuated: bool,
-    /// It announced its end, or its record has been gone for long.
+    /// The instance announced its shutdown, or its record has been missing for long.
     pub is_leaving: bool,
 }
 
-/// Why an instance, or a node on the way, is not used.
+/// Why an instance or a forwarding node is not eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Ineligible {
-    /// It runs in a region that the customer does not allow.
+    /// The customer does not allow the region.
     RegionNotAllowed,
-    /// Its zone is being evacuated.
+    /// The instance's zone is being evacuated.
     ZoneEvacuated,
-    /// It will end.
+    /// The instance is shutting down.
     Leaving,
 }
 
 impl Ineligible {
-    /// The name in logs and metrics.
+    /// Name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Ineligible::RegionNotAllowed => "region_not_allowed",
@@ -40,7 +40,8 @@
     }
 }
 
-/// Whether a statement whose customer allows `regions` may run on an instance.
+/// Checks whether a statement restricted to `regions` may run on `instance`; fails with
+/// the first reason that excludes the instance.
 pub fn judge_instance(regions: &AllowedRegions, instance: &InstanceFacts<'_>) -> Result<(), Ineligible> {
     if !regions.allows(instance.region) {
         return Err(Ineligible::RegionNotAllowed);
@@ -54,9 +55,11 @@
     Ok(())
 }
 
-/// Whether the text of such a statement may travel to another node, which runs in
-/// `region`. The node that the caller is connected to may stand in any region; where
-/// the caller itself is, that node can't tell, so only allowed regions are taken.
+/// Checks whether a statement restricted to `regions` may be forwarded to a node in
+/// `region`.
+///
+/// The node that accepts a client connection may run in any region and cannot tell where
+/// the client is, so it forwards statements only to nodes in allowed regions.
 pub fn judge_carrier(regions: &AllowedRegions, region: Option<&RegionName>) -> Result<(), Ineligible> {
     match regions.allows(region) {
         true => Ok(()),
