--- a/crates/millwind-core/src/control.rs
+++ b/crates/millwind-core/src/control.rs
@@ -1,14 +1,14 @@
-//! The control plane of one node: membership, configuration and the right to
-//! serve, as one state machine that the daemon and the hollow runs both drive.
+//! The control plane of one node: cluster membership, configuration and permission to
+//! serve, as a state machine without I/O that the daemon and the simulations drive.
 //!
-//! A few relays per zone watch the platform. They push each change to the
-//! nodes of their zone; every node also sends a digest to a relay now and then,
-//! so that a lost push is repaired and the node learns how old the zone's
-//! contact with the platform is. Relays do the same with relays of the other
-//! zones. The platform's load grows with the number of zones, not of nodes.
+//! A few relays per zone watch the platform and push each change to the nodes of their
+//! zone. Every node also sends a digest to a relay at intervals, which repairs lost
+//! pushes and tells the node the age of the zone's last contact with the platform. Relays
+//! exchange digests with the relays of other zones in the same way. The load on the
+//! platform therefore grows with the number of zones rather than nodes.
 //!
-//! Ages in a report count from when the node asked, never from when the report
-//! came: a report that was under way for long must not look fresh.
+//! Ages in a report are relative to the time at which the node sent its digest, so that a
+//! delayed report does not appear fresh.
 
 mod standings;
 
@@ -27,70 +27,74 @@
 
 pub use standings::Standing;
 
-/// Between two digests of a node to a relay of its zone, in milliseconds.
+/// Interval at which a node sends digests to a relay of its zone, in milliseconds.
 pub const DIGEST_INTERVAL_MS: u64 = 2_500;
-/// Between two reports of a relay to the other zones, in milliseconds.
-pub const REPORT_INTERVAL_MS: u64 = 1_000;
-/// A digest without a report is forgotten after this long.
+/// Interval at which a relay sends digests to the other zones, in milliseconds.
+pub const ZONE_DIGEST_INTERVAL_MS: u64 = 1_000;
+/// Time after which a digest without a report is discarded, in milliseconds.
 const DIGEST_LIFETIME_MS: u64 = 10_000;
-/// Revisions whose arrival is remembered.
-const REMEMBERED_REVISIONS: usize = 256;
-/// A digest is unanswered after this long, and a relay of another zone is
-/// asked: the own zone's relays may be lost.
-const DIGEST_ANSWER_MS: u64 = 800;
-/// A member table that differs for this long is sent whole; until then news is
-/// still spreading.
-const TABLE_PATIENCE_MS: u64 = 15_000;
-/// Members of a zone unheard for this long are not candidates for ownership.
+/// Maximum number of revisions for which the time of arrival is kept.
+const MAX_APPLIED_REVISIONS: usize = 256;
+/// Time after which an unanswered digest is sent to a relay of another zone, in
+/// milliseconds, since all relays of the node's own zone may have failed.
+const DIGEST_RETRY_MS: u64 = 800;
+/// Time for which a node's member table must differ before it is sent the full table, in
+/// milliseconds. Shorter differences are expected while membership updates propagate.
+const TABLE_MISMATCH_GRACE_MS: u64 = 15_000;
+/// Time without a report from a zone after which its members are no longer candidates
+/// for ownership, in milliseconds.
 pub const ZONE_LIFETIME_MS: u64 = 5_000;
-/// A newcomer asks its seeds again after this long without an answer.
+/// Interval at which a node that knows no other members contacts its seeds, in
+/// milliseconds.
 const JOIN_INTERVAL_MS: u64 = 500;
 
-/// Zones of this many nodes spare their relays from owning instances.
-const SPARING_ZONE_SIZE: usize = 12;
+/// Minimum number of nodes at which a zone exempts its relays from owning instances.
+const RELAY_EXEMPTION_ZONE_SIZE: usize = 12;
 
+/// The highest revision that a node has reported.
 #[derive(Debug, Clone, Copy)]
-struct Confirmed {
+struct ConfirmedRevision {
     revision: u64,
-    heard: Instant,
+    confirmed_at: Instant,
 }
 
-/// A digest that waits for its report.
+/// A digest whose report is outstanding.
 #[derive(Debug, Clone, Copy)]
 struct SentDigest {
-    sent: Instant,
-    /// Sent to the own zone, and not yet tried elsewhere.
-    may_try_elsewhere: bool,
+    sent_at: Instant,
+    /// The digest went to the node's own zone and was not yet retried in another one.
+    can_retry_elsewhere: bool,
 }
 
-/// The control plane of one node.
+/// The control plane of one node; see the module documentation.
 #[derive(Debug, Clone)]
 pub struct ControlPlane {
     membership: Membership,
     config: ConfigState,
     gate: ServingGate,
     seeds: Vec<String>,
-    confirmed: BTreeMap<String, Confirmed>,
-    /// Nodes whose member table differs, and since when.
-    differing: BTreeMap<String, Instant>,
+    confirmed: BTreeMap<String, ConfirmedRevision>,
+    /// Nodes whose member table differs from this node's, with the time since which it does.
+    mismatched_since: BTreeMap<String, Instant>,
     digests: BTreeMap<u64, SentDigest>,
     digest_sequence: u64,
-    /// When this node first had a revision or a later one.
-    reached: VecDeque<(u64, Instant)>,
+    /// Revisions in the order in which they came into force on this node, with the time.
+    applied_revisions: VecDeque<(u64, Instant)>,
     started: Option<Instant>,
     next_digest: Instant,
-    next_report: Instant,
+    next_zone_digest: Instant,
     next_join: Instant,
-    rotation: usize,
+    relay_rotation: usize,
     config_changed: bool,
-    /// Whether a member table was received.
-    joined: bool,
-    /// Hash of the member table that the gate's scope was made from.
+    /// Whether another node has sent its member table.
+    has_joined: bool,
+    /// Hash of the member table from which the serving gate's scope was last derived.
     scope_hash: Option<u64>,
 }
 
 impl ControlPlane {
-    /// A node that knows only itself and the addresses of `seeds`.
+    /// Creates the control plane of a node that knows only itself and the addresses of its
+    /// `seeds`; `seed` initializes the random order of membership probes.
     pub fn new(own: MemberRecord, seeds: Vec<String>, times: MembershipTimes, seed: u64) -> Self {
         let zone = ZoneName::from(own.zone.as_str());
         let region = RegionName::from(own.region.as_str());
@@ -100,47 +104,47 @@
             config: ConfigState::default(),
             seeds,
             confirmed: BTreeMap::new(),
-            differing: BTreeMap::new(),
+            mismatched_since: BTreeMap::new(),
             digests: BTreeMap::new(),
             digest_sequence: 0,
-            reached: VecDeque::new(),
+            applied_revisions: VecDeque::new(),
             started: None,
             next_digest: Instant::default(),
-            next_report: Instant::default(),
+            next_zone_digest: Instant::default(),
             next_join: Instant::default(),
-            rotation: 0,
+            relay_rotation: 0,
             config_changed: false,
-            joined: false,
+            has_joined: false,
             scope_hash: None,
         }
     }
 
-    /// The member table.
+    /// Returns the member table.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &ConfigState {
         &self.config
     }
 
-    /// True once after the configuration moved.
+    /// Returns whether the configuration changed since the last call.
     pub fn take_config_changed(&mut self) -> bool {
         std::mem::take(&mut self.config_changed)
     }
 
-    /// True once after the member table changed.
+    /// Returns whether the member table changed since the last call.
     pub fn take_members_changed(&mut self) -> bool {
         self.membership.take_changed()
     }
 
-    /// Marks this node as leaving.
+    /// Marks this node as leaving in the member table.
     pub fn leave(&mut self) {
         self.membership.leave();
     }
 
-    /// Says goodbye to all relays: this node has stopped serving.
+    /// Announces to all relays that this node has stopped serving.
     pub fn depart(&mut self) -> Vec<Outgoing> {
         let goodbye = self.membership.goodbye();
         let mut out = Vec::new();
@@ -151,27 +155,27 @@
         out
     }
 
-    /// Whether requests may be served at `now`.
+    /// Checks whether this node may serve requests at `now`.
     pub fn may_serve(&self, now: Instant) -> Result<(), NotServing> {
         self.gate.may_serve(now, self.config.revision() > 0)
     }
 
-    /// The evidence by which the node may serve.
+    /// Returns the serving gate, which tracks contact with the platform and other zones.
     pub fn gate(&self) -> &ServingGate {
         &self.gate
     }
 
-    /// Age of the newest contact with the platform, in milliseconds.
+    /// Returns the age of the most recent contact with the platform, in milliseconds.
     pub fn platform_age_ms(&self, now: Instant) -> u32 {
         self.gate.platform_age_ms(now)
     }
 
-    /// What the zones last reported.
+    /// Returns the most recent report of each zone.
     pub fn zone_reports(&self, now: Instant) -> Vec<ZoneReport> {
         self.gate.reports(now)
     }
 
-    /// Lets time pass.
+    /// Advances the timers to `now` and returns the messages that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
         self.started.get_or_insert(now);
         self.refresh_scope();
@@ -181,15 +185,15 @@
             self.next_digest = now.plus_millis(DIGEST_INTERVAL_MS);
             self.send_digest(now, &mut out);
         }
-        self.chase_digests(now, &mut out);
-        if now >= self.next_report {
-            self.next_report = now.plus_millis(REPORT_INTERVAL_MS);
-            self.send_reports(now, &mut out);
+        self.retry_unanswered_digests(now, &mut out);
+        if now >= self.next_zone_digest {
+            self.next_zone_digest = now.plus_millis(ZONE_DIGEST_INTERVAL_MS);
+            self.send_digests_to_other_zones(now, &mut out);
         }
         out
     }
 
-    /// Tells the gate which zones there are, when the member table has changed.
+    /// Passes the known zones to the serving gate if the member table has changed.
     fn refresh_scope(&mut self) {
         let hash = self.membership.hash();
         if self.scope_hash == Some(hash) {
@@ -203,8 +207,9 @@
             .filter(|record| record.zone == *zone)
             .count()
             - 1;
-        // Before it has been told of the others, a node only seems alone.
-        let alone = others == 0 && (self.joined || !self.has_seeds());
+        // A node that has not joined yet knows no other members, so it cannot conclude that
+        // it is the only node of its zone.
+        let alone = others == 0 && (self.has_joined || !self.has_seeds());
         self.gate.set_zones(self.membership.zones(), alone);
     }
 
@@ -242,22 +247,22 @@
         self.send_digest_to_zone(now, &zone, out);
     }
 
-    /// Sends a digest to one relay of `zone`, to each in turn.
+    /// Sends a digest to one relay of `zone`, selected by rotation.
     fn send_digest_to_zone(&mut self, now: Instant, zone: &str, out: &mut Vec<Outgoing>) {
         let relays = self.relays_without_self(zone);
         if relays.is_empty() {
             return;
         }
-        self.rotation += 1;
-        let relay = &relays[self.rotation % relays.len()];
+        self.relay_rotation += 1;
+        let relay = &relays[self.relay_rotation % relays.len()];
         self.digest_sequence += 1;
         let digest = SentDigest {
-            sent: now,
-            may_try_elsewhere: zone == self.membership.own().zone,
+            sent_at: now,
+            can_retry_elsewhere: zone == self.membership.own().zone,
         };
         self.digests.insert(self.digest_sequence, digest);
         self.digests
-            .retain(|_, digest| now.millis_since(digest.sent) < DIGEST_LIFETIME_MS);
+            .retain(|_, digest| now.millis_since(digest.sent_at) < DIGEST_LIFETIME_MS);
         let message = ControlMessage::ConfigDigest {
             sequence: self.digest_sequence,
             digest: self.config.digest(),
@@ -266,12 +271,13 @@
         self.send(relay.as_str(), message, out);
     }
 
-    /// Tries a relay of another zone for each digest that got no report.
-    fn chase_digests(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    /// Sends a digest to a relay of another zone if a digest to the node's own zone has not
+    /// been answered in time.
+    fn retry_unanswered_digests(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         let mut unanswered = 0;
         for digest in self.digests.values_mut() {
-            if digest.may_try_elsewhere && now.millis_since(digest.sent) >= DIGEST_ANSWER_MS {
-                digest.may_try_elsewhere = false;
+            if digest.can_retry_elsewhere && now.millis_since(digest.sent_at) >= DIGEST_RETRY_MS {
+                digest.can_retry_elsewhere = false;
                 unanswered += 1;
             }
         }
@@ -287,14 +293,14 @@
             .cloned()
             .collect();
         if !others.is_empty() {
-            self.rotation += 1;
-            let zone = others[self.rotation % others.len()].clone();
+            self.relay_rotation += 1;
+            let zone = others[self.relay_rotation % others.len()].clone();
             self.send_digest_to_zone(now, &zone, out);
         }
     }
 
-    /// A relay asks the relays of the other zones.
-    fn send_reports(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    /// Sends a digest to each of the other zones if this node is a relay.
+    fn send_digests_to_other_zones(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         if !self.membership.is_relay() {
             return;
         }
@@ -315,15 +321,16 @@
         }
     }
 
-    /// Takes in that the platform, asked at `asked`, has shown every change up
-    /// to `revision`.
+    /// Records a contact with the platform that was requested at `asked` and is complete up
+    /// to `revision`. Ignored if the configuration in force is older.
     pub fn platform_heard(&mut self, asked: Instant, revision: u64) {
         if self.config.revision() >= revision {
             self.gate.platform_contact(asked);
         }
     }
 
-    /// Takes in the platform's whole content, asked for at `asked`.
+    /// Applies the platform's full content, which was requested at `asked`, and returns the
+    /// messages that distribute it.
     pub fn platform_snapshot(
         &mut self,
         now: Instant,
@@ -332,13 +339,13 @@
         documents: &[WireDocument],
     ) -> Vec<Outgoing> {
         let before = self.config.revision();
-        let moved = self.config.apply_snapshot(revision, documents);
+        let is_changed = self.config.apply_snapshot(revision, documents);
         self.platform_heard(asked, revision);
-        self.after_apply(now, moved, before)
+        self.after_apply(now, is_changed, before)
     }
 
-    /// Takes in changes that the platform's watch reported; they are complete
-    /// from the revision in force on.
+    /// Applies changes reported by a watch on the platform and returns the messages that
+    /// distribute them. The changes are complete from the revision in force to `revision`.
     pub fn platform_changes(
         &mut self,
         now: Instant,
@@ -346,25 +353,25 @@
         documents: &[WireDocument],
     ) -> Vec<Outgoing> {
         let before = self.config.revision();
-        let moved = self.config.apply(before, revision, documents).unwrap_or(false);
-        self.after_apply(now, moved, before)
+        let is_changed = self.config.apply(before, revision, documents).unwrap_or(false);
+        self.after_apply(now, is_changed, before)
     }
 
-    fn after_apply(&mut self, now: Instant, moved: bool, before: u64) -> Vec<Outgoing> {
+    fn after_apply(&mut self, now: Instant, is_changed: bool, before: u64) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        if !moved {
+        if !is_changed {
             return out;
         }
         self.config_changed = true;
-        self.reached.push_back((self.config.revision(), now));
-        if self.reached.len() > REMEMBERED_REVISIONS {
-            self.reached.pop_front();
+        self.applied_revisions.push_back((self.config.revision(), now));
+        if self.applied_revisions.len() > MAX_APPLIED_REVISIONS {
+            self.applied_revisions.pop_front();
         }
         self.push_to_zone(before, &mut out);
         out
     }
 
-    /// Pushes what changed after `before` to this relay's share of its zone.
+    /// Sends the changes after `before` to this relay's share of the nodes in its zone.
     fn push_to_zone(&self, before: u64, out: &mut Vec<Outgoing>) {
         let own = self.membership.own();
         let relays = self.membership.relays(&own.zone);
@@ -389,7 +396,7 @@
         }
     }
 
-    /// Takes in a message from `from`.
+    /// Handles a message from the node `from` and returns the messages to send.
     pub fn receive(&mut self, now: Instant, from: &str, message: &ControlMessage) -> Vec<Outgoing> {
         match message {
             ControlMessage::ConfigDigest {
@@ -421,9 +428,9 @@
             other => {
                 let out = self.membership.receive(now, from, other);
                 if matches!(other, ControlMessage::Table { .. }) {
-                    self.joined = true;
+                    self.has_joined = true;
                     self.scope_hash = None;
-                    // A newcomer need not wait a whole interval for its configuration.
+                    // A node that has just joined requests its configuration immediately.
                     self.next_digest = now;
                 }
                 out
@@ -435,9 +442,12 @@
         let entry = self
             .confirmed
             .entry(node.to_owned())
-            .or_insert(Confirmed { revision, heard: now });
+            .or_insert(ConfirmedRevision {
+                revision,
+                confirmed_at: now,
+            });
         entry.revision = entry.revision.max(revision);
-        entry.heard = now;
+        entry.confirmed_at = now;
     }
 
     fn digest_received(
@@ -460,23 +470,23 @@
             self.send(from, self.delta(digest.revision), &mut out);
         }
         self.send(from, report, &mut out);
-        if self.has_long_differed(now, from, members_hash) {
+        if self.has_persistent_mismatch(now, from, members_hash) {
             self.send(from, self.membership.table(), &mut out);
         }
         out
     }
 
-    fn has_long_differed(&mut self, now: Instant, from: &str, members_hash: u64) -> bool {
+    fn has_persistent_mismatch(&mut self, now: Instant, from: &str, members_hash: u64) -> bool {
         if members_hash == self.membership.hash() {
-            self.differing.remove(from);
+            self.mismatched_since.remove(from);
             return false;
         }
-        let since = *self.differing.entry(from.to_owned()).or_insert(now);
-        let long = now.millis_since(since) >= TABLE_PATIENCE_MS;
-        if long {
-            self.differing.remove(from);
+        let since = *self.mismatched_since.entry(from.to_owned()).or_insert(now);
+        let is_persistent = now.millis_since(since) >= TABLE_MISMATCH_GRACE_MS;
+        if is_persistent {
+            self.mismatched_since.remove(from);
         }
-        long
+        is_persistent
     }
 
     fn report_received(
@@ -487,19 +497,19 @@
         platform_age_ms: u32,
         zones: &[ZoneReport],
     ) -> Vec<Outgoing> {
-        let Some(SentDigest { sent: asked, .. }) = self.digests.remove(&sequence) else {
+        let Some(SentDigest { sent_at: asked, .. }) = self.digests.remove(&sequence) else {
             return Vec::new();
         };
         for report in zones {
             self.gate.zone_report(asked, report);
         }
-        self.adopt_contact(asked, digest, platform_age_ms);
+        self.adopt_platform_contact(asked, digest, platform_age_ms);
         self.pull_if_different(from, digest)
     }
 
-    /// A peer's contact counts only with a configuration at least as new as
-    /// the peer's: the contact vouches for that revision.
-    fn adopt_contact(&mut self, asked: Instant, digest: &Digest, platform_age_ms: u32) {
+    /// Adopts a peer's contact with the platform. The contact proves that the peer's
+    /// revision is current, so it does not count if this node's revision is older.
+    fn adopt_platform_contact(&mut self, asked: Instant, digest: &Digest, platform_age_ms: u32) {
         if self.config.revision() < digest.revision {
             return;
         }
@@ -515,7 +525,7 @@
             let revision = own.revision;
             self.send(from, ControlMessage::ConfigPull { revision }, &mut out);
         } else if digest.revision == own.revision && digest.hash != own.hash {
-            // The same revision with other documents: take the whole content.
+            // The documents of the same revision differ, so all of them are requested.
             self.send(from, ControlMessage::ConfigPull { revision: 0 }, &mut out);
         }
         out
@@ -531,11 +541,11 @@
     ) -> Vec<Outgoing> {
         let before = self.config.revision();
         match self.config.apply(since, to, documents) {
-            Ok(moved) => {
-                let mut out = self.after_apply(now, moved, before);
+            Ok(is_changed) => {
+                let mut out = self.after_apply(now, is_changed, before);
                 let revision = self.config.revision();
                 self.send(from, ControlMessage::Applied { revision }, &mut out);
-                if moved {
+                if is_changed {
                     self.send_digest(now, &mut out);
                 }
                 out
@@ -555,7 +565,7 @@
         out
     }
 
-    /// Revisions in force in this node's zone, as far as it has heard.
+    /// Returns the revision of this node and those that other nodes have reported to it.
     pub fn zone_revisions(&self, now: Instant) -> Vec<NodeRevision> {
         let own = self.membership.own();
         let mut nodes = vec![NodeRevision {
@@ -567,34 +577,35 @@
             nodes.push(NodeRevision {
                 node: node.clone(),
                 revision: confirmed.revision,
-                age_ms: u32::try_from(now.millis_since(confirmed.heard)).unwrap_or(u32::MAX),
+                age_ms: u32::try_from(now.millis_since(confirmed.confirmed_at)).unwrap_or(u32::MAX),
             });
         }
         nodes
     }
 
-    /// The zones heard lately, the own one included.
+    /// Returns this node's own zone and the zones with a recent report.
     pub fn reachable_zones(&self, now: Instant) -> BTreeSet<String> {
         let own = &self.membership.own().zone;
         self.membership
             .zones()
             .keys()
-            .filter(|zone| *zone == own || self.zone_is_heard(now, zone))
+            .filter(|zone| *zone == own || self.is_zone_reachable(now, zone))
             .cloned()
             .collect()
     }
 
-    /// The nodes that may own instances, by the members and zones heard lately.
+    /// Returns the nodes that may own instances: live members of reachable zones that are
+    /// neither leaving nor exempt.
     pub fn owner_table(&self, now: Instant) -> OwnerTable {
         let own = self.membership.own();
         let reachable = self.reachable_zones(now);
         let alone = self.membership.live().count() == 1;
-        let spared = self.spared_relays();
+        let exempt = self.exempt_relays();
         let candidates = self
             .membership
             .live()
             .filter(|record| record.leaving == 0 || alone && record.node == own.node)
-            .filter(|record| !spared.contains(&record.node))
+            .filter(|record| !exempt.contains(&record.node))
             .filter(|record| reachable.contains(&record.zone))
             .map(|record| OwnerCandidate {
                 node: NodeName::from(record.node.as_str()),
@@ -605,9 +616,9 @@
         OwnerTable { candidates }
     }
 
-    /// Relays of zones that are large enough to do without them as owners: a
-    /// relay's messages and an owner's probes are not to meet on one node.
-    fn spared_relays(&self) -> BTreeSet<String> {
+    /// Returns the relays of zones that are large enough to assign instances to other
+    /// nodes. This separates the load of relaying from that of probing instances.
+    fn exempt_relays(&self) -> BTreeSet<String> {
         let zones = self.membership.zones();
         zones
             .keys()
@@ -617,14 +628,14 @@
                     .live()
                     .filter(|record| record.zone == **zone)
                     .count();
-                size >= SPARING_ZONE_SIZE
+                size >= RELAY_EXEMPTION_ZONE_SIZE
             })
             .flat_map(|zone| self.membership.relays(zone))
             .map(|relay| relay.0)
             .collect()
     }
 
-    fn zone_is_heard(&self, now: Instant, zone: &str) -> bool {
+    fn is_zone_reachable(&self, now: Instant, zone: &str) -> bool {
         let Some(started) = self.started else {
             return true;
         };
--- a/crates/millwind-core/src/control/standings.rs
+++ b/crates/millwind-core/src/control/standings.rs
@@ -1,4 +1,4 @@
-//! How far a configuration change has come into force.
+//! Rollout state of a configuration change across the known nodes.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,25 @@
 use crate::Instant;
 use crate::freshness::{FRESHNESS_BOUND_MS, FRESHNESS_MARGIN_MS};
 
-/// Standing of one node with respect to a revision.
+/// Rollout state of one revision on one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Standing {
-    /// Has the revision in force.
+    /// The node has this revision or a later one in force.
     InForce,
-    /// Has stopped serving, by its own rule.
+    /// The node has stopped serving and cannot use an older revision.
     Stopped,
-    /// Neither is known.
+    /// The node may still serve with an older revision.
     Pending,
 }
 
 impl ControlPlane {
-    /// Where each known node stands with respect to `revision`, given what the
-    /// relays said.
+    /// Returns the rollout state of `revision` on each known node, based on the relays'
+    /// `reports`.
     ///
-    /// Must hold because a change is said to be in force on it: a node without
-    /// the revision has no contact with the platform younger than the change.
-    /// Once the freshness bound has passed since this node had the change, such
-    /// a node has stopped by its own rule, unless it can plead an outage that
-    /// its whole scope shares.
+    /// Operators rely on this result to treat a change as in force. A node without the
+    /// revision has had no contact with the platform since the change. Once the freshness
+    /// bound has passed since the change came into force on this node, such a node no
+    /// longer serves, unless an outage affects most zones of its scope.
     pub fn standings(
         &self,
         now: Instant,
@@ -35,18 +34,21 @@
         reports: &BTreeMap<String, NodeRevision>,
     ) -> BTreeMap<String, Standing> {
         let bound = FRESHNESS_BOUND_MS + FRESHNESS_MARGIN_MS;
-        let reached = self.reached.iter().find(|(reached, _)| *reached >= revision);
-        let lapsed = reached.is_some_and(|(_, at)| now.millis_since(*at) > bound);
+        let applied = self
+            .applied_revisions
+            .iter()
+            .find(|(applied, _)| *applied >= revision);
+        let is_past_bound = applied.is_some_and(|(_, at)| now.millis_since(*at) > bound);
         self.membership
             .records()
             .map(|record| {
                 let confirmed = reports
                     .get(&record.node)
                     .is_some_and(|report| report.revision >= revision);
-                let departed = record.liveness == Liveness::Dead && record.leaving == 1;
+                let has_left = record.liveness == Liveness::Dead && record.leaving == 1;
                 let standing = if confirmed {
                     Standing::InForce
-                } else if departed || lapsed && self.scope_is_reachable(now, record) {
+                } else if has_left || is_past_bound && self.scope_is_reachable(now, record) {
                     Standing::Stopped
                 } else {
                     Standing::Pending
@@ -56,8 +58,9 @@
             .collect()
     }
 
-    /// True when most zones of the record's scope, its own left out, are heard
-    /// and in contact: then a silent node there has no shared outage to plead.
+    /// Whether at least half of the zones in the scope of `record` recently reported
+    /// contact with the platform; the node's own zone counts as unreachable. If so, a node
+    /// there cannot keep serving on the grounds of a shared outage.
     fn scope_is_reachable(&self, now: Instant, record: &MemberRecord) -> bool {
         let reports = self.gate.reports(now);
         let same_region = reports
@@ -71,9 +74,9 @@
                 continue;
             }
             scope += 1;
-            let heard = u64::from(report.age_ms) <= FRESHNESS_BOUND_MS;
-            let contact = u64::from(report.platform_age_ms) <= FRESHNESS_BOUND_MS;
-            reachable += usize::from(heard && contact);
+            let is_recent = u64::from(report.age_ms) <= FRESHNESS_BOUND_MS;
+            let has_contact = u64::from(report.platform_age_ms) <= FRESHNESS_BOUND_MS;
+            reachable += usize::from(is_recent && has_contact);
         }
         reachable * 2 >= scope
     }
