--- a/crates/millwind-core/src/config_state.rs
+++ b/crates/millwind-core/src/config_state.rs
@@ -1,5 +1,5 @@
-//! The configuration a node has in force: documents with store revisions,
-//! which only ever move upward.
+//! The configuration in force on a node: documents with store revisions that only
+//! increase.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 use crate::ids::{GroupName, InstanceName, TenantName};
 use crate::tenant::{GroupSpec, Template, Tenant, TenantError, TenantSettings};
 
-/// A kind of configuration document; also the first part of its key.
+/// The kind of a configuration document, which is also the first part of its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DocumentKind {
     /// A database group.
     Group,
-    /// A template.
+    /// A template with the default settings of tenants.
     Template,
     /// A tenant.
     Tenant,
-    /// An entry of the platform's machine list.
+    /// An entry of the platform's machine list; see [`Machine`].
     Machine,
 }
 
@@ -34,7 +34,7 @@
         DocumentKind::Machine,
     ];
 
-    /// The kind's name in keys, commands and URLs.
+    /// Name of the kind in keys, commands and URLs.
     pub const fn name(self) -> &'static str {
         match self {
             DocumentKind::Group => "group",
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The kind with this name.
+    /// Returns the kind with this name; `None` if there is none.
     pub fn from_name(name: &str) -> Option<DocumentKind> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 
-    /// The key of the document of this kind and `name`.
+    /// Returns the key of the document of this kind called `name`.
     pub fn key(self, name: &str) -> String {
         format!("{}/{name}", self.name())
     }
@@ -58,69 +58,69 @@
 /// An entry of the platform's machine list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Machine {
-    /// Name of the node or instance that runs on it.
+    /// Name of the node or instance that runs on the machine.
     pub name: String,
-    /// IP number and port of the node's peer listener; empty for an instance.
+    /// IP address and port of the node's peer listener; empty for an instance.
     #[serde(default)]
     pub address: String,
-    /// True when it is about to go.
+    /// True if the platform is about to remove the machine.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Why a delta was not applied.
+/// Error returned when a delta cannot be applied.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DeltaError {
     /// The delta starts after the revision in force.
-    #[error("delta starts at revision {from}, in force is {in_force}")]
+    #[error("delta starts at revision {from}, but only revision {in_force} is in force")]
     Gap {
-        /// First revision the delta is complete for.
+        /// Revision after which the delta is complete.
         from: u64,
         /// Revision in force.
         in_force: u64,
     },
 }
 
-/// Why a document was refused.
+/// Error returned when a configuration document is invalid.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// Not valid TOML, or a field is unknown, missing or of the wrong type.
+    /// The document is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[error("{key}: {source}")]
-    Toml {
-        /// The document.
+    Parse {
+        /// Key of the document.
         key: String,
-        /// What is wrong and where.
+        /// Cause and position of the error.
         source: Box<toml::de::Error>,
     },
-    /// A value is out of range.
+    /// A value violates a constraint.
     #[error("{key}: {source}")]
-    Range {
-        /// The document.
+    InvalidValue {
+        /// Key of the document.
         key: String,
-        /// What is wrong.
+        /// The violated constraint.
         source: Box<TenantError>,
     },
-    /// The document names another that does not exist.
+    /// The document refers to another document that does not exist.
     #[error("{key}: {field} names {name:?}, which does not exist")]
-    Missing {
-        /// The document.
+    MissingReference {
+        /// Key of the document.
         key: String,
-        /// Field that names it.
+        /// Field that contains the reference.
         field: &'static str,
-        /// The missing name.
+        /// Name of the missing document.
         name: String,
     },
-    /// The name inside differs from the name it is stored under.
-    #[error("{key}: name inside the document is {inside:?}")]
-    Name {
-        /// The document.
+    /// The name in the document differs from the name in its key.
+    #[error("{key}: the name in the document is {found:?}, which does not match its key")]
+    NameMismatch {
+        /// Key of the document.
         key: String,
-        /// Name found inside.
-        inside: String,
+        /// Name found in the document.
+        found: String,
     },
 }
 
-/// Documents in force and their newest revision.
+/// The documents in force, including markers of deleted ones, and their newest revision.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigState {
     revision: u64,
@@ -129,12 +129,12 @@
 }
 
 impl ConfigState {
-    /// Newest revision in force; zero before the first.
+    /// Returns the revision in force; zero before the first change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// What to compare with another node.
+    /// Returns the revision and a hash over all documents, for comparison with other nodes.
     pub fn digest(&self) -> Digest {
         Digest {
             revision: self.revision,
@@ -142,12 +142,12 @@
         }
     }
 
-    /// The document stored under `key`, unless deleted.
+    /// Returns the document stored under `key` unless it is missing or deleted.
     pub fn document(&self, key: &str) -> Option<&WireDocument> {
         self.documents.get(key).filter(|document| document.deleted == 0)
     }
 
-    /// All documents of a kind that are not deleted.
+    /// Returns all documents of `kind` that are not deleted.
     pub fn of_kind(&self, kind: DocumentKind) -> impl Iterator<Item = &WireDocument> {
         let prefix = kind.key("");
         self.documents
@@ -155,10 +155,11 @@
             .filter(move |document| document.deleted == 0 && document.key.starts_with(&prefix))
     }
 
-    /// Applies changes; returns whether anything moved.
+    /// Applies the changes between the revisions `from` and `to` and returns whether the
+    /// revision or a document changed. Fails if `from` is later than the revision in force.
     ///
-    /// Must hold because a configuration never reverts: a document is replaced
-    /// only by one of a higher revision, and the revision only rises.
+    /// Nodes rely on the configuration never reverting: a document is replaced only by one
+    /// with a higher revision, and the revision in force never decreases.
     pub fn apply(&mut self, from: u64, to: u64, documents: &[WireDocument]) -> Result<bool, DeltaError> {
         if from > self.revision {
             return Err(DeltaError::Gap {
@@ -166,54 +167,55 @@
                 in_force: self.revision,
             });
         }
-        let mut moved = to > self.revision;
+        let mut is_changed = to > self.revision;
         for document in documents {
-            moved |= self.replace(document);
+            is_changed |= self.replace_if_newer(document);
         }
         self.revision = self.revision.max(to);
-        Ok(moved)
+        Ok(is_changed)
     }
 
-    /// Applies the store's whole content at revision `to`: documents that are
-    /// not in it any more were deleted.
+    /// Applies the store's full content at revision `to` and returns whether the revision or
+    /// a document changed. Documents missing from the content are marked as deleted.
     pub fn apply_snapshot(&mut self, to: u64, documents: &[WireDocument]) -> bool {
         if to < self.revision {
             return false;
         }
-        let gone: Vec<WireDocument> = self
+        let removed: Vec<WireDocument> = self
             .documents
             .values()
-            .filter(|held| held.deleted == 0 && held.revision <= to)
-            .filter(|held| documents.iter().all(|document| document.key != held.key))
-            .map(|held| WireDocument {
+            .filter(|current| current.deleted == 0 && current.revision <= to)
+            .filter(|current| documents.iter().all(|document| document.key != current.key))
+            .map(|current| WireDocument {
                 revision: to,
                 deleted: 1,
                 body: String::new(),
-                ..held.clone()
+                ..current.clone()
             })
             .collect();
-        let mut moved = to > self.revision;
-        for document in gone.iter().chain(documents) {
-            moved |= self.replace(document);
+        let mut is_changed = to > self.revision;
+        for document in removed.iter().chain(documents) {
+            is_changed |= self.replace_if_newer(document);
         }
         self.revision = to;
-        moved
+        is_changed
     }
 
-    fn replace(&mut self, document: &WireDocument) -> bool {
-        let held = self.documents.get(&document.key);
-        if held.is_some_and(|held| held.revision >= document.revision) {
+    /// Stores `document` and returns true unless a version at least as new is present.
+    fn replace_if_newer(&mut self, document: &WireDocument) -> bool {
+        let current = self.documents.get(&document.key);
+        if current.is_some_and(|current| current.revision >= document.revision) {
             return false;
         }
-        if let Some(held) = held {
-            self.hash ^= document_hash(held);
+        if let Some(current) = current {
+            self.hash ^= document_hash(current);
         }
         self.hash ^= document_hash(document);
         self.documents.insert(document.key.clone(), document.clone());
         true
     }
 
-    /// The documents that changed after `revision`.
+    /// Returns the documents that changed after `revision`, including deleted ones.
     pub fn changes_since(&self, revision: u64) -> Vec<WireDocument> {
         self.documents
             .values()
@@ -222,7 +224,8 @@
             .collect()
     }
 
-    /// The typed configuration, taking from `previous` what cannot be read.
+    /// Parses all documents and returns the resulting configuration and the errors found.
+    /// A tenant whose document is invalid keeps its settings from `previous`.
     pub fn resolve(&self, previous: &ResolvedConfig) -> (ResolvedConfig, Vec<DocumentError>) {
         let mut errors = Vec::new();
         let mut resolved = ResolvedConfig {
@@ -291,17 +294,18 @@
         }
     }
 
-    /// Checks that everything would resolve if `document` were in force.
+    /// Checks `document` before it is stored. Fails if the document would introduce an error
+    /// or if a tenant would refer to a group that does not exist.
     pub fn check_change(&self, document: &WireDocument) -> Result<(), DocumentError> {
         let mut changed = self.clone();
-        let raised = WireDocument {
+        let proposed = WireDocument {
             revision: u64::MAX,
             ..document.clone()
         };
-        changed.replace(&raised);
-        let (held, mut before) = self.resolve(&ResolvedConfig::default());
+        changed.replace_if_newer(&proposed);
+        let (current, mut before) = self.resolve(&ResolvedConfig::default());
         let (resolved, mut after) = changed.resolve(&ResolvedConfig::default());
-        before.extend(held.region_errors());
+        before.extend(current.region_errors());
         after.extend(resolved.region_errors());
         if after.len() > before.len()
             && let Some(error) = after
@@ -312,7 +316,7 @@
         }
         for tenant in resolved.tenants.values() {
             if !resolved.groups.contains_key(&tenant.group) {
-                return Err(DocumentError::Missing {
+                return Err(DocumentError::MissingReference {
                     key: DocumentKind::Tenant.key(tenant.name.as_str()),
                     field: "group",
                     name: tenant.group.to_string(),
@@ -328,26 +332,26 @@
 }
 
 fn parse<T: DeserializeOwned>(document: &WireDocument) -> Result<T, DocumentError> {
-    toml::from_str(&document.body).map_err(|source| DocumentError::Toml {
+    toml::from_str(&document.body).map_err(|source| DocumentError::Parse {
         key: document.key.clone(),
         source: Box::new(source),
     })
 }
 
-fn check_name(document: &WireDocument, inside: &str) -> Result<(), DocumentError> {
+fn check_name_matches_key(document: &WireDocument, found: &str) -> Result<(), DocumentError> {
     let stored = document.key.split_once('/').map_or("", |(_, name)| name);
-    if stored == inside {
+    if stored == found {
         return Ok(());
     }
-    Err(DocumentError::Name {
+    Err(DocumentError::NameMismatch {
         key: document.key.clone(),
-        inside: inside.to_owned(),
+        found: found.to_owned(),
     })
 }
 
 fn range_error(document: &WireDocument) -> impl FnOnce(TenantError) -> DocumentError + use<> {
     let key = document.key.clone();
-    move |source| DocumentError::Range {
+    move |source| DocumentError::InvalidValue {
         key,
         source: Box::new(source),
     }
@@ -355,21 +359,21 @@
 
 fn parse_group(document: &WireDocument) -> Result<GroupSpec, DocumentError> {
     let group: GroupSpec = parse(document)?;
-    check_name(document, group.name.as_str())?;
+    check_name_matches_key(document, group.name.as_str())?;
     group.check().map_err(range_error(document))?;
     Ok(group)
 }
 
 fn parse_template(document: &WireDocument) -> Result<Template, DocumentError> {
     let template: Template = parse(document)?;
-    check_name(document, &template.name)?;
+    check_name_matches_key(document, &template.name)?;
     template.check().map_err(range_error(document))?;
     Ok(template)
 }
 
 fn parse_tenant(document: &WireDocument) -> Result<Tenant, DocumentError> {
     let tenant: Tenant = parse(document)?;
-    check_name(document, tenant.name.as_str())?;
+    check_name_matches_key(document, tenant.name.as_str())?;
     Ok(tenant)
 }
 
@@ -380,7 +384,7 @@
 ) -> Result<TenantSettings, DocumentError> {
     let template = templates
         .get(&tenant.template)
-        .ok_or_else(|| DocumentError::Missing {
+        .ok_or_else(|| DocumentError::MissingReference {
             key: document.key.clone(),
             field: "template",
             name: tenant.template.clone(),
@@ -388,34 +392,35 @@
     template.settings_for(tenant).map_err(range_error(document))
 }
 
-/// The typed configuration that requests are served by.
+/// The parsed configuration that applies to requests.
 #[derive(Debug, Clone, Default)]
 pub struct ResolvedConfig {
-    /// Revision it was resolved from.
+    /// Revision of the documents from which the configuration was parsed.
     pub revision: u64,
-    /// Database groups.
+    /// Database groups by name.
     pub groups: BTreeMap<GroupName, Arc<GroupSpec>>,
-    /// Tenants.
+    /// Settings of the tenants by name.
     pub tenants: BTreeMap<TenantName, Arc<TenantSettings>>,
-    /// The platform's machine list.
+    /// The platform's machine list, by name of the node or instance.
     pub machines: BTreeMap<String, Machine>,
 }
 
 impl ResolvedConfig {
-    /// Tenants whose allowed regions leave nothing, or name one that their group has no
-    /// instance in. Such a change is refused; where it is in force all the same, the
-    /// tenant's statements are, and its former terms don't come back.
+    /// Returns an error for each tenant whose allowed regions are empty or include a region
+    /// without an instance of its group. Such a change is rejected. If it is in force
+    /// nevertheless, the tenant's statements are refused instead of falling back to the
+    /// previous regions.
     fn region_errors(&self) -> Vec<DocumentError> {
         let error_of = |settings: &Arc<TenantSettings>| {
             let group = self.groups.get(&settings.group)?;
             let source = Box::new(settings.check_regions(group).err()?);
             let key = DocumentKind::Tenant.key(settings.name.as_str());
-            Some(DocumentError::Range { key, source })
+            Some(DocumentError::InvalidValue { key, source })
         };
         self.tenants.values().filter_map(error_of).collect()
     }
 
-    /// Whether an instance is marked as leaving, by operators or the platform.
+    /// Whether operators or the platform have marked an instance as leaving.
     pub fn is_leaving(&self, group: &GroupName, instance: &InstanceName) -> bool {
         let by_operator = self
             .groups
--- a/crates/millwind-core/src/confirmation.rs
+++ b/crates/millwind-core/src/confirmation.rs
@@ -1,83 +1,82 @@
-//! Write confirmation: an answer to a write is released only after a majority
-//! of the group, asked after the commit, has shown no higher term.
+//! Write confirmation: the answer to a write is released only after a majority of the
+//! group, queried after the commit, has reported no higher term.
 //!
-//! Assumption on the group: a majority of its instances adopts a new term
-//! before that term's primary accepts writes. Then a majority that shows no
-//! higher term after the commit proves that no newer primary had accepted
-//! writes when the commit finished.
+//! This assumes that a majority of the instances adopts a new term before the primary of
+//! that term accepts writes. A majority that reports no higher term after the commit then
+//! proves that no newer primary had accepted writes when the commit finished.
 //!
-//! Unless the group's description says otherwise, the majority must also have
-//! received the commit. Then every later primary, elected from a majority by the
-//! most advanced log, holds what was acknowledged. The model checker shows that
-//! the term alone does not give this.
+//! By default the majority must also have received the commit. Every later primary, which
+//! a majority elects by the most advanced log, then holds all acknowledged writes. The
+//! term check alone does not guarantee this.
 //!
-//! One round of status questions confirms every commit that it covers, so the
-//! cost stays flat under load. An instance that shows the commit itself was
-//! certainly asked after it; questions may therefore run ahead of the primary's
-//! answer, and most commits are confirmed by the time that answer comes.
+//! One round of status requests confirms every commit that it covers, so the number of
+//! requests does not grow with the number of writes. An instance that reports the commit
+//! must have been queried after it. Status requests may therefore be sent before the
+//! primary answers, and most commits are confirmed by the time the answer arrives.
 
 use std::collections::BTreeMap;
 
 use crate::ids::InstanceName;
 use crate::position::{LogPosition, Position, Term};
 
-/// What a majority must show before a commit is confirmed.
+/// The condition that a majority must meet to confirm a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfirmationRule {
-    /// No higher term. Only for groups whose instances cannot say how far they
-    /// have received the log: a write acknowledged while an election is under
-    /// way may then be lost with the old primary's tail.
+    /// The instance reports no higher term. For groups whose instances cannot report the
+    /// received log position: a write acknowledged during an election may be lost if the
+    /// new primary lacks the end of the old primary's log.
     Term,
-    /// The same term, and the commit received.
+    /// The instance reports the term of the commit and has received the commit.
     #[default]
     Replicated,
 }
 
-/// Orders commits and status questions on one node: a question with a higher
-/// number than a commit was asked after it.
+/// Orders commits and status requests on one node: a status request with a higher number
+/// than a commit was sent after the commit finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Sequence(pub u64);
 
-/// A commit that waits for its confirmation.
+/// A commit that awaits confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PendingCommit {
-    /// Names the commit to the owner of the tracker.
+    /// Identifies the commit to the owner of the tracker.
     pub id: u64,
-    /// Position of the commit.
+    /// Log position of the commit.
     pub position: Position,
-    /// Number drawn after the commit's answer was read.
-    pub finished: Sequence,
+    /// Sequence number drawn after the primary's answer was read.
+    pub sequence: Sequence,
 }
 
-/// What became of a pending commit.
+/// Outcome of a pending commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// A majority shows no higher term: the answer may be released.
+    /// A majority meets the rule; the answer may be released.
     Confirmed,
-    /// An instance shows a higher term: the outcome is in doubt.
+    /// An instance reported a higher term; the outcome of the commit is unknown.
     Superseded,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Shown {
+struct InstanceStatus {
     asked: Sequence,
     term: Term,
     received: LogPosition,
 }
 
-/// Tracks status answers of a group and the commits that wait on them.
+/// Tracks the latest status of each instance of a group and the commits that await
+/// confirmation.
 #[derive(Debug, Clone, Default)]
 pub struct ConfirmationTracker {
     members: usize,
     rule: ConfirmationRule,
-    next: Sequence,
-    shown: BTreeMap<InstanceName, Shown>,
+    last_drawn: Sequence,
+    statuses: BTreeMap<InstanceName, InstanceStatus>,
     pending: Vec<PendingCommit>,
 }
 
 impl ConfirmationTracker {
-    /// A tracker for a group of `members` instances.
+    /// Creates a tracker for a group of `members` instances.
     pub fn new(members: usize, rule: ConfirmationRule) -> Self {
         ConfirmationTracker {
             members,
@@ -86,20 +85,20 @@
         }
     }
 
-    /// Draws the next sequence number, for a finished commit or a question.
+    /// Draws the next sequence number for a finished commit or a status request.
     pub fn draw(&mut self) -> Sequence {
-        self.next.0 += 1;
-        self.next
+        self.last_drawn.0 += 1;
+        self.last_drawn
     }
 
-    /// Registers a finished commit at `position`. The verdict is returned if it
-    /// is already known, else it follows by [`Self::observe`].
+    /// Registers a finished commit at `position`. Returns the verdict if the commit can be
+    /// decided already; otherwise [`Self::observe`] returns it later.
     pub fn register(&mut self, id: u64, position: Position) -> Option<Verdict> {
-        let finished = self.draw();
+        let sequence = self.draw();
         let commit = PendingCommit {
             id,
             position,
-            finished,
+            sequence,
         };
         let verdict = self.verdict(&commit);
         if verdict.is_none() {
@@ -108,14 +107,13 @@
         verdict
     }
 
-    /// Forgets a commit whose caller gave up.
+    /// Stops tracking a commit whose caller no longer waits.
     pub fn forget(&mut self, id: u64) {
         self.pending.retain(|commit| commit.id != id);
     }
 
-    /// Takes in that `instance`, in answer to a question numbered `asked`,
-    /// showed `term` and had received the log up to `received`; returns the
-    /// commits that are decided by it.
+    /// Records that `instance`, in reply to the status request numbered `asked`, reported
+    /// `term` and the log position `received`. Returns the commits that this decides.
     pub fn observe(
         &mut self,
         instance: &InstanceName,
@@ -123,14 +121,14 @@
         term: Term,
         received: LogPosition,
     ) -> Vec<(u64, Verdict)> {
-        let shown = Shown {
+        let status = InstanceStatus {
             asked,
             term,
             received,
         };
-        let entry = self.shown.entry(instance.clone()).or_insert(shown);
+        let entry = self.statuses.entry(instance.clone()).or_insert(status);
         if asked >= entry.asked {
-            *entry = shown;
+            *entry = status;
         }
         let mut decided = Vec::new();
         let pending = std::mem::take(&mut self.pending);
@@ -144,24 +142,27 @@
     }
 
     fn verdict(&self, commit: &PendingCommit) -> Option<Verdict> {
-        let agreeing = self
-            .shown
+        let confirming = self
+            .statuses
             .values()
-            .filter(|shown| self.holds(shown, commit))
+            .filter(|status| self.confirms(status, commit))
             .count();
-        if agreeing * 2 > self.members {
+        if confirming * 2 > self.members {
             return Some(Verdict::Confirmed);
         }
-        let superseded = self.shown.values().any(|shown| shown.term > commit.position.term);
+        let superseded = self
+            .statuses
+            .values()
+            .any(|status| status.term > commit.position.term);
         superseded.then_some(Verdict::Superseded)
     }
 
-    fn holds(&self, shown: &Shown, commit: &PendingCommit) -> bool {
+    fn confirms(&self, status: &InstanceStatus, commit: &PendingCommit) -> bool {
         match self.rule {
-            ConfirmationRule::Term => shown.asked > commit.finished && shown.term <= commit.position.term,
-            // Whoever shows the commit was asked after it.
+            ConfirmationRule::Term => status.asked > commit.sequence && status.term <= commit.position.term,
+            // An instance that reports the commit was queried after it.
             ConfirmationRule::Replicated => {
-                shown.term == commit.position.term && shown.received >= commit.position.log_position
+                status.term == commit.position.term && status.received >= commit.position.log_position
             }
         }
     }
