--- a/crates/millwind-core/src/classify.rs
+++ b/crates/millwind-core/src/classify.rs
@@ -1,5 +1,5 @@
-//! What kind of statement a text is. Whatever cannot be parsed, or is not
-//! surely a read, counts as a write.
+//! Classification of SQL statements for routing. A statement that cannot be parsed or
+//! proven to be a read counts as a write.
 
 use std::ops::ControlFlow;
 
@@ -10,10 +10,10 @@
 use sqlparser::parser::Parser;
 use sqlparser::tokenizer::{Token, Tokenizer, Whitespace};
 
-/// Statement texts longer than this are not parsed and count as writes.
-pub const MAXIMUM_PARSED_BYTES: usize = 64 * 1024;
+/// Length in bytes above which a statement text is not parsed and counts as a write.
+pub const MAX_PARSED_BYTES: usize = 64 * 1024;
 
-/// Functions that are known to change nothing.
+/// Functions without side effects.
 const READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "array_agg",
@@ -51,30 +51,30 @@
     "version",
 ];
 
-/// What a statement does, as far as routing is concerned.
+/// The kind of a statement as far as routing is concerned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum StatementKind {
-    /// Surely changes nothing.
+    /// Changes nothing.
     Read,
-    /// Changes something, or may.
+    /// Changes something, or cannot be proven not to.
     Write,
-    /// Opens a transaction; true when it is declared read only.
+    /// Opens a transaction.
     Begin {
-        /// Declared `READ ONLY`.
+        /// Whether the transaction is declared `READ ONLY`.
         read_only: bool,
     },
-    /// Ends a transaction by committing it.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction by undoing it.
+    /// Rolls a transaction back.
     Rollback,
-    /// Sets a setting of the proxy itself.
+    /// Changes a setting of the proxy itself.
     SetProxy {
         /// Name without the `millwind.` prefix.
         name: String,
         /// Value as text.
         value: String,
     },
-    /// Sets a back-end session setting, which transaction pooling cannot carry.
+    /// Changes a session setting of the back end, which transaction pooling cannot preserve.
     SetSession {
         /// Name of the setting.
         name: String,
@@ -84,30 +84,30 @@
         /// Name without the `millwind.` prefix.
         name: String,
     },
-    /// Needs a back-end session of its own, or a protocol the proxy lacks.
+    /// Requires a dedicated back-end session or a protocol that the proxy does not implement.
     Unsupported,
-    /// Nothing but white space and comments.
+    /// Contains only white space and comments.
     Empty,
 }
 
-/// A classified text: the kinds of its statements and the tags in comments.
+/// The result of classifying a statement text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Classified {
-    /// One kind per statement; unparsable text is one `Write`.
+    /// The kind of each statement; a text that cannot be parsed is one `Write`.
     pub kinds: Vec<StatementKind>,
-    /// `key='value'` pairs from comments, in order.
+    /// `key='value'` pairs from comments, in order of appearance.
     pub tags: Vec<(String, String)>,
-    /// Names of the tables the statements mention, lower case.
+    /// Names of the tables that the statements refer to, in lower case.
     pub tables: Vec<String>,
 }
 
 impl Classified {
-    /// True when every statement is surely a read.
+    /// Whether there are statements and all of them are reads.
     pub fn is_read(&self) -> bool {
         !self.kinds.is_empty() && self.kinds.iter().all(|kind| *kind == StatementKind::Read)
     }
 
-    /// Value of a comment tag.
+    /// Returns the value of the first comment tag with this key.
     pub fn tag(&self, key: &str) -> Option<&str> {
         self.tags
             .iter()
@@ -118,7 +118,7 @@
 
 /// Classifies a statement text.
 pub fn classify(text: &str) -> Classified {
-    if text.len() > MAXIMUM_PARSED_BYTES {
+    if text.len() > MAX_PARSED_BYTES {
         return unparsed();
     }
     let dialect = PostgreSqlDialect {};
@@ -138,7 +138,7 @@
     let kinds = if statements.is_empty() {
         vec![StatementKind::Empty]
     } else {
-        statements.iter().map(kind_of).collect()
+        statements.iter().map(statement_kind).collect()
     };
     Classified { kinds, tags, tables }
 }
@@ -179,7 +179,7 @@
     }
 }
 
-fn kind_of(statement: &Statement) -> StatementKind {
+fn statement_kind(statement: &Statement) -> StatementKind {
     match statement {
         Statement::Query(query) if is_read_only(query) => StatementKind::Read,
         Statement::ShowVariable { variable } => show_kind(variable),
@@ -232,20 +232,20 @@
         };
     };
     if matches!(scope, Some(sqlparser::ast::ContextModifier::Local)) {
-        // Ends with the transaction, so pooling can carry it.
+        // The setting ends with the transaction, so transaction pooling preserves it.
         return StatementKind::Write;
     }
     let name = variable.to_string().to_lowercase();
     match name.strip_prefix("millwind.") {
-        Some(own) => StatementKind::SetProxy {
-            name: own.to_owned(),
-            value: values.iter().map(unquoted).collect::<Vec<_>>().join(","),
+        Some(setting) => StatementKind::SetProxy {
+            name: setting.to_owned(),
+            value: values.iter().map(unquote).collect::<Vec<_>>().join(","),
         },
         None => StatementKind::SetSession { name },
     }
 }
 
-fn unquoted(expression: &Expr) -> String {
+fn unquote(expression: &Expr) -> String {
     let text = expression.to_string();
     let inner = text.strip_prefix('\'').and_then(|rest| rest.strip_suffix('\''));
     inner.map_or(text.clone(), str::to_owned)
@@ -256,7 +256,7 @@
     query.visit(&mut check).is_continue()
 }
 
-/// Breaks at the first part of a query that may change something.
+/// Stops visiting a query at the first part that may have side effects.
 struct ReadOnlyCheck;
 
 impl Visitor for ReadOnlyCheck {
--- a/crates/millwind-core/src/concurrency_limit.rs
+++ b/crates/millwind-core/src/concurrency_limit.rs
@@ -1,64 +1,64 @@
-//! How many statements a node runs at one instance at the same time.
+//! Adaptive limit on the statements that a node runs concurrently on one instance.
 //!
-//! An instance runs as many statements at a time as it has slots. What it is
-//! given beyond that waits there in the order of its arrival, and is turned away
-//! when that queue is full: a node that holds the rest back itself can serve the
-//! most urgent first, knows how long the others would wait, and causes no storm
-//! of refusals. The limit starts at the instance's slots, since other nodes send
-//! there too and one of them may have to use all; it grows slowly while it is
-//! what holds statements back, and shrinks at once when the instance turns one
-//! away (additive increase, multiplicative decrease).
+//! An instance runs as many statements as it has slots, queues further ones in order of
+//! arrival and rejects statements when its queue is full. A node that queues the excess
+//! itself can serve urgent statements first, can estimate waiting times and avoids bursts
+//! of rejections.
+//!
+//! The limit starts at the number of slots, since one node may have to use all of them. It
+//! increases additively while it is the bottleneck and decreases multiplicatively when the
+//! instance rejects a statement (AIMD).
 
 use crate::Instant;
 
-/// Statements per slot at most: beyond that they only wait elsewhere.
-const MOST_PER_SLOT: f64 = 2.0;
-/// What is left of the limit after a refusal.
-const DECREASE: f64 = 0.7;
-/// Refusals within this time of a decrease belong to what was under way before,
-/// in milliseconds: a few times a statement's usual time.
-const DECREASE_PAUSE_MS: u64 = 50;
+/// Upper bound of the limit per slot; further statements would only wait at the instance.
+const MAX_PER_SLOT: f64 = 2.0;
+/// Factor by which a rejection multiplies the limit.
+const DECREASE_FACTOR: f64 = 0.7;
+/// Time after a decrease during which further rejections are ignored, in milliseconds,
+/// since they concern statements sent before the decrease.
+const DECREASE_COOLDOWN_MS: u64 = 50;
 
-/// How a statement's turn at an instance ended.
+/// How the execution of a statement on an instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnEnd {
-    /// The instance ran it, whatever came of it.
+    /// The instance ran the statement, with any result.
     Ran,
-    /// The instance was busy and turned it away.
+    /// The instance was busy and rejected the statement.
     TurnedAway,
-    /// Nothing is known.
+    /// It is unknown whether the instance ran the statement.
     Unknown,
 }
 
-/// The limit for one instance.
+/// The concurrency limit for one instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConcurrencyLimit {
-    most: f64,
+    maximum: f64,
     limit: f64,
-    decreased: Option<Instant>,
+    last_decrease: Option<Instant>,
 }
 
 impl ConcurrencyLimit {
-    /// A limit for an instance that runs `slots` statements at a time.
+    /// Creates the limit for an instance with `slots` slots.
     pub fn new(slots: u32) -> Self {
         let slots = f64::from(slots.max(1));
         ConcurrencyLimit {
-            most: slots * MOST_PER_SLOT,
+            maximum: slots * MAX_PER_SLOT,
             limit: slots,
-            decreased: None,
+            last_decrease: None,
         }
     }
 
-    /// Statements that may run at the same time; at least one.
+    /// Returns the number of statements that may run concurrently; at least one.
     pub fn allowed(&self) -> usize {
         (self.limit as usize).max(1)
     }
 
-    /// Takes in how a turn ended; `was_full` if no further statement could have
-    /// had a turn beside it.
-    pub fn ended(&mut self, now: Instant, end: TurnEnd, was_full: bool) {
+    /// Adjusts the limit after a statement has ended. `was_at_limit` tells whether the limit
+    /// was reached while the statement ran.
+    pub fn ended(&mut self, now: Instant, end: TurnEnd, was_at_limit: bool) {
         match end {
-            TurnEnd::Ran if was_full => self.limit = (self.limit + 1.0 / self.limit).min(self.most),
+            TurnEnd::Ran if was_at_limit => self.limit = (self.limit + 1.0 / self.limit).min(self.maximum),
             TurnEnd::TurnedAway => self.decrease(now),
             TurnEnd::Ran | TurnEnd::Unknown => {}
         }
@@ -66,11 +66,11 @@
 
     fn decrease(&mut self, now: Instant) {
         let is_recent = self
-            .decreased
-            .is_some_and(|decreased| now.millis_since(decreased) < DECREASE_PAUSE_MS);
+            .last_decrease
+            .is_some_and(|last_decrease| now.millis_since(last_decrease) < DECREASE_COOLDOWN_MS);
         if !is_recent {
-            self.limit = (self.limit * DECREASE).max(1.0);
-            self.decreased = Some(now);
+            self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
+            self.last_decrease = Some(now);
         }
     }
 }
--- a/crates/millwind-core/src/connection_queue.rs
+++ b/crates/millwind-core/src/connection_queue.rs
@@ -1,36 +1,35 @@
-//! Who gets a connection that becomes free, where each serves one user.
+//! Selection of the waiting request that receives a free connection, where each connection
+//! belongs to one database user.
 //!
-//! Load pattern: an instance has more to do than it can serve, and statements of many
-//! tenants wait at the node that holds its connections. Given to the first that
-//! waits, nearly every connection is closed and opened anew for another tenant, and
-//! the instance spends on that (12 ms of a slot) as much as on the statement itself.
-//! Given to the next of the same tenant, it runs one after the other.
+//! While an instance is overloaded, requests of many tenants wait for its connections. In
+//! strict order of arrival almost every connection would be closed and reopened for
+//! another user, which costs the instance about as much as a statement. Requests of the
+//! connection's user are therefore preferred, within limits that prevent starvation.
 
-/// The first in line gives way until so many went ahead of it: their statements take
-/// less time together than its aim leaves it (4 times some 15 ms of 600 ms and more).
-/// Those behind it may be passed over as often again while they are not the first.
-const MOST_PASSED_OVER: u8 = 4;
+/// Number of later requests that may overtake the head of the queue. Requests behind the
+/// head may be overtaken more often, because they also wait for the head.
+const MAX_OVERTAKES: u8 = 4;
 
-/// One that waits for a connection.
+/// A request that waits for a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waiting {
-    /// Lower goes first.
+    /// Priority; lower ranks are served first.
     pub rank: u8,
-    /// The connection that becomes free is its user's.
+    /// Whether the free connection belongs to the request's user.
     pub is_same_user: bool,
-    /// Others that came later and went first.
+    /// Number of later requests that have overtaken this one.
     pub passed_over: u8,
 }
 
-/// Index of the one that goes next, of those that wait in the order of their ranks and
-/// arrival.
+/// Returns the index of the request to serve next; `None` if no request waits. `waiting`
+/// must be ordered by rank and then by arrival.
 pub fn next_in_line(waiting: impl IntoIterator<Item = Waiting>) -> Option<usize> {
     let mut waiting = waiting.into_iter().enumerate();
     let (_, first) = waiting.next()?;
-    if first.is_same_user || first.passed_over >= MOST_PASSED_OVER {
+    if first.is_same_user || first.passed_over >= MAX_OVERTAKES {
         return Some(0);
     }
-    let of_its_rank = waiting.take_while(|(_, other)| other.rank == first.rank);
-    let mut same_user = of_its_rank.filter(|(_, other)| other.is_same_user);
+    let same_rank = waiting.take_while(|(_, other)| other.rank == first.rank);
+    let mut same_user = same_rank.filter(|(_, other)| other.is_same_user);
     Some(same_user.next().map_or(0, |(index, _)| index))
 }
