--- a/crates/millwind-core/src/affinity.rs
+++ b/crates/millwind-core/src/affinity.rs
@@ -1,21 +1,21 @@
-//! Which of several places a tenant's statements go to first, so that they find the
-//! tenant's connections there.
+//! Tenant affinity: directs the statements of a tenant to the same target, so that they
+//! can reuse the tenant's connections.
 //!
-//! Load pattern: more tenants than an instance accepts connections, each with a
-//! statement now and then. A connection serves one tenant; opening one takes as much
-//! of an instance's slot as a statement or two. Spread over all places, a tenant's
-//! next statement rarely meets its last connection; sent to the same place, it does.
+//! A connection serves one tenant, and opening one costs an instance about as much as a
+//! statement. If there are more tenants than connections and statements are spread evenly,
+//! a tenant rarely finds an open connection.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Indexes of `places` in the order in which `tenant` uses them, by rendezvous hashing:
-/// a place that is gone moves only its own tenants.
-pub fn order<Name: AsRef<str>>(tenant: &str, places: &[Name]) -> Vec<usize> {
+/// Returns the indexes of `targets` in the order of preference of `tenant`.
+///
+/// Uses rendezvous hashing: removing a target reassigns only the tenants that preferred it.
+pub fn order<Name: AsRef<str>>(tenant: &str, targets: &[Name]) -> Vec<usize> {
     let weight = |index: &usize| {
-        let place = places[*index].as_ref();
-        xxh3_64(format!("{tenant}/{place}").as_bytes())
+        let target = targets[*index].as_ref();
+        xxh3_64(format!("{tenant}/{target}").as_bytes())
     };
-    let mut indexes: Vec<usize> = (0..places.len()).collect();
+    let mut indexes: Vec<usize> = (0..targets.len()).collect();
     indexes.sort_by_key(|index| std::cmp::Reverse(weight(index)));
     indexes
 }
--- a/crates/millwind-core/src/catalog_freshness.rs
+++ b/crates/millwind-core/src/catalog_freshness.rs
@@ -1,37 +1,38 @@
-//! As of when a node knows the catalog to be the newest.
+//! Freshness of a node's copy of the catalog.
 //!
-//! Instances and configuration are read by calls of their own. What one read
-//! delivered says nothing of the other document, so the catalog as a whole is as old
-//! as the older of the two, and that age alone is passed on to other nodes.
+//! The instances and the configuration are read by separate calls. Reading one does not
+//! refresh the other, so the catalog is only as fresh as the older of the two. Only this
+//! combined age is reported to other nodes.
 
 use crate::Instant;
 
-/// How new a node's knowledge of the catalog is.
+/// Times at which a node's copy of the catalog last matched the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CatalogFreshness {
-    /// The instances held are those that the store held at this time.
+    /// Time at which the instances were last known to match the store.
     instances: Option<Instant>,
-    /// The same of the configuration, while nobody watches it here.
+    /// Time at which the configuration was last known to match the store; not updated while
+    /// the node watches the configuration.
     configuration: Option<Instant>,
-    /// This node has read the configuration and watches it: it would hear of a
-    /// newer one as soon as of an instance.
+    /// Whether this node has read the configuration and watches it. Configuration changes
+    /// then arrive as soon as changes to instances.
     is_configuration_watched: bool,
 }
 
 impl CatalogFreshness {
-    /// The store told this node of its instances at `heard`.
+    /// Records that the store reported its instances to this node at `heard`.
     pub fn instances_heard(&mut self, heard: Instant) {
         self.instances = self.instances.max(Some(heard));
     }
 
-    /// This node has read the configuration with a call sent at `asked`, and
+    /// Records that this node has read the configuration with a call sent at `asked` and
     /// watches it from now on.
     pub fn configuration_read(&mut self, asked: Instant) {
         self.configuration = self.configuration.max(Some(asked));
         self.is_configuration_watched = true;
     }
 
-    /// This node no longer watches the configuration: from now on it grows old.
+    /// Records that this node no longer watches the configuration, which ages from now on.
     pub fn configuration_unwatched(&mut self) {
         if self.is_configuration_watched {
             self.configuration = self.configuration.max(self.as_of());
@@ -39,15 +40,15 @@
         }
     }
 
-    /// Another node, which has told all that it knows, knew the catalog as of
-    /// `heard`.
+    /// Records that another node has transferred its whole catalog, which matched the store
+    /// at `heard`.
     pub fn told(&mut self, heard: Instant) {
         self.instances = self.instances.max(Some(heard));
         self.configuration = self.configuration.max(Some(heard));
     }
 
-    /// The catalog held is the one that the store held at this time; none if that
-    /// is not known.
+    /// Returns the time at which the catalog was last known to match the store; `None` if
+    /// the instances or the configuration are unknown.
     pub fn as_of(&self) -> Option<Instant> {
         let instances = self.instances?;
         if self.is_configuration_watched {
--- a/crates/millwind-core/src/catalog_relay.rs
+++ b/crates/millwind-core/src/catalog_relay.rs
@@ -1,122 +1,120 @@
-//! Which nodes read the catalog from the store, and which hear it from them.
+//! Selection of the nodes that read the catalog from the store.
 //!
-//! Each read of the store is paid for and loads it, so in a large deployment
-//! a few nodes of each zone read it as relays, and the others compare their
-//! catalog with them. Nothing depends on agreement about who they are: a node
-//! that is asked as a relay becomes one for a while, and a node that hears
-//! nothing fresh reads the store itself.
+//! Reads cost money and load the store, so in a large deployment only a few nodes per zone
+//! read the store as relays and the other nodes synchronize with them. Nodes need not agree
+//! on the set of relays: a node that is contacted as a relay acts as one for a while, and a
+//! node that receives no fresh catalog reads the store itself.
 
 use crate::Instant;
 
-/// Deployments of fewer nodes than this have no relays.
-const LEAST_NODES: usize = 24;
-/// Relays of a zone at least.
-const LEAST_RELAYS: usize = 2;
-/// Nodes of a zone for which one relay more is taken.
+/// Minimum number of nodes at which a deployment uses relays.
+const MIN_NODES_FOR_RELAYS: usize = 24;
+/// Minimum number of relays per zone.
+const MIN_RELAYS_PER_ZONE: usize = 2;
+/// Maximum number of nodes of a zone per relay.
 const NODES_PER_RELAY: usize = 36;
-/// A node that was asked as a relay remains one for this time, in milliseconds.
-const ASKED_MS: u64 = 6_000;
-/// A node that knows too little to serve reads the store when no relay has told
-/// it more for this time, in milliseconds: within it relays that start with it
-/// have read the store.
-const START_MS: u64 = 500;
-/// However long relays answer, such a node reads the store after this time, in
-/// milliseconds: relays that the store refuses answer as well. Relays of a fleet that
-/// starts as a whole have read 3.4 MB each by then, over a link of 1 Gbit/s for 33 of
-/// them.
-const MOST_START_MS: u64 = 3_000;
-/// A starting node that knows enough to serve waits so long for the first word
-/// of a relay, which may be starting too, in milliseconds; it has just listed
-/// the configuration itself.
-const FIRST_WORD_MS: u64 = 1_000;
-/// Longest pause between two readings of a relay, in milliseconds.
-const MOST_PACE_MS: u64 = 2_000;
-/// The pace as a part of the time in which a configuration must be in force,
-/// in percent.
-const PACE_PERCENT: u64 = 25;
-/// News never count as fresh for longer than this part of that time, in
-/// percent.
-const MOST_FRESH_PERCENT: u64 = 60;
-/// Where a configuration must be in force sooner than this, in milliseconds,
-/// every node reads the store itself.
-const LEAST_BOUND_MS: u64 = 2_000;
-/// Beyond a relay's pace its word counts as fresh for this time, in
+/// Time for which a node acts as a relay after another node contacted it as one, in
 /// milliseconds.
-const FRESH_MS: u64 = 1_400;
+const RELAY_DUTY_MS: u64 = 6_000;
+/// Time without an answer from a relay after which a node that cannot serve yet reads the
+/// store, in milliseconds. Allows relays that start at the same time to read it first.
+const START_WAIT_MS: u64 = 500;
+/// Time after which such a node reads the store even if relays answer, in milliseconds,
+/// since the relays may be unable to read the store.
+const MAX_START_WAIT_MS: u64 = 3_000;
+/// Time for which a starting node that can already serve waits for a relay, which may be
+/// starting as well, in milliseconds.
+const FIRST_ANSWER_WAIT_MS: u64 = 1_000;
+/// Upper limit of the interval at which a relay reads the store, in milliseconds.
+const MAX_READ_INTERVAL_MS: u64 = 2_000;
+/// Interval at which a relay reads the store, as a percentage of the time within which a
+/// configuration must be in force.
+const READ_INTERVAL_PERCENT: u64 = 25;
+/// Upper limit of the time for which a catalog counts as fresh, as a percentage of the time
+/// within which a configuration must be in force.
+const MAX_FRESH_PERCENT: u64 = 60;
+/// Every node reads the store itself if a configuration must be in force within less than
+/// this time, in milliseconds.
+const MIN_CONFIG_BOUND_MS: u64 = 2_000;
+/// Time beyond the read interval for which a catalog counts as fresh, in milliseconds.
+const FRESHNESS_ALLOWANCE_MS: u64 = 1_400;
 
-/// How many relays a zone of `zone_nodes` nodes has in a deployment of
-/// `all_nodes`; none where every node reads the store itself.
+/// Returns the number of relays for a zone of `zone_nodes` nodes in a deployment of
+/// `all_nodes` nodes; `None` if every node reads the store itself.
 pub fn relays_of_zone(zone_nodes: usize, all_nodes: usize) -> Option<usize> {
-    let is_large = all_nodes >= LEAST_NODES;
-    is_large.then(|| zone_nodes.div_ceil(NODES_PER_RELAY).max(LEAST_RELAYS))
+    let is_large = all_nodes >= MIN_NODES_FOR_RELAYS;
+    is_large.then(|| zone_nodes.div_ceil(NODES_PER_RELAY).max(MIN_RELAYS_PER_ZONE))
 }
 
-/// Times of the relays, in milliseconds.
+/// Timing of catalog relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelayTimes {
-    /// Pause between two readings of a relay.
+    /// Interval at which a relay reads the store, in milliseconds.
     pub pace_ms: u64,
-    /// A word of the store older than this is not fresh.
+    /// Age from which a catalog no longer counts as fresh, in milliseconds.
     pub fresh_ms: u64,
-    /// Relays are quick enough for the bound on configurations.
+    /// Whether relays are fast enough for the time limit on configuration changes.
     pub allow_relays: bool,
 }
 
 impl RelayTimes {
-    /// Times under which a configuration is in force everywhere within
+    /// Returns the timing with which a configuration is in force on every node within
     /// `config_bound_ms`.
     pub fn within(config_bound_ms: u64) -> Self {
-        let pace_ms = (config_bound_ms * PACE_PERCENT / 100).min(MOST_PACE_MS);
-        let most_fresh_ms = config_bound_ms * MOST_FRESH_PERCENT / 100;
+        let pace_ms = (config_bound_ms * READ_INTERVAL_PERCENT / 100).min(MAX_READ_INTERVAL_MS);
+        let max_fresh_ms = config_bound_ms * MAX_FRESH_PERCENT / 100;
         RelayTimes {
             pace_ms,
-            fresh_ms: (pace_ms + FRESH_MS).min(most_fresh_ms),
-            allow_relays: config_bound_ms >= LEAST_BOUND_MS,
+            fresh_ms: (pace_ms + FRESHNESS_ALLOWANCE_MS).min(max_fresh_ms),
+            allow_relays: config_bound_ms >= MIN_CONFIG_BOUND_MS,
         }
     }
 }
 
-/// What a node knows when it decides whether to read the store.
+/// The state from which a node decides whether to read the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CatalogState {
-    /// It is a relay by its own view, or the deployment has none.
+    /// Whether the node considers itself a relay, or the deployment has no relays.
     pub is_relay: bool,
-    /// When another node last asked it as a relay.
+    /// Time at which another node last contacted this node as a relay.
     pub asked: Option<Instant>,
-    /// It knows enough to serve.
+    /// Whether the node's catalog is complete enough to serve.
     pub is_complete: bool,
-    /// Since when it knows the other nodes, and so the relays.
+    /// Time since which the node knows the other nodes and therefore the relays.
     pub known_since: Instant,
-    /// The newest time at which the store had told it or a node it asked.
+    /// Time at which the node's catalog, read directly or through other nodes, was last
+    /// known to match the store.
     pub heard: Option<Instant>,
-    /// When a relay last answered it.
+    /// Time of the last answer from a relay.
     pub relay_answered: Option<Instant>,
 }
 
 impl CatalogState {
-    /// Whether the node must read the store itself now.
+    /// Whether the node must read the store itself at `now`.
     pub fn must_read(&self, now: Instant, times: &RelayTimes) -> bool {
         if self.is_relay {
             return true;
         }
-        let is_asked = self.asked.is_some_and(|asked| now.millis_since(asked) < ASKED_MS);
+        let is_asked = self
+            .asked
+            .is_some_and(|asked| now.millis_since(asked) < RELAY_DUTY_MS);
         if is_asked {
             return true;
         }
-        // Where others hear the store and know no more, there is no more.
+        // A fresh catalog contains everything in the store, even if it is incomplete.
         if self.is_fresh(now, times) {
             return false;
         }
         let waited = now.millis_since(self.known_since);
         if self.is_complete {
-            return waited >= FIRST_WORD_MS.min(times.fresh_ms);
+            return waited >= FIRST_ANSWER_WAIT_MS.min(times.fresh_ms);
         }
-        // A relay that answers lives, and reads the store.
+        // A relay that answers is alive and reads the store.
         let silence = now.millis_since(self.known_since.max(self.relay_answered.unwrap_or_default()));
-        silence >= START_MS || waited >= MOST_START_MS
+        silence >= START_WAIT_MS || waited >= MAX_START_WAIT_MS
     }
 
-    /// Whether the store was heard lately, here or through others.
+    /// Whether the catalog recently matched the store.
     fn is_fresh(&self, now: Instant, times: &RelayTimes) -> bool {
         self.heard
             .is_some_and(|heard| now.millis_since(heard) < times.fresh_ms)
