--- a/crates/millwind-core/src/credential.rs
+++ b/crates/millwind-core/src/credential.rs
@@ -1,37 +1,36 @@
-//! Keys by which callers show who they are. A key itself is never kept: all that
-//! is needed is to look up whose it is.
+//! API keys of callers. Only a digest of each key is stored, which suffices to look up the
+//! owner of the key.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Longest key in bytes; a startup message with a longer one is refused before it
-/// is looked up.
-pub const MAXIMUM_KEY_BYTES: usize = 256;
+/// Maximum length of a key in bytes; a longer key is rejected before it is looked up.
+pub const MAX_KEY_BYTES: usize = 256;
 
-/// Digest of a caller's key.
+/// SHA-256 digest of a caller's key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
-/// Why a text is no key.
+/// Error returned when a text is not a valid key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// It is empty.
+    /// The key is empty.
     #[error("key is empty")]
     Empty,
-    /// It is longer than the limit.
-    #[error("key is longer than {MAXIMUM_KEY_BYTES} bytes")]
+    /// The key is longer than [`MAX_KEY_BYTES`].
+    #[error("key is longer than {MAX_KEY_BYTES} bytes")]
     TooLong,
 }
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Returns the digest of `key`; fails if `key` is empty or too long.
     pub fn of(key: &str) -> Result<KeyDigest, KeyError> {
         if key.is_empty() {
             return Err(KeyError::Empty);
         }
-        if key.len() > MAXIMUM_KEY_BYTES {
+        if key.len() > MAX_KEY_BYTES {
             return Err(KeyError::TooLong);
         }
         Ok(KeyDigest(Sha256::digest(key.as_bytes()).into()))
--- a/crates/millwind-core/src/data_residency.rs
+++ b/crates/millwind-core/src/data_residency.rs
@@ -1,41 +1,41 @@
-//! Data residency: the regions in which a customer's statements may run, and
-//! through which nodes their text may travel.
+//! Data residency: the regions in which a customer's statements may run and through which
+//! they may be forwarded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use crate::ids::{RegionName, ZoneName};
 
-/// Which region each zone lies in, as the deployment's settings tell.
+/// The region of each zone in the deployment's settings.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Topology {
     regions: BTreeMap<ZoneName, RegionName>,
 }
 
 impl Topology {
-    /// The regions of these zones.
+    /// Creates a topology from pairs of a zone and its region.
     pub fn new(regions: impl IntoIterator<Item = (ZoneName, RegionName)>) -> Self {
         Topology {
             regions: regions.into_iter().collect(),
         }
     }
 
-    /// The region of a zone; none for a zone that the settings don't name.
+    /// Returns the region of `zone`; `None` if the zone is not in the settings.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.regions.get(zone)
     }
 
-    /// Whether some zone lies in `region`.
+    /// Whether any zone belongs to `region`.
     pub fn has_region(&self, region: &RegionName) -> bool {
         self.regions.values().any(|known| known == region)
     }
 
-    /// How many zones the settings name.
+    /// Returns the number of zones in the settings.
     pub fn zone_count(&self) -> usize {
         self.regions.len()
     }
 
-    /// All zones with their regions.
+    /// Returns all zones with their regions.
     pub fn zones(&self) -> impl Iterator<Item = (&ZoneName, &RegionName)> {
         self.regions.iter()
     }
@@ -44,17 +44,17 @@
 /// The regions in which a statement may run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum AllowedRegions {
-    /// Every region.
+    /// Every region is allowed.
     #[default]
     Any,
-    /// These alone; none at all where the terms of database and tenant don't
-    /// overlap.
+    /// Only these regions are allowed. The set is empty if the restrictions of the database
+    /// and the tenant do not overlap.
     Only(BTreeSet<RegionName>),
 }
 
 impl AllowedRegions {
-    /// The regions of a configured list; an empty list, as one that is missing,
-    /// restricts nothing.
+    /// Converts a configured list of regions; an empty list means that every region is
+    /// allowed.
     pub fn from_list(regions: impl IntoIterator<Item = RegionName>) -> Self {
         let regions: BTreeSet<_> = regions.into_iter().collect();
         match regions.is_empty() {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// What both allow: the terms of a database and those of a tenant bind
-    /// together.
+    /// Returns the regions that both `self` and `other` allow, for example a database and a
+    /// tenant.
     pub fn both(&self, other: &AllowedRegions) -> AllowedRegions {
         match (self, other) {
             (AllowedRegions::Any, other) => other.clone(),
@@ -80,8 +80,8 @@
         *self == AllowedRegions::Any
     }
 
-    /// Whether `region` is allowed; one that is not known is allowed only where
-    /// all are.
+    /// Whether `region` is allowed. An unknown region (`None`) is allowed only if every region
+    /// is.
     pub fn allows(&self, region: Option<&RegionName>) -> bool {
         match self {
             AllowedRegions::Any => true,
--- a/crates/millwind-core/src/error_kind.rs
+++ b/crates/millwind-core/src/error_kind.rs
@@ -1,96 +1,98 @@
-//! The closed list of error kinds, and the one table from kind to answer.
+//! The kinds of errors that the proxy reports, and the answer to the caller for each kind.
 //!
-//! `docs/ERRORS.md` is written from this table.
+//! `docs/ERRORS.md` documents this table.
 
-/// What is known about the effect of a failed request.
+/// The known effect of a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// No back end was given the request.
+    /// The request was not sent to a back end.
     NotRun,
-    /// It ran and was undone, or its transaction is proven discarded.
+    /// The request ran and was rolled back, or its transaction was provably discarded.
     RolledBack,
-    /// It may or may not have taken effect.
+    /// The request may or may not have taken effect.
     Unknown,
 }
 
-/// What the caller should do about a failed request.
+/// Whether the caller should repeat a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Repeat {
-    /// The same request may be sent again, through any node.
+    /// The same request may be repeated through any node.
     Yes,
-    /// Not as it is: something must change first.
+    /// Repeating the request unchanged fails again.
     No,
-    /// Only with a request id, which makes the repeat run at most once.
+    /// The request may be repeated only with a request id, which ensures that the request
+    /// takes effect at most once.
     WithRequestId,
 }
 
-/// Every way in which the proxy itself refuses or fails a request.
+/// The reason for which the proxy refused or failed a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum ErrorKind {
-    /// The startup message names no tenant in force.
+    /// The tenant in the startup message is not configured.
     UnknownTenant = 1,
-    /// Wrong or missing credentials.
+    /// The credentials are wrong or missing.
     AuthenticationFailed = 2,
     /// The tenant's limit of client connections is reached.
     TooManyClients = 3,
-    /// The node has no configuration yet or may hold an old one.
+    /// The node has no configuration yet, or its configuration may be outdated.
     NotServing = 4,
-    /// The node is stopping and takes no new work.
+    /// The node is shutting down and accepts no new requests.
     Draining = 5,
     /// The instance's admission queue is full.
     QueueFull = 6,
-    /// The request cannot finish within its window.
+    /// The request cannot finish before its deadline.
     WindowTooShort = 7,
-    /// The group showed no primary within the request's window.
+    /// No primary of the group was found before the request's deadline.
     NoPrimary = 8,
     /// The chosen instance is no longer the primary.
     NotPrimary = 9,
-    /// No instance has replayed up to the session's token in time.
+    /// No instance has replayed the log up to the session's token in time.
     ReplicaBehind = 10,
     /// The session's last write was discarded by a failover.
     SessionDiscarded = 11,
-    /// The back end or the node that owns it could not be reached.
+    /// The back end, or the node that owns it, could not be reached.
     BackEndUnreachable = 12,
     /// An open transaction lost its connection and was rolled back.
     TransactionLost = 13,
-    /// A write was sent and its effect could not be established.
+    /// A write was sent, but its outcome could not be determined.
     OutcomeUnknown = 14,
-    /// The request id was settled as not run by an earlier attempt.
+    /// An earlier attempt with the same request id was recorded as not run.
     RequestFenced = 15,
-    /// A message or statement the proxy does not carry.
+    /// The proxy does not support the message or statement.
     Unsupported = 16,
-    /// A `millwind.*` setting, token or comment is out of its range.
+    /// A `millwind.*` setting, token or comment tag has an invalid value.
     InvalidSetting = 17,
-    /// The answer is longer than the node holds for one request.
+    /// The answer exceeds the size that the node buffers for one request.
     AnswerTooLarge = 18,
-    /// The tenant asks for more than its quota.
+    /// The tenant has exceeded its quota.
     QuotaExceeded = 19,
-    /// No instance that could run it stands in a region that the customer allows.
+    /// No suitable instance runs in a region that the customer allows.
     RegionNotAllowed = 20,
-    /// Every instance that could run it stands in a zone that is being evacuated.
+    /// All suitable instances run in zones that are being evacuated.
     ZoneEvacuated = 21,
-    /// The only instance that could run it has just started and takes few statements.
+    /// The only suitable instance has just started and accepts few statements.
     WarmingUp = 22,
 }
 
-/// One row of the table from kind to answer.
+/// The answer to the caller for one error kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     /// SQLSTATE sent to the caller.
     pub sqlstate: &'static str,
-    /// What is known of the request's effect.
+    /// Known effect of the request.
     pub effect: Effect,
-    /// What the caller should do.
+    /// Whether the caller should repeat the request.
     pub repeat: Repeat,
-    /// When to come back, in milliseconds; zero where waiting does not help.
+    /// Time to wait before repeating the request, in milliseconds; zero if waiting does not
+    /// help.
     pub retry_after_ms: u32,
-    /// Text for people.
+    /// Human-readable message.
     pub text: &'static str,
 }
 
 impl ErrorKind {
-    /// Every kind, in the order of its code.
+    /// All kinds in the order of their codes.
     pub const ALL: [ErrorKind; 22] = [
         ErrorKind::UnknownTenant,
         ErrorKind::AuthenticationFailed,
@@ -116,17 +118,17 @@
         ErrorKind::WarmingUp,
     ];
 
-    /// The kind with this code on the internal wire.
+    /// Returns the kind with this code in the internal protocol; `None` if there is none.
     pub fn from_code(code: u8) -> Option<ErrorKind> {
         Self::ALL.into_iter().find(|kind| kind.code() == code)
     }
 
-    /// The code on the internal wire.
+    /// Returns the code of the kind in the internal protocol.
     pub const fn code(self) -> u8 {
         self as u8
     }
 
-    /// The name in logs and tables.
+    /// Returns the name used in logs and tables.
     pub const fn name(self) -> &'static str {
         match self {
             ErrorKind::UnknownTenant => "unknown_tenant",
@@ -154,7 +156,7 @@
         }
     }
 
-    /// The answer for this kind.
+    /// Returns the answer for this kind.
     pub const fn answer(self) -> Answer {
         use Effect::{NotRun, RolledBack, Unknown};
         use Repeat::{No, WithRequestId, Yes};
