--- a/crates/millwind-core/tests/evacuation.rs
+++ b/crates/millwind-core/tests/evacuation.rs
@@ -1,5 +1,5 @@
-//! Requests to evacuate zones: what a node knows of them after listings, changes and
-//! other nodes' words in any order.
+//! Tests of the known zone evacuations after listings, watch events and peer reports in
+//! any order.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_listing_that_lacks_a_zone_takes_its_request_back() {
+fn listing_without_zone_withdraws_its_evacuation() {
     let mut known = Evacuations::default();
     assert!(!known.is_known());
     known.apply(&[zone("a"), zone("b")], revision_of(5), at(100));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_older_listing_changes_nothing() {
+fn older_listing_is_ignored() {
     let mut known = Evacuations::default();
     known.apply(&[zone("a")], revision_of(5), at(100));
     assert!(known.apply(&[], revision_of(4), at(200)).is_empty());
@@ -54,27 +54,27 @@
     assert_eq!(known.revision(), revision_of(5));
 }
 
-/// The copy may lack a request that is still asked for, until it is written again.
+/// A store restored from a backup may lack active requests until they are written again.
 #[test]
-fn a_request_that_a_restored_store_lacks_holds_until_the_store_tells_otherwise() {
+fn request_missing_after_restore_stays_until_next_listing() {
     let mut known = Evacuations::default();
     known.apply(&[zone("a")], StoreRevision::new(1, 50), at(100));
     let change = known.apply(&[zone("b")], StoreRevision::new(2, 40), at(200));
     assert_eq!((change.begun, change.taken_back), (vec![zone("b")], vec![]));
     assert!(known.includes(&zone("a")));
-    // What was known before the restore is older, whatever its number.
+    // A listing from before the restore is older regardless of its revision number.
     assert!(known.apply(&[], StoreRevision::new(1, 60), at(250)).is_empty());
     let change = known.apply(&[zone("b")], StoreRevision::new(2, 41), at(300));
     assert_eq!(change.taken_back, [zone("a")]);
 }
 
 #[test]
-fn a_change_concerns_one_zone_and_counts_only_after_a_listing() {
+fn event_affects_one_zone_and_requires_a_listing() {
     let mut known = Evacuations::default();
     assert!(known.apply_events(&[event("a", true, 3)], at(50)).is_empty());
     assert!(!known.is_known());
     known.apply(&[zone("a")], revision_of(5), at(100));
-    // Part of the listing.
+    // The listing already includes this change.
     assert!(known.apply_events(&[event("a", false, 4)], at(150)).is_empty());
     let change = known.apply_events(&[event("b", true, 6), event("c", true, 6)], at(200));
     assert_eq!(change.begun, [zone("b"), zone("c")]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn who_heard_of_a_request_earlier_dates_it() {
+fn earliest_request_time_is_kept() {
     let mut known = Evacuations::default();
     known.apply(&[zone("a")], revision_of(5), at(900));
     let earlier = DatedEvacuation {
@@ -101,7 +101,7 @@
     assert_eq!(known.since(&zone("a")), Some(at(400)));
 }
 
-/// What a store held after each change of its history; revisions begin at one.
+/// Returns the requests in the store after each change; index 0 is the empty store.
 fn states(history: &[(u8, bool)]) -> Vec<BTreeSet<ZoneName>> {
     let mut state = BTreeSet::new();
     let mut states = vec![state.clone()];
@@ -117,13 +117,13 @@
 }
 
 proptest! {
-    /// A watch that follows a listing, disturbed by other nodes' listings of any
-    /// revision, ends with what the store holds, and is never older than its watch.
+    /// Watch events after a listing, interleaved with peers' listings of any revision, yield
+    /// the store's content and never an older revision than that of the last event.
     #[test]
-    fn a_watch_with_listings_of_others_follows_the_store(
+    fn watch_with_peer_listings_follows_the_store(
         history in prop::collection::vec((0u8..4, any::<bool>()), 1..30),
         listed in any::<prop::sample::Index>(),
-        others in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>()), 0..10),
+        peer_listings in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>()), 0..10),
     ) {
         let states = states(&history);
         let zones = |revision: usize| states[revision].iter().cloned().collect::<Vec<_>>();
@@ -132,16 +132,16 @@
         known.apply(&zones(first), revision_of(first as u64), at(1));
         for (index, (number, is_requested)) in history.iter().enumerate().skip(first) {
             let revision = index + 1;
-            for (when, told) in &others {
+            for (when, reported) in &peer_listings {
                 if when.index(history.len()) == index {
-                    let told = told.index(history.len()) + 1;
-                    known.apply(&zones(told), revision_of(told as u64), at(2));
+                    let reported = reported.index(history.len()) + 1;
+                    known.apply(&zones(reported), revision_of(reported as u64), at(2));
                 }
             }
             known.apply_events(&[event(&number.to_string(), *is_requested, revision as u64)], at(3));
             prop_assert!(known.revision() >= revision_of(revision as u64));
-            let held: BTreeSet<_> = known.zones().map(|(zone, _)| zone.clone()).collect();
-            prop_assert_eq!(&held, &states[known.revision().number as usize]);
+            let evacuated: BTreeSet<_> = known.zones().map(|(zone, _)| zone.clone()).collect();
+            prop_assert_eq!(&evacuated, &states[known.revision().number as usize]);
         }
     }
 }
--- a/crates/millwind-core/tests/failover.rs
+++ b/crates/millwind-core/tests/failover.rs
@@ -1,4 +1,4 @@
-//! When a leader is replaced, and by which replica.
+//! Tests of leader failure detection and successor selection.
 
 use millwind_core::Instant;
 use millwind_core::failover::{
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_leader_that_answers_stays() {
+fn healthy_leader_is_kept() {
     let evidence = LeaderEvidence {
         replicas_reached: 2,
         ..LeaderEvidence::default()
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn one_node_alone_waits_longer_than_two_that_agree() {
+fn unconfirmed_failure_takes_longer_than_confirmed_failure() {
     let (now, mut evidence) = failing_for(500);
     assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
     evidence.peers_failing = 1;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn peers_that_reach_the_leader_outweigh_a_broken_link() {
+fn leader_is_kept_while_most_peers_reach_it() {
     let (now, mut evidence) = failing_for(60_000);
     evidence.is_refusing = true;
     evidence.peers_reaching = 2;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_node_that_reaches_no_replica_replaces_nobody() {
+fn node_without_reachable_replica_replaces_no_leader() {
     let (now, mut evidence) = failing_for(60_000);
     evidence.replicas_reached = 0;
     evidence.is_leaving = true;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_missed_heartbeat_confirms_a_suspicion_but_raises_none() {
+fn stale_heartbeat_confirms_but_does_not_raise_suspicion() {
     let (now, mut evidence) = failing_for(500);
     evidence.heartbeat_age_ms = Some(2_500);
     let verdict = judge_leader(now, &evidence, &TIMES);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_furthest_replica_is_chosen_and_one_that_leaves_comes_last() {
+fn most_advanced_replica_is_preferred_unless_leaving() {
     let mut answered = vec![replica("a", 10), replica("b", 12)];
     assert_eq!(
         choose_successor(&answered, 2, 0, None).unwrap().instance.as_str(),
@@ -97,7 +97,7 @@
         choose_successor(&answered, 2, 0, None).unwrap().instance.as_str(),
         "a"
     );
-    // Where commits must survive, being furthest counts more than staying.
+    // With synchronous replication the log position takes precedence over leaving.
     assert_eq!(
         choose_successor(&answered, 2, 1, None).unwrap().instance.as_str(),
         "b"
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn with_synchronous_replicas_enough_must_have_answered() {
+fn synchronous_replication_requires_enough_answers() {
     let answered = vec![replica("a", 10)];
     assert!(choose_successor(&answered, 2, 0, None).is_some());
     assert!(choose_successor(&answered, 2, 1, None).is_none());
@@ -114,23 +114,23 @@
 }
 
 #[test]
-fn a_live_leader_gives_way_only_to_a_replica_that_holds_its_commits() {
+fn live_leader_is_replaced_only_by_replica_with_its_commits() {
     let mut answered = vec![replica("a", 10), replica("b", 12)];
-    let least = Some(Position::new(1, 12));
-    let chosen = choose_successor(&answered, 2, 0, least).unwrap();
+    let must_hold = Some(Position::new(1, 12));
+    let chosen = choose_successor(&answered, 2, 0, must_hold).unwrap();
     assert_eq!(chosen.instance.as_str(), "b");
     answered[1].is_leaving = true;
-    let chosen = choose_successor(&answered, 2, 0, least).unwrap();
+    let chosen = choose_successor(&answered, 2, 0, must_hold).unwrap();
     assert_eq!(chosen.instance.as_str(), "b");
-    let more = Some(Position::new(1, 13));
-    assert!(choose_successor(&answered, 2, 0, more).is_none());
+    let beyond_all_replicas = Some(Position::new(1, 13));
+    assert!(choose_successor(&answered, 2, 0, beyond_all_replicas).is_none());
     assert!(ReplaceReason::Unresponsive.is_of_live_leader());
     assert!(ReplaceReason::Leaving.is_of_live_leader());
     assert!(!ReplaceReason::ConnectionRefused.is_of_live_leader());
 }
 
 #[test]
-fn a_leader_whose_statements_hang_is_replaced_only_by_a_healthy_replica() {
+fn unresponsive_leader_is_replaced_only_by_healthy_replica() {
     let now = Instant::from_millis(100_000);
     let mut evidence = LeaderEvidence {
         replicas_reached: 2,
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_leader_whose_statements_fail_often_is_replaced() {
+fn outlier_leader_is_replaced() {
     let now = Instant::from_millis(100_000);
     let evidence = LeaderEvidence {
         replicas_reached: 2,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_leader_that_must_leave_its_zone_hands_over_while_it_serves() {
+fn leader_in_evacuated_zone_is_replaced_while_healthy() {
     let now = Instant::from_millis(100_000);
     let mut evidence = LeaderEvidence {
         replicas_reached: 2,
@@ -171,7 +171,7 @@
     let verdict = judge_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Evacuated));
     assert!(ReplaceReason::Evacuated.is_of_live_leader());
-    // A leader that is lost is replaced as one, so that nobody waits for its commits.
+    // An unreachable leader is not treated as alive, so the handover does not wait for it.
     evidence.failing_since = Some(Instant::from_millis(98_000));
     evidence.peers_failing = 2;
     let verdict = judge_leader(now, &evidence, &TIMES);
