--- a/crates/millwind-core/tests/control_fuzz.rs
+++ b/crates/millwind-core/tests/control_fuzz.rs
@@ -1,10 +1,9 @@
-//! Stateful fuzzing of the control plane under virtual time: nodes in three
-//! zones, with changes, cuts, restarts, platform outages and late messages in
-//! any order, against a simple oracle.
+//! Model-based tests of the control plane in simulated time: nodes in three zones with
+//! random changes, network partitions, restarts, platform outages and delayed messages.
 //!
-//! The oracle is the list of stored revisions. At every step: no node's
-//! revision falls while its process lives, and once a node says that a change
-//! is in force everywhere, no node that serves has an older one.
+//! Invariants after every step: the revision of a node never decreases while its process
+//! runs, and once node 0 reports a change as in force on all nodes, no serving node has an
+//! older revision.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,53 +21,53 @@
 const STEP_MS: u64 = 100;
 const START: Instant = Instant::from_millis(1_000_000);
 
-/// What may happen.
+/// The events that a test run consists of.
 #[derive(Debug, Clone)]
 enum Transition {
-    /// An operator's change is stored.
+    /// An operator stores a change.
     Store,
     /// Time passes.
     Pass { steps: u64 },
-    /// A zone is cut off, or healed.
-    CutZone { zone: usize, cut: bool },
-    /// A node's process is replaced.
+    /// A zone is partitioned from the others, or the partition heals.
+    PartitionZone { zone: usize, is_partitioned: bool },
+    /// A node restarts with a new process.
     Restart { node: usize },
-    /// A node is frozen or wakes up.
-    Freeze { node: usize, frozen: bool },
-    /// The platform is out, or back.
+    /// A node is suspended or resumed.
+    Suspend { node: usize, is_suspended: bool },
+    /// The platform becomes unavailable or available.
     Platform { up: bool },
-    /// Messages under way are held back and delivered later.
-    HoldBack,
+    /// Messages in flight are delayed.
+    DelayMessages,
 }
 
-/// The oracle: the newest stored revision.
+/// The reference model: the newest stored revision.
 #[derive(Debug, Clone)]
-struct Oracle {
+struct ReferenceModel {
     revision: u64,
 }
 
-impl ReferenceStateMachine for Oracle {
-    type State = Oracle;
+impl ReferenceStateMachine for ReferenceModel {
+    type State = ReferenceModel;
     type Transition = Transition;
 
-    fn init_state() -> BoxedStrategy<Oracle> {
-        Just(Oracle { revision: 1 }).boxed()
+    fn init_state() -> BoxedStrategy<ReferenceModel> {
+        Just(ReferenceModel { revision: 1 }).boxed()
     }
 
-    fn transitions(_state: &Oracle) -> BoxedStrategy<Transition> {
+    fn transitions(_state: &ReferenceModel) -> BoxedStrategy<Transition> {
         prop_oneof![
             3 => Just(Transition::Store),
             6 => (1u64..40).prop_map(|steps| Transition::Pass { steps }),
-            2 => (0..ZONES, any::<bool>()).prop_map(|(zone, cut)| Transition::CutZone { zone, cut }),
+            2 => (0..ZONES, any::<bool>()).prop_map(|(zone, is_partitioned)| Transition::PartitionZone { zone, is_partitioned }),
             1 => (0..NODES).prop_map(|node| Transition::Restart { node }),
-            2 => (0..NODES, any::<bool>()).prop_map(|(node, frozen)| Transition::Freeze { node, frozen }),
+            2 => (0..NODES, any::<bool>()).prop_map(|(node, is_suspended)| Transition::Suspend { node, is_suspended }),
             2 => any::<bool>().prop_map(|up| Transition::Platform { up }),
-            1 => Just(Transition::HoldBack),
+            1 => Just(Transition::DelayMessages),
         ]
         .boxed()
     }
 
-    fn apply(mut state: Oracle, transition: &Transition) -> Oracle {
+    fn apply(mut state: ReferenceModel, transition: &Transition) -> ReferenceModel {
         if matches!(transition, Transition::Store) {
             state.revision += 1;
         }
@@ -79,21 +78,21 @@
 struct Node {
     plane: ControlPlane,
     incarnation: u64,
-    frozen: bool,
-    /// Highest revision this process ever had in force.
+    is_suspended: bool,
+    /// Highest revision that the process has had in force.
     highest: u64,
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     nodes: Vec<Node>,
-    cut: [bool; ZONES],
+    is_partitioned: [bool; ZONES],
     platform_up: bool,
     stored: u64,
     in_flight: VecDeque<(usize, usize, ControlMessage)>,
-    held_back: Vec<(Instant, usize, usize, ControlMessage)>,
-    /// Revisions said to be in force everywhere.
-    said_in_force: u64,
+    delayed: Vec<(Instant, usize, usize, ControlMessage)>,
+    /// Highest revision reported as in force on all nodes.
+    reported_in_force: u64,
 }
 
 fn member(index: usize, incarnation: u64) -> MemberRecord {
@@ -114,7 +113,7 @@
     Node {
         plane: ControlPlane::new(own, seeds, MembershipTimes::default(), index as u64),
         incarnation,
-        frozen: false,
+        is_suspended: false,
         highest: 0,
     }
 }
@@ -129,27 +128,27 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             now: START,
             nodes: (0..NODES).map(|index| node(index, 1)).collect(),
-            cut: [false; ZONES],
+            is_partitioned: [false; ZONES],
             platform_up: true,
             stored: 1,
             in_flight: VecDeque::new(),
-            held_back: Vec::new(),
-            said_in_force: 0,
+            delayed: Vec::new(),
+            reported_in_force: 0,
         };
         for _ in 0..60 {
-            world.step();
+            simulation.step();
         }
-        world
+        simulation
     }
 
     fn reachable(&self, from: usize, to: usize) -> bool {
         let (left, right) = (from % ZONES, to % ZONES);
-        left == right || !self.cut[left] && !self.cut[right]
+        left == right || !self.is_partitioned[left] && !self.is_partitioned[right]
     }
 
     fn post(&mut self, from: usize, outgoing: Vec<Outgoing>) {
@@ -161,15 +160,17 @@
         }
     }
 
-    /// One step of time: signs of life of the platform, ticks, deliveries.
+    /// Advances time by one step: platform contacts, timers and message delivery.
     fn step(&mut self) {
         self.now = self.now.plus_millis(STEP_MS);
         let now = self.now;
         for index in 0..NODES {
-            if self.nodes[index].frozen {
+            if self.nodes[index].is_suspended {
                 continue;
             }
-            if self.platform_up && !self.cut[index % ZONES] && self.nodes[index].plane.membership().is_relay()
+            if self.platform_up
+                && !self.is_partitioned[index % ZONES]
+                && self.nodes[index].plane.membership().is_relay()
             {
                 let stored = self.stored;
                 let plane = &mut self.nodes[index].plane;
@@ -180,7 +181,7 @@
             let outgoing = self.nodes[index].plane.tick(now);
             self.post(index, outgoing);
         }
-        let due: Vec<_> = self.held_back.extract_if(.., |(due, ..)| *due <= now).collect();
+        let due: Vec<_> = self.delayed.extract_if(.., |(due, ..)| *due <= now).collect();
         self.in_flight
             .extend(due.into_iter().map(|(_, from, to, message)| (from, to, message)));
         self.deliver();
@@ -189,15 +190,15 @@
         }
     }
 
-    /// Delivers everything under way, and what follows from it, a few rounds.
+    /// Delivers the messages in flight and those sent in response, up to a limit.
     fn deliver(&mut self) {
         for _ in 0..2_000 {
             let Some((from, to, message)) = self.in_flight.pop_front() else {
                 return;
             };
-            if self.nodes[to].frozen {
-                // Lies in the frozen process's socket until it wakes.
-                self.held_back
+            if self.nodes[to].is_suspended {
+                // The message stays in the socket buffer of the suspended process.
+                self.delayed
                     .push((self.now.plus_millis(STEP_MS), from, to, message));
                 continue;
             }
@@ -208,14 +209,15 @@
         }
     }
 
-    /// Where node 0 would say that nodes stand, with the relays' own words.
-    fn ask_in_force(&mut self, revision: u64) {
-        if self.nodes[0].frozen {
+    /// Records `revision` as in force if node 0, given the revisions of all reachable nodes,
+    /// would report this.
+    fn query_in_force(&mut self, revision: u64) {
+        if self.nodes[0].is_suspended {
             return;
         }
         let mut reports = BTreeMap::new();
         for index in 0..NODES {
-            if self.nodes[index].frozen || !self.reachable(0, index) {
+            if self.nodes[index].is_suspended || !self.reachable(0, index) {
                 continue;
             }
             let plane = &self.nodes[index].plane;
@@ -232,23 +234,23 @@
         let standings = plane.standings(self.now, revision, &reports);
         let known = standings.len() == NODES;
         if known && standings.values().all(|standing| *standing != Standing::Pending) {
-            self.said_in_force = self.said_in_force.max(revision);
+            self.reported_in_force = self.reported_in_force.max(revision);
         }
     }
 
-    fn check(&self) {
+    fn check_revisions(&self) {
         for (index, node) in self.nodes.iter().enumerate() {
             let revision = node.plane.config().revision();
             assert!(
                 revision >= node.highest,
-                "n{index} fell from {} to {revision}",
+                "n{index} went back from revision {} to {revision}",
                 node.highest
             );
             let serves = node.plane.may_serve(self.now).is_ok();
             assert!(
-                !serves || revision >= self.said_in_force,
-                "n{index} serves {revision} while {} is said to be in force",
-                self.said_in_force
+                !serves || revision >= self.reported_in_force,
+                "n{index} serves with revision {revision} although {} was reported in force",
+                self.reported_in_force
             );
         }
     }
@@ -257,65 +259,70 @@
 struct ControlFuzz;
 
 impl StateMachineTest for ControlFuzz {
-    type SystemUnderTest = World;
-    type Reference = Oracle;
+    type SystemUnderTest = Simulation;
+    type Reference = ReferenceModel;
 
-    fn init_test(_state: &Oracle) -> World {
-        World::new()
+    fn init_test(_state: &ReferenceModel) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, state: &Oracle, transition: Transition) -> World {
+    fn apply(mut simulation: Simulation, state: &ReferenceModel, transition: Transition) -> Simulation {
         match transition {
             Transition::Store => {
-                if world.platform_up {
-                    world.stored = state.revision;
+                if simulation.platform_up {
+                    simulation.stored = state.revision;
                 }
-                world.step();
+                simulation.step();
             }
             Transition::Pass { steps } => {
                 for _ in 0..steps {
-                    world.step();
+                    simulation.step();
                 }
             }
-            Transition::CutZone { zone, cut } => world.cut[zone] = cut,
+            Transition::PartitionZone { zone, is_partitioned } => {
+                simulation.is_partitioned[zone] = is_partitioned
+            }
             Transition::Restart { node: index } => {
-                let incarnation = world.nodes[index].incarnation + 1;
-                world.nodes[index] = node(index, incarnation);
-                world
+                let incarnation = simulation.nodes[index].incarnation + 1;
+                simulation.nodes[index] = node(index, incarnation);
+                simulation
                     .in_flight
                     .retain(|(from, to, _)| *from != index && *to != index);
-                world
-                    .held_back
+                simulation
+                    .delayed
                     .retain(|(_, from, to, _)| *from != index && *to != index);
             }
-            Transition::Freeze { node: index, frozen } => world.nodes[index].frozen = frozen,
-            Transition::Platform { up } => world.platform_up = up,
-            Transition::HoldBack => {
-                // What is asked now is answered late: reports come back after
-                // five seconds.
-                let now = world.now.plus_millis(STEP_MS);
+            Transition::Suspend {
+                node: index,
+                is_suspended,
+            } => simulation.nodes[index].is_suspended = is_suspended,
+            Transition::Platform { up } => simulation.platform_up = up,
+            Transition::DelayMessages => {
+                // Delays the digests sent now and all other messages by five seconds.
+                let now = simulation.now.plus_millis(STEP_MS);
                 for index in 0..NODES {
-                    if !world.nodes[index].frozen {
-                        let outgoing = world.nodes[index].plane.tick(now);
-                        world.post(index, outgoing);
+                    if !simulation.nodes[index].is_suspended {
+                        let outgoing = simulation.nodes[index].plane.tick(now);
+                        simulation.post(index, outgoing);
                     }
                 }
-                let late = world.now.plus_millis(5_000);
-                let held: Vec<_> = world.in_flight.drain(..).collect();
-                world.held_back.extend(
-                    held.into_iter()
-                        .map(|(from, to, message)| (late, from, to, message)),
+                let deliver_at = simulation.now.plus_millis(5_000);
+                let delayed_now: Vec<_> = simulation.in_flight.drain(..).collect();
+                simulation.delayed.extend(
+                    delayed_now
+                        .into_iter()
+                        .map(|(from, to, message)| (deliver_at, from, to, message)),
                 );
             }
         }
-        let revision = world.stored;
-        world.ask_in_force(revision);
-        world.check();
-        world
+        let revision = simulation.stored;
+        simulation.query_in_force(revision);
+        simulation.check_revisions();
+        simulation
     }
 
-    fn check_invariants(world: &World, _state: &Oracle) {
-        world.check();
+    fn check_invariants(simulation: &Simulation, _state: &ReferenceModel) {
+        simulation.check_revisions();
     }
 }
 
@@ -328,74 +335,78 @@
     })]
 
     #[test]
-    fn a_change_said_in_force_is_in_force(sequential 1..60 => ControlFuzz);
+    fn reported_change_is_in_force_on_all_serving_nodes(sequential 1..60 => ControlFuzz);
 }
 
 #[test]
-fn a_change_comes_into_force_when_nothing_fails() {
-    let mut world = World::new();
-    world.stored = 2;
+fn change_comes_into_force_without_faults() {
+    let mut simulation = Simulation::new();
+    simulation.stored = 2;
     for _ in 0..30 {
-        world.step();
+        simulation.step();
     }
-    world.ask_in_force(2);
-    assert_eq!(world.said_in_force, 2);
-    assert!(world.nodes.iter().all(|node| node.plane.config().revision() == 2));
+    simulation.query_in_force(2);
+    assert_eq!(simulation.reported_in_force, 2);
+    assert!(
+        simulation
+            .nodes
+            .iter()
+            .all(|node| node.plane.config().revision() == 2)
+    );
 }
 
 #[test]
-fn a_cut_off_zone_stops_and_is_then_left_out() {
-    let mut world = World::new();
-    world.cut[1] = true;
-    world.stored = 2;
+fn partitioned_zone_stops_serving_and_no_longer_blocks_changes() {
+    let mut simulation = Simulation::new();
+    simulation.is_partitioned[1] = true;
+    simulation.stored = 2;
     for _ in 0..50 {
-        world.step();
+        simulation.step();
     }
-    world.ask_in_force(2);
-    assert_eq!(world.said_in_force, 0, "the zone may still be serving");
+    simulation.query_in_force(2);
+    assert_eq!(simulation.reported_in_force, 0, "the zone may still be serving");
     for _ in 0..60 {
-        world.step();
+        simulation.step();
     }
-    world.ask_in_force(2);
-    assert_eq!(world.said_in_force, 2);
-    world.check();
-    assert!(world.nodes[1].plane.may_serve(world.now).is_err());
-    assert!(world.nodes[0].plane.may_serve(world.now).is_ok());
+    simulation.query_in_force(2);
+    assert_eq!(simulation.reported_in_force, 2);
+    simulation.check_revisions();
+    assert!(simulation.nodes[1].plane.may_serve(simulation.now).is_err());
+    assert!(simulation.nodes[0].plane.may_serve(simulation.now).is_ok());
 }
 
 #[test]
-fn an_outage_that_all_share_stops_nobody() {
-    let mut world = World::new();
-    world.platform_up = false;
+fn platform_outage_does_not_stop_nodes() {
+    let mut simulation = Simulation::new();
+    simulation.platform_up = false;
     for _ in 0..300 {
-        world.step();
+        simulation.step();
     }
     assert!(
-        world
+        simulation
             .nodes
             .iter()
-            .all(|node| node.plane.may_serve(world.now).is_ok())
+            .all(|node| node.plane.may_serve(simulation.now).is_ok())
     );
 }
 
 #[test]
-fn a_node_that_starts_in_an_outage_takes_the_configuration_from_its_peers() {
-    let mut world = World::new();
-    world.platform_up = false;
-    world.nodes[4] = node(4, 2);
-    assert!(world.nodes[4].plane.may_serve(world.now).is_err());
+fn node_started_during_outage_gets_configuration_from_peers() {
+    let mut simulation = Simulation::new();
+    simulation.platform_up = false;
+    simulation.nodes[4] = node(4, 2);
+    assert!(simulation.nodes[4].plane.may_serve(simulation.now).is_err());
     for _ in 0..100 {
-        world.step();
+        simulation.step();
     }
-    assert_eq!(world.nodes[4].plane.config().revision(), 1);
-    assert!(world.nodes[4].plane.may_serve(world.now).is_ok());
+    assert_eq!(simulation.nodes[4].plane.config().revision(), 1);
+    assert!(simulation.nodes[4].plane.may_serve(simulation.now).is_ok());
 }
 
-/// Found by the fuzz test (seed 11): a node that had been given a configuration
-/// but not yet told of the others took itself for the whole deployment, pleaded
-/// a shared outage, and served on while a newer change was said in force.
+/// A node with a configuration but without a member table must not assume that it is the
+/// only node, since it would then serve during any loss of contact with the platform.
 #[test]
-fn a_node_that_was_told_of_nobody_is_not_alone() {
+fn node_without_member_table_does_not_serve() {
     let mut newcomer = node(3, 2).plane;
     let now = START;
     newcomer.tick(now);
@@ -411,11 +422,11 @@
 }
 
 #[test]
-fn a_frozen_node_wakes_up_unable_to_serve() {
-    let mut world = World::new();
-    world.nodes[2].frozen = true;
+fn resumed_node_does_not_serve_with_old_configuration() {
+    let mut simulation = Simulation::new();
+    simulation.nodes[2].is_suspended = true;
     for _ in 0..120 {
-        world.step();
+        simulation.step();
     }
-    assert!(world.nodes[2].plane.may_serve(world.now).is_err());
+    assert!(simulation.nodes[2].plane.may_serve(simulation.now).is_err());
 }
