--- a/crates/millwind-core/tests/classify.rs
+++ b/crates/millwind-core/tests/classify.rs
@@ -1,4 +1,4 @@
-//! Statements: only what surely changes nothing counts as a read.
+//! Tests of statement classification: only statements proven to change nothing are reads.
 
 use millwind_core::classify::{StatementKind, classify};
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_may_change_something_is_a_write() {
+fn possibly_changing_statements_are_writes() {
     for text in [
         "INSERT INTO a VALUES (1)",
         "SELECT * FROM a FOR UPDATE",
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn transaction_control_is_recognised() {
+fn transaction_control_is_recognized() {
     assert_eq!(kinds("BEGIN"), [StatementKind::Begin { read_only: false }]);
     assert_eq!(
         kinds("START TRANSACTION READ ONLY"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn settings_of_the_proxy_are_told_from_others() {
+fn proxy_settings_are_distinguished_from_session_settings() {
     let name = "class".to_owned();
     let value = "setpoint".to_owned();
     assert_eq!(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_needs_a_session_is_not_carried() {
+fn statements_requiring_a_session_are_unsupported() {
     for text in [
         "LISTEN a",
         "PREPARE a AS SELECT 1",
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn comments_carry_tags_and_tables_are_named() {
+fn comment_tags_and_tables_are_extracted() {
     let classified = classify("INSERT INTO Booking VALUES (1) /*request_id='a-1',class='booking'*/");
     assert_eq!(classified.tag("request_id"), Some("a-1"));
     assert_eq!(classified.tag("class"), Some("booking"));
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn a_tag_inside_a_text_is_no_tag() {
+fn tag_in_string_literal_is_ignored() {
     assert_eq!(classify("SELECT '/*request_id=''x''*/'").tag("request_id"), None);
 }
 
 #[test]
-fn several_statements_are_all_seen() {
+fn all_statements_are_classified() {
     assert!(!classify("SELECT 1; DELETE FROM a").is_read());
     assert_eq!(kinds("BEGIN; SELECT 1; COMMIT").len(), 3);
     assert_eq!(kinds("  -- nothing\n"), [StatementKind::Empty]);
@@ -106,13 +106,13 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(13), ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn any_text_is_classified(text in ".{0,200}") {
+    fn any_text_yields_a_kind(text in ".{0,200}") {
         prop_assert!(!classify(&text).kinds.is_empty());
     }
 
-    /// Whatever stands before it, a changing statement makes the text a write.
+    /// A statement that changes data makes the text a write, whatever precedes it.
     #[test]
-    fn a_change_is_never_hidden(prefix in "(SELECT [0-9]{1,3}; ?){0,3}", table in "[a-z]{1,8}") {
+    fn changing_statement_makes_text_a_write(prefix in "(SELECT [0-9]{1,3}; ?){0,3}", table in "[a-z]{1,8}") {
         let text = format!("{prefix}DELETE FROM t_{table}");
         prop_assert!(!classify(&text).is_read());
     }
--- a/crates/millwind-core/tests/concurrency_limit.rs
+++ b/crates/millwind-core/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! How many statements run at an instance at the same time.
+//! Tests of the adaptive concurrency limit.
 
 use millwind_core::Instant;
 use millwind_core::concurrency_limit::{ConcurrencyLimit, TurnEnd};
@@ -7,13 +7,13 @@
 const NOW: Instant = Instant::from_millis(10_000);
 
 #[test]
-fn it_starts_at_the_slots() {
+fn limit_starts_at_number_of_slots() {
     assert_eq!(ConcurrencyLimit::new(5).allowed(), 5);
     assert_eq!(ConcurrencyLimit::new(0).allowed(), 1);
 }
 
 #[test]
-fn it_grows_only_while_it_holds_statements_back() {
+fn limit_grows_only_while_reached() {
     let mut limit = ConcurrencyLimit::new(5);
     for _ in 0..100 {
         limit.ended(NOW, TurnEnd::Ran, false);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn refusals_of_one_burst_shrink_it_once() {
+fn burst_of_rejections_decreases_limit_once() {
     let mut limit = ConcurrencyLimit::new(10);
     for _ in 0..20 {
         limit.ended(NOW, TurnEnd::TurnedAway, true);
@@ -37,23 +37,22 @@
 }
 
 proptest! {
-    /// Whatever happens, one statement may run, and never more than twice the
-    /// slots.
+    /// The limit always allows at least one statement and at most twice the slots.
     #[test]
-    fn it_stays_within_its_bounds(
+    fn limit_stays_within_bounds(
         slots in 0_u32..200,
         ends in proptest::collection::vec((0_u64..200, 0_u8..3, any::<bool>()), 0..300),
     ) {
         let mut limit = ConcurrencyLimit::new(slots);
         let mut now = NOW;
-        for (pause_ms, end, was_full) in ends {
+        for (pause_ms, end, was_at_limit) in ends {
             now = now.plus_millis(pause_ms);
             let end = match end {
                 0 => TurnEnd::Ran,
                 1 => TurnEnd::TurnedAway,
                 _ => TurnEnd::Unknown,
             };
-            limit.ended(now, end, was_full);
+            limit.ended(now, end, was_at_limit);
             prop_assert!(limit.allowed() >= 1);
             prop_assert!(limit.allowed() <= 2 * slots.max(1) as usize);
         }
--- a/crates/millwind-core/tests/connection_queue.rs
+++ b/crates/millwind-core/tests/connection_queue.rs
@@ -1,4 +1,4 @@
-//! Who gets a connection that becomes free.
+//! Tests of the selection of the request that receives a free connection.
 
 use std::collections::VecDeque;
 
@@ -15,61 +15,65 @@
 }
 
 #[test]
-fn the_next_of_the_same_user_goes_first_within_its_rank() {
-    let line = [
+fn same_user_is_preferred_within_rank() {
+    let queue = [
         waiting(1, false, 0),
         waiting(1, false, 0),
         waiting(1, true, 0),
         waiting(2, true, 0),
     ];
-    assert_eq!(next_in_line(line), Some(2));
-    assert_eq!(next_in_line([line[0], line[3]]), Some(0));
+    assert_eq!(next_in_line(queue), Some(2));
+    assert_eq!(next_in_line([queue[0], queue[3]]), Some(0));
     assert_eq!(next_in_line([]), None);
 }
 
 #[test]
-fn the_first_is_not_passed_over_for_long() {
-    let line = [waiting(1, false, 4), waiting(1, true, 0)];
-    assert_eq!(next_in_line(line), Some(0));
+fn head_of_queue_is_overtaken_a_limited_number_of_times() {
+    let queue = [waiting(1, false, 4), waiting(1, true, 0)];
+    assert_eq!(next_in_line(queue), Some(0));
 }
 
-/// Tenants, connections, and statements that wait: those of a node that holds
-/// connections to a leader that serves all reads of its group.
+/// Load of a node with connections to a leader that serves all reads of its group.
 const TENANTS: usize = 24;
 const WAITING: usize = 20;
 const STATEMENTS: usize = 4_000;
 
-/// Connections opened for so many statements, by who goes next.
-fn opened(goes_next: impl Fn(&[Waiting]) -> usize) -> (usize, u8) {
+/// Returns the number of connections opened with the given selection function and the
+/// highest number of times that a request was overtaken.
+fn simulate_connections(select: impl Fn(&[Waiting]) -> usize) -> (usize, u8) {
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    let mut line: VecDeque<(usize, u8)> = VecDeque::new();
-    let (mut held, mut opened, mut most_passed_over) = (0, 0, 0);
+    let mut queue: VecDeque<(usize, u8)> = VecDeque::new();
+    let (mut connected_tenant, mut opened, mut max_overtaken) = (0, 0, 0);
     for _ in 0..STATEMENTS {
-        while line.len() < WAITING {
-            line.push_back((random.random_range(0..TENANTS), 0));
+        while queue.len() < WAITING {
+            queue.push_back((random.random_range(0..TENANTS), 0));
         }
-        let view: Vec<_> = line
+        let view: Vec<_> = queue
             .iter()
-            .map(|(tenant, over)| waiting(1, *tenant == held, *over))
+            .map(|(tenant, overtaken)| waiting(1, *tenant == connected_tenant, *overtaken))
             .collect();
-        let index = goes_next(&view);
-        line.iter_mut().take(index).for_each(|(_, over)| *over += 1);
-        let Some((tenant, over)) = line.remove(index) else {
+        let index = select(&view);
+        queue
+            .iter_mut()
+            .take(index)
+            .for_each(|(_, overtaken)| *overtaken += 1);
+        let Some((tenant, overtaken)) = queue.remove(index) else {
             continue;
         };
-        opened += usize::from(tenant != held);
-        most_passed_over = most_passed_over.max(over);
-        held = tenant;
+        opened += usize::from(tenant != connected_tenant);
+        max_overtaken = max_overtaken.max(overtaken);
+        connected_tenant = tenant;
     }
-    (opened, most_passed_over)
+    (opened, max_overtaken)
 }
 
 #[test]
-fn fewer_connections_are_opened_while_statements_wait() {
-    let (in_turn, _) = opened(|_| 0);
-    let (by_user, most_passed_over) = opened(|line| next_in_line(line.iter().copied()).unwrap_or(0));
-    println!("{in_turn} opened in the order of arrival, {by_user} with the same user first");
-    assert!(by_user * 100 < in_turn * 70, "{by_user} and {in_turn}");
-    // Those ahead of the first add theirs before they are first themselves.
-    assert!(usize::from(most_passed_over) <= 4 * WAITING);
+fn preferring_the_same_user_opens_fewer_connections() {
+    let (by_arrival, _) = simulate_connections(|_| 0);
+    let (by_user, max_overtaken) =
+        simulate_connections(|queue| next_in_line(queue.iter().copied()).unwrap_or(0));
+    println!("connections opened: {by_arrival} in order of arrival, {by_user} with the same user first");
+    assert!(by_user * 100 < by_arrival * 70, "{by_user} and {by_arrival}");
+    // Requests behind the head can be overtaken more often than the head.
+    assert!(usize::from(max_overtaken) <= 4 * WAITING);
 }
