--- a/crates/millwind-core/tests/catalog_freshness.rs
+++ b/crates/millwind-core/tests/catalog_freshness.rs
@@ -1,4 +1,4 @@
-//! A document is never taken for newer than the read that delivered it.
+//! Tests of catalog freshness: the catalog never counts as newer than its oldest document.
 
 use millwind_core::Instant;
 use millwind_core::catalog_freshness::CatalogFreshness;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn fresh_instances_say_nothing_of_a_configuration_that_was_not_read() {
+fn fresh_instances_do_not_refresh_the_configuration() {
     let mut freshness = CatalogFreshness::default();
     freshness.told(at(1_000));
     freshness.instances_heard(at(5_000));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_configuration_grows_old_once_it_is_not_watched() {
+fn unwatched_configuration_ages() {
     let mut freshness = CatalogFreshness::default();
     freshness.instances_heard(at(1_000));
     freshness.configuration_read(at(1_000));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn nothing_is_known_before_both_documents_are() {
+fn freshness_requires_both_documents() {
     let mut freshness = CatalogFreshness::default();
     assert_eq!(freshness.as_of(), None);
     freshness.instances_heard(at(1_000));
@@ -55,23 +55,22 @@
 }
 
 proptest! {
-    /// While the configuration is not watched, the catalog is never taken for newer
-    /// than the last evidence of the configuration: its last watched moment, or what
-    /// another node told.
+    /// While the configuration is not watched, the catalog never counts as newer than the
+    /// end of the last watch or the last catalog received from another node.
     #[test]
-    fn the_configuration_is_never_newer_than_its_evidence(
+    fn catalog_is_never_newer_than_last_known_configuration(
         events in prop::collection::vec((event(), 1_u64..2_000), 1..60),
     ) {
         let mut freshness = CatalogFreshness::default();
-        let (mut now, mut evidence, mut is_watched) = (10_000, 0, false);
-        for (event, pause) in events {
-            now += pause;
+        let (mut now, mut last_known, mut is_watched) = (10_000, 0, false);
+        for (event, elapsed) in events {
+            now += elapsed;
             match event {
                 Event::Instances => freshness.instances_heard(at(now)),
                 Event::Read => {
                     freshness.configuration_read(at(now));
                     is_watched = true;
-                    evidence = now;
+                    last_known = now;
                 }
                 Event::Unwatched => {
                     freshness.configuration_unwatched();
@@ -79,14 +78,14 @@
                 }
                 Event::Told(age) => {
                     freshness.told(at(now - age));
-                    evidence = evidence.max(now - age);
+                    last_known = last_known.max(now - age);
                 }
             }
             if is_watched {
-                evidence = now;
+                last_known = now;
             }
             if let Some(as_of) = freshness.as_of() {
-                prop_assert!(as_of <= at(evidence), "{as_of:?} after {evidence}");
+                prop_assert!(as_of <= at(last_known), "{as_of:?} after {last_known}");
             }
         }
     }
--- a/crates/millwind-core/tests/catalog_relay.rs
+++ b/crates/millwind-core/tests/catalog_relay.rs
@@ -1,4 +1,4 @@
-//! Who reads the catalog from the store.
+//! Tests of the choice of nodes that read the catalog from the store.
 
 use millwind_core::Instant;
 use millwind_core::catalog_relay::{CatalogState, RelayTimes, relays_of_zone};
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn a_small_deployment_has_no_relays() {
+fn small_deployment_has_no_relays() {
     assert_eq!(relays_of_zone(3, 7), None);
     assert_eq!(relays_of_zone(23, 23), None);
 }
 
 #[test]
-fn relays_grow_slowly_with_a_zone() {
+fn number_of_relays_grows_with_zone_size() {
     assert_eq!(relays_of_zone(12, 73), Some(2));
     assert_eq!(relays_of_zone(100, 300), Some(3));
     assert_eq!(relays_of_zone(182, 910), Some(6));
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_node_that_hears_fresh_news_leaves_the_store_alone() {
+fn node_with_fresh_catalog_does_not_read_store() {
     assert!(!state().must_read(NOW, &times()));
 }
 
 #[test]
-fn a_relay_and_a_node_that_was_asked_as_one_read_the_store() {
+fn relay_and_node_contacted_as_relay_read_store() {
     let relay = CatalogState {
         is_relay: true,
         ..state()
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_node_that_hears_nothing_fresh_reads_the_store() {
+fn node_with_stale_catalog_reads_store() {
     for heard in [None, Some(Instant::from_millis(97_000))] {
         let stale = CatalogState { heard, ..state() };
         assert!(stale.must_read(NOW, &times()), "{heard:?}");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_serve_yet_waits_only_a_moment_for_others() {
+fn node_with_incomplete_catalog_waits_briefly_for_relays() {
     let starting = CatalogState {
         is_complete: false,
         heard: None,
@@ -77,18 +77,18 @@
     };
     assert!(!starting.must_read(NOW, &times()));
     assert!(starting.must_read(NOW.plus_millis(150), &times()));
-    // Those who hear the store know no more either: there is no more yet.
-    let with_others = CatalogState {
+    // A fresh catalog contains everything in the store, even if it is incomplete.
+    let with_fresh_catalog = CatalogState {
         heard: Some(NOW),
         ..starting
     };
-    assert!(!with_others.must_read(NOW.plus_millis(150), &times()));
+    assert!(!with_fresh_catalog.must_read(NOW.plus_millis(150), &times()));
 }
 
-/// Relays that start with it have a whole fleet's catalog to read: as long as they answer
-/// a node leaves the store to them, but not for good, since the store may refuse them alone.
+/// A starting node must not read the store while relays answer, since they may still be
+/// reading it, but must not wait forever, since the relays may be unable to.
 #[test]
-fn a_node_that_cannot_serve_yet_waits_longer_for_relays_that_answer() {
+fn node_with_incomplete_catalog_waits_longer_for_answering_relays() {
     let starting = CatalogState {
         is_complete: false,
         heard: None,
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_starting_node_waits_for_the_first_word_of_a_relay_that_may_start_too() {
+fn starting_node_waits_for_first_relay_answer() {
     let starting = CatalogState {
         heard: None,
         known_since: Instant::from_millis(99_500),
@@ -118,17 +118,16 @@
 }
 
 #[test]
-fn a_bound_that_relays_cannot_keep_has_every_node_read_the_store() {
+fn short_config_bound_disables_relays() {
     assert!(!RelayTimes::within(1_500).allow_relays);
     assert!(RelayTimes::within(2_000).allow_relays);
 }
 
 proptest! {
-    /// A node without a relay reads the store itself before a configuration
-    /// that it misses must be in force: within the pace, the time for which
-    /// news count as fresh, and one comparison with another node.
+    /// A node without a relay reads the store itself before a missed configuration must be
+    /// in force, even after one comparison with another node.
     #[test]
-    fn news_are_missed_for_less_than_the_bound(config_bound_ms in 500_u64..60_000) {
+    fn missed_configuration_is_read_within_the_bound(config_bound_ms in 500_u64..60_000) {
         let times = RelayTimes::within(config_bound_ms);
         prop_assume!(times.allow_relays);
         let comparison_ms = 800;
--- a/crates/millwind-core/tests/data_residency.rs
+++ b/crates/millwind-core/tests/data_residency.rs
@@ -1,5 +1,5 @@
-//! Regions that customers allow: what lists mean, how the terms of a database and a
-//! tenant bind together, and which instances and nodes they leave.
+//! Tests of data residency: lists of allowed regions, their intersection, and the instances
+//! and nodes that remain eligible.
 
 use std::collections::BTreeSet;
 
@@ -18,18 +18,18 @@
     AllowedRegions::Only(names.iter().map(|name| region(name)).collect())
 }
 
-/// Lists of any length, the empty one among them.
+/// Generates lists of regions, including the empty list.
 fn any_list() -> impl Strategy<Value = Vec<RegionName>> {
     proptest::collection::vec(proptest::sample::select(&REGIONS[..]).prop_map(region), 0..5)
 }
 
-/// The region of an instance or node; none where its zone is not in the settings.
+/// Generates the region of an instance or node; `None` if its zone is not in the settings.
 fn any_region() -> impl Strategy<Value = Option<RegionName>> {
     proptest::option::of(proptest::sample::select(&REGIONS[..]).prop_map(region))
 }
 
 #[test]
-fn an_empty_list_restricts_nothing() {
+fn empty_list_allows_every_region() {
     let allowed = AllowedRegions::from_list([]);
     assert!(allowed.is_any());
     assert!(allowed.allows(None));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn terms_without_overlap_allow_nothing_at_all() {
+fn disjoint_lists_allow_no_region() {
     let none = only(&["north"]).both(&only(&["south"]));
     assert!(!none.is_any());
     assert!(REGIONS.iter().all(|name| !none.allows(Some(&region(name)))));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_zone_that_is_not_in_the_settings_serves_only_those_that_allow_all() {
+fn unknown_zone_is_allowed_only_without_restriction() {
     let topology = Topology::new([(ZoneName::from("north-1"), region("north"))]);
     let unknown = topology.region_of(&ZoneName::from("north-2"));
     assert_eq!(unknown, None);
@@ -57,35 +57,35 @@
 }
 
 proptest! {
-    /// What both allow is what each of them allows, in either order, and the terms of
-    /// one alone change nothing when they bind twice.
+    /// The intersection allows a region if and only if both lists allow it; the operation is
+    /// commutative and idempotent.
     #[test]
-    fn both_terms_bind(left in any_list(), right in any_list(), place in any_region()) {
+    fn intersection_allows_what_both_allow(left in any_list(), right in any_list(), region_name in any_region()) {
         let (left, right) = (AllowedRegions::from_list(left), AllowedRegions::from_list(right));
-        let place = place.as_ref();
+        let region_name = region_name.as_ref();
         let both = left.both(&right);
-        prop_assert_eq!(both.allows(place), left.allows(place) && right.allows(place));
+        prop_assert_eq!(both.allows(region_name), left.allows(region_name) && right.allows(region_name));
         prop_assert_eq!(&both, &right.both(&left));
         prop_assert_eq!(&both.both(&left), &both);
         prop_assert_eq!(&left.both(&AllowedRegions::Any), &left);
     }
 
-    /// An instance outside of the allowed regions is never used, whatever else holds;
-    /// one inside is used just where it neither ends nor is being evacuated.
+    /// An instance outside the allowed regions is never eligible; one inside is eligible
+    /// unless it is leaving or its zone is being evacuated.
     #[test]
-    fn an_instance_outside_is_never_used(
+    fn instance_outside_allowed_regions_is_ineligible(
         list in any_list(),
-        place in any_region(),
+        region_name in any_region(),
         is_evacuated: bool,
         is_leaving: bool,
     ) {
         let listed: BTreeSet<_> = list.iter().cloned().collect();
-        let is_inside = listed.is_empty() || place.as_ref().is_some_and(|place| listed.contains(place));
+        let is_allowed = listed.is_empty() || region_name.as_ref().is_some_and(|region_name| listed.contains(region_name));
         let allowed = AllowedRegions::from_list(list);
-        let facts = InstanceFacts { region: place.as_ref(), is_evacuated, is_leaving };
-        let judged = judge_instance(&allowed, &facts);
-        prop_assert_eq!(judged == Err(Ineligible::RegionNotAllowed), !is_inside);
-        prop_assert_eq!(judged.is_ok(), is_inside && !is_evacuated && !is_leaving);
-        prop_assert_eq!(judge_carrier(&allowed, place.as_ref()).is_ok(), is_inside);
+        let facts = InstanceFacts { region: region_name.as_ref(), is_evacuated, is_leaving };
+        let eligibility_result = judge_instance(&allowed, &facts);
+        prop_assert_eq!(eligibility_result == Err(Ineligible::RegionNotAllowed), !is_allowed);
+        prop_assert_eq!(eligibility_result.is_ok(), is_allowed && !is_evacuated && !is_leaving);
+        prop_assert_eq!(judge_carrier(&allowed, region_name.as_ref()).is_ok(), is_allowed);
     }
 }
