--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -44,7 +44,8 @@
     /// The request holds a slot and may run now.
     Granted,
     /// The request waits until [`AdmissionQueue::release`] or
-    /// [`AdmissionQueue::grant_next`] returns its ticket.
+    /// [`AdmissionQueue::grant_next`] returns its ticket or reports it as expired, or until
+    /// another request evicts it.
     Queued,
     /// The request is refused and must not run.
     Refused(ErrorKind),
--- a/crates/millwind-core/src/failover.rs
+++ b/crates/millwind-core/src/failover.rs
@@ -1,8 +1,8 @@
 //! Leader failure detection and successor selection for a replication group.
 //!
 //! Groups do not elect a leader themselves: a proxy node orders the promotion of a
-//! replica. An unnecessary promotion interrupts writes briefly but loses no
-//! acknowledged commit, so the timeouts are short. A node that alone cannot reach the
+//! replica. An unnecessary promotion interrupts writes briefly but violates no
+//! guarantee, so the timeouts are short. A node that alone cannot reach the
 //! leader does not replace it while more of its peers still can.
 
 use crate::Instant;
@@ -194,7 +194,7 @@
     /// Share of the statements requiring the leader that may run in the replica's region,
     /// in any unit; equal for all candidates if customers allow every region.
     pub allowed_worth: u64,
-    /// Whether the replica has just started and its caches are cold.
+    /// Whether the replica has just started and accepts few statements.
     pub is_cold: bool,
     /// Whether an earlier promotion order, which may still be in progress, names the
     /// replica; breaks ties.
