--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -98,8 +98,9 @@
 
     /// Requests a slot for `ticket` at `now`.
     ///
-    /// If the queue is full, a ticket of higher value evicts the newest ticket of the
-    /// lowest value; the id of the evicted ticket is pushed to `evicted`.
+    /// If the queue is full, a ticket of higher value evicts a ticket of the lowest value,
+    /// the newest one of the first tenant that has such tickets. The id of the evicted
+    /// ticket is pushed to `evicted`.
     pub fn admit(&mut self, now: Instant, ticket: Ticket, evicted: &mut Vec<u64>) -> Admission {
         if self.running < self.limits.slots {
             self.running += 1;
--- a/crates/millwind-core/src/config_state.rs
+++ b/crates/millwind-core/src/config_state.rs
@@ -134,7 +134,8 @@
         self.revision
     }
 
-    /// Returns the revision and a hash over all documents, for comparison with other nodes.
+    /// Returns the revision in force and a hash of the keys and revisions of all documents,
+    /// for comparison with other nodes.
     pub fn digest(&self) -> Digest {
         Digest {
             revision: self.revision,
--- a/crates/millwind-core/src/control.rs
+++ b/crates/millwind-core/src/control.rs
@@ -525,7 +525,7 @@
             let revision = own.revision;
             self.send(from, ControlMessage::ConfigPull { revision }, &mut out);
         } else if digest.revision == own.revision && digest.hash != own.hash {
-            // The documents of the same revision differ, so all of them are requested.
+            // The documents differ although the revision is the same, so all are requested.
             self.send(from, ControlMessage::ConfigPull { revision: 0 }, &mut out);
         }
         out
