--- a/crates/millwind-core/src/ids.rs
+++ b/crates/millwind-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of the things the proxy talks about, one type per kind of name.
+//! Typed names of nodes, instances, groups, tenants, databases, zones and regions.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -33,32 +33,32 @@
 }
 
 name_type!(
-    /// A proxy node, unique over the deployment.
+    /// Name of a proxy node, unique within the deployment.
     NodeName
 );
 name_type!(
-    /// A database instance, unique over the deployment.
+    /// Name of a database instance, unique within the deployment.
     InstanceName
 );
 name_type!(
-    /// A replicated database group.
+    /// Name of a replicated database group.
     GroupName
 );
 name_type!(
-    /// A tenant: towards PostgreSQL callers, a database with its settings; in the
-    /// engine, a customer with keys and a quota.
+    /// Name of a tenant. For PostgreSQL clients a tenant is a database with its settings; in
+    /// the engine a tenant is a customer with keys and a quota.
     TenantName
 );
 name_type!(
-    /// A database as callers name it in their startup message: a group with the
-    /// promises that its sessions are given.
+    /// Name of a database as clients give it in the startup message. The database maps to
+    /// a group and defines the guarantees of its sessions.
     DatabaseName
 );
 name_type!(
-    /// A zone, the unit that can be cut off as a whole.
+    /// Name of a zone: a failure domain that can be partitioned from the others as a whole.
     ZoneName
 );
 name_type!(
-    /// A region: one or more zones with short latencies between them.
+    /// Name of a region: one or more zones with low latency between them.
     RegionName
 );
--- a/crates/millwind-core/src/incarnation.rs
+++ b/crates/millwind-core/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Lives of instances: one may start again under the name that it had, and then
-//! knows nothing of before.
+//! Detects that a database instance has restarted under the same name and lost its
+//! in-memory state.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// One life of an instance, told by the time of its start in milliseconds since
-/// 1970 by its own clock. Only good for telling lives apart: clocks may jump, so a
-/// later life may have a lower number.
+/// One run of an instance's process, identified by its start time in milliseconds since the
+/// Unix epoch on the instance's own clock. Incarnations may only be compared for equality:
+/// the clock can jump, so a later run may have a lower number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -16,66 +16,67 @@
     }
 }
 
-/// What the records of an instance tell of its life.
+/// The fields of an instance's record from which a restart is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LifeSigns {
-    /// The life, where the record tells it.
+    /// The incarnation, if the record names one.
     pub incarnation: Option<Incarnation>,
-    /// How often this life has written its record, where it tells.
+    /// Number of times this incarnation has written its record, if the record has the count.
     pub heartbeat: Option<u64>,
-    /// Where it listens.
+    /// Address that the instance listens on.
     pub address: SocketAddr,
-    /// It has announced that it will end.
+    /// Whether the instance has announced its shutdown.
     pub is_leaving: bool,
 }
 
-/// What shows that an instance began anew.
+/// The reason to conclude that an instance has restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifeEvidence {
-    /// Its record names another life, or names one where the former named none.
+    /// The records name different incarnations, or only one of them names an incarnation.
     Incarnation,
-    /// Its heartbeats are counted anew.
+    /// The heartbeat count went down.
     Heartbeat,
-    /// It listens elsewhere.
+    /// The listening address changed.
     Address,
-    /// It had announced its end, and takes work again.
-    Returned,
+    /// The announced shutdown was withdrawn.
+    ShutdownWithdrawn,
 }
 
 impl LifeEvidence {
-    /// The name in logs.
+    /// Returns the name used in logs.
     pub const fn name(self) -> &'static str {
         match self {
             LifeEvidence::Incarnation => "incarnation",
             LifeEvidence::Heartbeat => "heartbeat",
             LifeEvidence::Address => "address",
-            LifeEvidence::Returned => "returned",
+            LifeEvidence::ShutdownWithdrawn => "returned",
         }
     }
 }
 
-/// What shows that `later`, written after `former` by the store's order, comes from
-/// another life; none where both come from the same.
+/// Returns the evidence that the instance restarted between writing `previous` and `current`,
+/// in the store's order, or `None` if the same process wrote both records.
 ///
-/// Answers an instance that crashes and is back within one heartbeat: neither a
-/// missing record nor a refused connection need ever be seen. Only a different
-/// incarnation counts, not a higher one, since clocks jump. A record that tells no
-/// incarnation is judged by what a process cannot do: count its heartbeats back, move
-/// to another address, or take its announced end back. Taking one life for two costs
-/// some beliefs that are soon learnt again; taking two for one loses commits.
-pub fn began_anew(former: &LifeSigns, later: &LifeSigns) -> Option<LifeEvidence> {
-    if former.incarnation != later.incarnation {
+/// This detects an instance that crashes and returns within one heartbeat interval, when no
+/// node observes a missing record or a refused connection. Any different incarnation counts,
+/// not only a higher one, because clocks jump. If neither record names an incarnation, the
+/// decision rests on what a running process never does: lower its heartbeat count, change its
+/// address or withdraw its announced shutdown. A false positive only discards state that is
+/// soon learnt again; a missed restart can lose commits.
+pub fn began_anew(previous: &LifeSigns, current: &LifeSigns) -> Option<LifeEvidence> {
+    if previous.incarnation != current.incarnation {
         return Some(LifeEvidence::Incarnation);
     }
-    if former.incarnation.is_some() {
+    if previous.incarnation.is_some() {
         return None;
     }
-    if former.address != later.address {
+    if previous.address != current.address {
         return Some(LifeEvidence::Address);
     }
-    if former.is_leaving && !later.is_leaving {
-        return Some(LifeEvidence::Returned);
+    if previous.is_leaving && !current.is_leaving {
+        return Some(LifeEvidence::ShutdownWithdrawn);
     }
-    let counts_back = matches!((former.heartbeat, later.heartbeat), (Some(held), Some(new)) if new < held);
-    counts_back.then_some(LifeEvidence::Heartbeat)
+    let heartbeat_went_down =
+        matches!((previous.heartbeat, current.heartbeat), (Some(held), Some(new)) if new < held);
+    heartbeat_went_down.then_some(LifeEvidence::Heartbeat)
 }
--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -1,145 +1,146 @@
-//! Whether a node may count on a group's leader where a promotion does not take
-//! the lead from the old one.
+//! Leader permits: whether a node may still accept a leader's answers on a platform that
+//! does not fence the old leader on promotion.
 //!
-//! Some platforms fence: at the moment of a promotion the old leader refuses
-//! writes. Where the platform does not, an old leader that is cut off from the
-//! new one goes on acknowledging. Nodes must then stop counting on it before
-//! the promotion is ordered. Three means do that, cheapest first:
+//! On a fencing platform the old leader refuses writes from the moment of a promotion.
+//! Without fencing, an old leader that is partitioned from the new one keeps acknowledging
+//! writes, so every node must stop accepting its answers before the promotion is ordered.
+//! There are three ways to achieve this, cheapest first:
 //!
-//! - the old leader itself is told to step down, by any node that reaches it;
-//! - every node hands its permit for the term back when it is asked to;
-//! - a node that cannot be asked loses its permit by time: a permit is good only
-//!   while the node has heard, within [`PERMIT_MS`], all that the store holds of
-//!   closed terms.
+//! - any node that reaches the old leader tells it to step down;
+//! - every node hands back its permit for the term on request;
+//! - the permit of a node that cannot be asked expires: a permit is valid only while the
+//!   node has read the complete list of closed terms from the store within [`PERMIT_MS`].
 //!
-//! So a promoter first writes to the store that a term is closed, and orders the
-//! promotion once one of the three holds for every node ([`may_promote`]). What
-//! a permit covers is the *answer*: an answer of a leader counts if the permit
-//! for its term is good when the answer is taken in. A write whose answer comes
-//! later is of unknown outcome.
+//! The promoting node first writes to the store that the term is closed. It orders the
+//! promotion once the old leader has stepped down, all permits have been handed back, or
+//! all outstanding permits have expired ([`may_promote`]).
 //!
-//! All times are of the holder's own steady clock; only durations are compared
-//! between nodes.
+//! A permit covers answers: a leader's answer counts if the permit for its term is valid
+//! when the node receives the answer. A write whose answer arrives later has an unknown
+//! outcome.
+//!
+//! All times are on the monotonic clock of the node that holds the permit; only durations
+//! are compared between nodes.
 
 use crate::Instant;
 use crate::position::Term;
 
-/// A permit is good for so long after the node's last complete news of closed
-/// terms, in milliseconds. Longer than the outages of the store that are common
-/// (up to 6 s, plus the time between two questions to it), since
-/// without news every node stops serving writes; it is waited out only where the
-/// old leader and some node can both not be reached.
+/// How long a permit stays valid after the node last read all closed terms from the store,
+/// in milliseconds. The value exceeds common store outages plus the polling interval,
+/// because a node without a valid permit stops serving writes. A promotion waits this long
+/// only if both the old leader and some permit holder are unreachable.
 pub const PERMIT_MS: u64 = 10_000;
-/// Statements under way when a term closes may still be answered for so long, in
-/// milliseconds: longer than most statements take, far shorter than a permit.
+/// How long answers to statements in flight are still accepted after a term closes, in
+/// milliseconds: longer than most statements take, and much shorter than [`PERMIT_MS`].
 pub const SETTLE_MS: u64 = 400;
 
-/// Whether a leader's answer counts.
+/// Validity of a node's permit for a leader's term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
-    /// It counts, and new statements may be sent.
+    /// Answers count, and new statements may be sent.
     Good,
-    /// It counts, but nothing new may be sent: the term is being closed.
-    Settling,
-    /// The term is closed.
+    /// The term is being closed: answers still count, but no new statements may be sent.
+    Draining,
+    /// The term is closed: answers no longer count.
     Closed,
-    /// Nothing was heard of closed terms for too long.
-    Outdated,
+    /// The node has not read the closed terms from the store recently enough.
+    Expired,
 }
 
 impl Permit {
-    /// Whether an answer that arrives now counts.
+    /// Returns whether an answer that arrives now counts.
     pub const fn covers_answer(self) -> bool {
-        matches!(self, Permit::Good | Permit::Settling)
+        matches!(self, Permit::Good | Permit::Draining)
     }
 }
 
-/// What one node knows of the closed terms of one group.
+/// One node's knowledge of the closed terms of one group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct ClosedTerms {
-    /// This term and all before it are closed.
-    closed: Term,
-    /// When this node learnt so.
-    since: Instant,
-    /// Answers to statements under way count until then.
-    settles_until: Instant,
-    /// Permits for this term and all before it were handed back.
+    /// The newest closed term; all earlier terms are closed too.
+    newest_closed: Term,
+    /// When this node learnt of the newest closed term.
+    closed_at: Instant,
+    /// Until when answers to statements in flight count.
+    draining_until: Instant,
+    /// The newest term whose permit was handed back; earlier permits were handed back too.
     handed_back: Term,
 }
 
 impl ClosedTerms {
-    /// Takes in that `term` and all before it are closed; false if that was
+    /// Records that `term` and all earlier terms are closed. Returns false if that was already
     /// known.
     ///
-    /// `confirmed` tells of the news before this one. A node that had lost its
-    /// permit by time meanwhile has nothing to settle: the promotion may have
-    /// been ordered.
+    /// `confirmed` is when this node last read all closed terms before this call. If the permit
+    /// has expired since then, answers in flight no longer count, because the promotion may
+    /// already have been ordered.
     pub fn close(&mut self, term: Term, now: Instant, confirmed: Option<Instant>) -> bool {
-        if term <= self.closed {
+        if term <= self.newest_closed {
             return false;
         }
-        self.closed = term;
-        self.since = now;
+        self.newest_closed = term;
+        self.closed_at = now;
         let permit_end = confirmed.map_or(now, |confirmed| confirmed.plus_millis(PERMIT_MS));
-        self.settles_until = now.plus_millis(SETTLE_MS).min(permit_end);
+        self.draining_until = now.plus_millis(SETTLE_MS).min(permit_end);
         true
     }
 
-    /// Gives up the permits for `term` and all before it.
+    /// Gives up the permits for `term` and all earlier terms.
     pub fn hand_back(&mut self, term: Term) {
         self.handed_back = self.handed_back.max(term);
     }
 
-    /// The newest closed term.
+    /// Returns the newest closed term.
     pub const fn closed(&self) -> Term {
-        self.closed
+        self.newest_closed
     }
 
-    /// When this node learnt that `term` is closed; none if it is open.
+    /// Returns when this node learnt of the newest closed term if `term` is closed, or `None`
+    /// if `term` is open.
     pub fn closed_since(&self, term: Term) -> Option<Instant> {
-        (term <= self.closed).then_some(self.since)
+        (term <= self.newest_closed).then_some(self.closed_at)
     }
 
-    /// The permit for a leader of `term`, at `now`, on a node whose news of
-    /// closed terms were complete at `confirmed`.
+    /// Returns the permit for a leader of `term` at `now`, on a node that last read all closed
+    /// terms at `confirmed`.
     pub fn permit(&self, term: Term, now: Instant, confirmed: Option<Instant>) -> Permit {
         if !is_confirmed(now, confirmed) {
-            return Permit::Outdated;
+            return Permit::Expired;
         }
-        if term > self.closed {
+        if term > self.newest_closed {
             return Permit::Good;
         }
-        let may_settle = term > self.handed_back && now < self.settles_until;
-        match may_settle {
-            true => Permit::Settling,
+        let is_draining = term > self.handed_back && now < self.draining_until;
+        match is_draining {
+            true => Permit::Draining,
             false => Permit::Closed,
         }
     }
 }
 
-/// Whether news that were complete at `confirmed` still carry a permit.
+/// Returns whether a read of all closed terms at `confirmed` keeps permits valid at `now`.
 pub fn is_confirmed(now: Instant, confirmed: Option<Instant>) -> bool {
     confirmed.is_some_and(|confirmed| now < confirmed.plus_millis(PERMIT_MS))
 }
 
-/// What a promoter knows of the permits for a term that it has closed.
+/// Progress of revoking the permits for a closed term, as the promoting node knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Revocation {
     /// A time no earlier than the write that closed the term.
     pub closed: Instant,
-    /// Nodes that may hold a permit and have not handed it back.
+    /// Number of nodes that may hold a permit and have not handed it back.
     pub missing: usize,
-    /// The old leader has said that it leads no longer.
+    /// Whether the old leader has confirmed that it stepped down.
     pub has_stepped_down: bool,
 }
 
-/// Whether a promotion may be ordered.
+/// Returns whether the promotion may be ordered.
 pub fn may_promote(now: Instant, revocation: &Revocation) -> bool {
     revocation.has_stepped_down || revocation.missing == 0 || now >= revocation.closed.plus_millis(PERMIT_MS)
 }
 
-/// The term to close before another replica is promoted: the newest that is
-/// known to have led, or may lead by an order whose outcome is unknown.
+/// Returns the term to close before another replica is promoted: the newest term that is
+/// known to have had a leader, or that an order of unknown outcome may have started.
 pub fn term_to_close(newest_known: Term, closed_before: Term, has_open_order: bool) -> Term {
     let by_order = Term(closed_before.0 + u64::from(has_open_order));
     newest_known.max(closed_before).max(by_order)
--- a/crates/millwind-core/src/lead_relocation.rs
+++ b/crates/millwind-core/src/lead_relocation.rs
@@ -1,131 +1,130 @@
-//! Whether the lead of a group is moved to another region, since statements that need
-//! the leader may not run where it stands.
+//! Decides whether to move a group's leader to another region because statements that need
+//! the leader may not run in its current region.
 //!
-//! A planned hand-over costs a moment without writes, for all of the group's databases.
-//! So the lead moves only where it serves clearly more afterwards, once for each cause,
-//! and not back: two databases that allow disjoint regions would else take it from each
-//! other for ever, and each move would refuse the statements of both.
+//! A planned handover interrupts writes to all of the group's databases. The leader
+//! therefore moves only if it can serve clearly more demand afterwards, and does not move
+//! back for a while. Otherwise two databases with disjoint allowed regions could move the
+//! leader back and forth forever, and each move would refuse statements of both.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::data_residency::AllowedRegions;
 use crate::ids::RegionName;
 
-/// The lead stays for so long after it changed, for whatever reason, in milliseconds:
-/// many times what a hand-over takes (about a second), so that what it costs stays a
-/// few percent of what it brings.
-pub const LEAD_PAUSE_MS: u64 = 30_000;
-/// A hand-over that did not come about is tried again after this time, in
-/// milliseconds: replicas that lag have usually caught up by then.
-pub const RETRY_PAUSE_MS: u64 = 10_000;
-/// A region that the lead was moved out of is not moved back to for this time, in
-/// milliseconds, unless other terms are in force.
+/// Minimum time between any change of the leader and a relocation, in milliseconds. A
+/// handover takes about a second, so relocations cost at most a few percent of the time.
+pub const RELOCATION_COOLDOWN_MS: u64 = 30_000;
+/// Minimum time between two attempts to relocate the leader, in milliseconds. Lagging
+/// replicas have usually caught up by then.
+pub const RETRY_COOLDOWN_MS: u64 = 10_000;
+/// How long the leader is not moved back to a region that it was moved out of, in
+/// milliseconds. The restriction ends early if the allowed regions change.
 pub const RETURN_PAUSE_MS: u64 = 600_000;
-/// What is served afterwards, in percent of what is served before, at least: demand that
-/// sways around an even split must not move the lead.
-const LEAST_GAIN_PERCENT: u64 = 150;
-/// What a move brings at least, as worth in the window that the demand was counted over:
-/// a few statements that were tried once are no reason.
-const LEAST_GAIN: u64 = 5;
-/// Worth of one statement of the first priority; each later one is worth one less, but
-/// never nothing.
-const MOST_WORTH: u64 = 4;
+/// Minimum weight served after a move, in percent of the weight served before, so that
+/// demand that fluctuates around an even split does not move the leader.
+const MIN_WEIGHT_AFTER_PERCENT: u64 = 150;
+/// Minimum weight that a move must gain within the window over which demand is counted, so
+/// that a few isolated statements do not move the leader.
+const MIN_WEIGHT_GAIN: u64 = 5;
+/// Weight of a statement of priority 0. Each following priority weighs one less, but at
+/// least 1.
+const MAX_WEIGHT: u64 = 4;
 
-/// Worth of one statement.
+/// Returns the weight of one statement of this priority.
 pub fn worth_of(priority: u8) -> u64 {
-    MOST_WORTH.saturating_sub(u64::from(priority)).max(1)
+    MAX_WEIGHT.saturating_sub(u64::from(priority)).max(1)
 }
 
-/// What needs a group's leader, as worth by the regions that it may run in.
+/// Total weight of the statements that need a group's leader, by allowed regions.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaderDemand {
-    by_terms: BTreeMap<AllowedRegions, u64>,
+    by_regions: BTreeMap<AllowedRegions, u64>,
 }
 
 impl LeaderDemand {
-    /// Adds what statements under `regions` are worth.
-    pub fn add(&mut self, regions: &AllowedRegions, worth: u64) {
-        match self.by_terms.get_mut(regions) {
-            Some(held) => *held = held.saturating_add(worth),
+    /// Adds `weight` for statements that may run in `regions`.
+    pub fn add(&mut self, regions: &AllowedRegions, weight: u64) {
+        match self.by_regions.get_mut(regions) {
+            Some(total) => *total = total.saturating_add(weight),
             None => {
-                self.by_terms.insert(regions.clone(), worth);
+                self.by_regions.insert(regions.clone(), weight);
             }
         }
     }
 
-    /// Adds all of `other`.
+    /// Adds all demand of `other`.
     pub fn merge(&mut self, other: &LeaderDemand) {
-        for (regions, worth) in other.terms() {
-            self.add(regions, worth);
+        for (regions, weight) in other.terms() {
+            self.add(regions, weight);
         }
     }
 
-    /// Whether nothing needs the leader.
+    /// Returns whether no statement needs the leader.
     pub fn is_empty(&self) -> bool {
-        self.by_terms.is_empty()
+        self.by_regions.is_empty()
     }
 
-    /// The terms with what they are worth.
+    /// Iterates over the sets of allowed regions and their total weights.
     pub fn terms(&self) -> impl Iterator<Item = (&AllowedRegions, u64)> {
-        self.by_terms.iter().map(|(regions, worth)| (regions, *worth))
+        self.by_regions.iter().map(|(regions, weight)| (regions, *weight))
     }
 
-    /// What a leader in `region` serves of it.
+    /// Returns the total weight that a leader in `region` serves.
     pub fn served_in(&self, region: Option<&RegionName>) -> u64 {
         let served = self.terms().filter(|(regions, _)| regions.allows(region));
-        served.fold(0, |sum, (_, worth)| sum.saturating_add(worth))
+        served.fold(0, |sum, (_, weight)| sum.saturating_add(weight))
     }
 }
 
-/// What is known of a group's lead.
+/// State of a group's leadership on which the relocation decision is based.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeadFacts<'a> {
-    /// Region of the leader; none where its zone is not in the settings.
+    /// The leader's region, or `None` if its zone is not configured.
     pub region: Option<&'a RegionName>,
-    /// Time since the lead was last seen to change, in milliseconds.
+    /// Time since the leader was last seen to change, in milliseconds.
     pub unchanged_ms: u64,
-    /// Time since a hand-over was last tried for its regions, in milliseconds.
+    /// Time since the last attempt to relocate the leader, in milliseconds.
     pub tried_ms: Option<u64>,
     /// Regions of the replicas that may take over.
     pub candidates: &'a BTreeSet<RegionName>,
-    /// Regions that the lead was moved out of lately under the present terms.
+    /// Regions that the leader was recently moved out of, under the current allowed regions.
     pub left: &'a BTreeSet<RegionName>,
 }
 
-/// Where the lead should go.
+/// A decision to move the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relocation {
-    /// The region.
+    /// The target region.
     pub region: RegionName,
-    /// Worth that the leader serves where it stands.
+    /// Weight that the leader serves in its current region.
     pub worth_before: u64,
-    /// Worth that it would serve there.
+    /// Weight that the leader would serve in the target region.
     pub worth_after: u64,
 }
 
-/// Judges whether the lead moves, and where to.
+/// Returns where to move the leader, or `None` if the leader stays.
 pub fn judge_relocation(demand: &LeaderDemand, lead: &LeadFacts<'_>) -> Option<Relocation> {
-    let is_resting =
-        lead.unchanged_ms < LEAD_PAUSE_MS || lead.tried_ms.is_some_and(|tried_ms| tried_ms < RETRY_PAUSE_MS);
-    if is_resting {
+    let is_in_cooldown = lead.unchanged_ms < RELOCATION_COOLDOWN_MS
+        || lead.tried_ms.is_some_and(|tried_ms| tried_ms < RETRY_COOLDOWN_MS);
+    if is_in_cooldown {
         return None;
     }
     let worth_before = demand.served_in(lead.region);
-    let others = lead
+    let targets = lead
         .candidates
         .iter()
         .filter(|region| !lead.left.contains(*region));
-    let worths = others.map(|region| (demand.served_in(Some(region)), region));
-    let (worth_after, region) = worths.max()?;
-    is_worth_it(worth_before, worth_after).then(|| Relocation {
+    let weights = targets.map(|region| (demand.served_in(Some(region)), region));
+    let (worth_after, region) = weights.max()?;
+    justifies_move(worth_before, worth_after).then(|| Relocation {
         region: region.clone(),
         worth_before,
         worth_after,
     })
 }
 
-fn is_worth_it(before: u64, after: u64) -> bool {
+fn justifies_move(before: u64, after: u64) -> bool {
     let gain = after.saturating_sub(before);
-    let least_after = before.saturating_mul(LEAST_GAIN_PERCENT) / 100;
-    gain >= LEAST_GAIN && after >= least_after
+    let min_after = before.saturating_mul(MIN_WEIGHT_AFTER_PERCENT) / 100;
+    gain >= MIN_WEIGHT_GAIN && after >= min_after
 }
--- a/crates/millwind-core/src/leader_observation.rs
+++ b/crates/millwind-core/src/leader_observation.rs
@@ -1,46 +1,45 @@
-//! Positions of a group's leader, with the time at which each was asked for.
+//! Positions reported by a group's leader, with the time at which each was requested.
 //!
-//! A read that may be `staleness` old is safe on every instance whose log
-//! holds a position that the true leader reported to a question asked no
-//! earlier than `staleness` before the read arrived: every commit acknowledged
-//! before the question was asked lies at or before that position. Only answers
-//! that prove leadership may be recorded: a former leader proves nothing.
+//! A read that may be `staleness` old is safe on every instance whose log holds a position
+//! that the true leader reported in response to a request sent no earlier than `staleness`
+//! before the read arrived: every commit acknowledged before the request was sent lies at or
+//! before that position. Only answers that prove leadership may be recorded, because an
+//! answer of a former leader proves nothing.
 
 use std::collections::VecDeque;
 
 use crate::Instant;
 use crate::position::{Position, Term};
 
-/// Observations older than this are dropped, in milliseconds.
-const HORIZON_MS: u64 = 15_000;
-/// Observations asked for within this time of the last one replace it, in
-/// milliseconds, so that a busy leader does not fill the memory.
-const RESOLUTION_MS: u64 = 25;
+/// How long observations are kept, in milliseconds.
+const RETENTION_MS: u64 = 15_000;
+/// An observation is dropped if the ones before and after it were requested within this time
+/// of each other, in milliseconds. This bounds the number of observations of a busy leader.
+const MIN_INTERVAL_MS: u64 = 25;
 
 /// One position reported by the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderObservation {
-    /// When the question was sent, on the observer's steady clock.
+    /// When the request was sent, on the observer's monotonic clock.
     pub asked: Instant,
-    /// The leader's position in its answer.
+    /// The position in the leader's answer.
     pub position: Position,
 }
 
-/// The recent observations of one group's leader.
+/// Recent observations of one group's leader.
 #[derive(Debug, Clone, Default)]
 pub struct LeaderObservations {
-    /// Sorted by `asked`; all of the newest term that was seen.
+    /// Observations from the newest known term, sorted by `asked`.
     entries: VecDeque<LeaderObservation>,
     newest_term: Term,
 }
 
 impl LeaderObservations {
-    /// Records what the leader answered to a question sent at `asked`.
+    /// Records the leader's answer to a request sent at `asked`.
     ///
-    /// Observations of older terms are dropped, since a position of a later
-    /// term covers everything of an earlier one that survived. So are earlier
-    /// observations of a higher position: what a later leader lacks has been
-    /// rolled back for everyone.
+    /// Drops observations of older terms, since a position in a later term covers everything
+    /// from earlier terms that survived. Also drops earlier observations of a higher position:
+    /// commits that a later leader lacks have been rolled back for every reader.
     pub fn record(&mut self, asked: Instant, position: Position) {
         if position.term < self.newest_term {
             return;
@@ -52,20 +51,20 @@
         self.expire(asked);
         self.entries
             .retain(|entry| entry.asked > asked || entry.position <= position);
-        self.thin_out(asked);
+        self.coalesce_newest(asked);
         let index = self.entries.partition_point(|entry| entry.asked <= asked);
         self.entries.insert(index, LeaderObservation { asked, position });
     }
 
-    /// Drops the newest entry if it lies close to the one before it and to
-    /// `asked`: the ones around it serve as well.
-    fn thin_out(&mut self, asked: Instant) {
+    /// Drops the newest entry if `asked` follows it and lies close to the entry before it, since
+    /// the entries on both sides make it redundant.
+    fn coalesce_newest(&mut self, asked: Instant) {
         let count = self.entries.len();
         if count < 2 {
             return;
         }
         let (before, last) = (self.entries[count - 2].asked, self.entries[count - 1].asked);
-        if last <= asked && asked < before.plus_millis(RESOLUTION_MS) {
+        if last <= asked && asked < before.plus_millis(MIN_INTERVAL_MS) {
             self.entries.pop_back();
         }
     }
@@ -74,40 +73,39 @@
         while self
             .entries
             .front()
-            .is_some_and(|entry| entry.asked.plus_millis(HORIZON_MS) < now)
+            .is_some_and(|entry| entry.asked.plus_millis(RETENTION_MS) < now)
         {
             self.entries.pop_front();
         }
     }
 
-    /// The least position that proves a read safe: that of the oldest question
-    /// asked at `not_before` or later.
+    /// Returns the lowest position that proves a read safe: the position of the oldest
+    /// observation requested at `not_before` or later. Returns `None` if there is none.
     pub fn floor(&self, not_before: Instant) -> Option<Position> {
         let index = self.entries.partition_point(|entry| entry.asked < not_before);
         self.entries.get(index).map(|entry| entry.position)
     }
 
-    /// When the newest recorded question was asked.
+    /// Returns the observation that was requested last.
     pub fn newest(&self) -> Option<LeaderObservation> {
         self.entries.back().copied()
     }
 
-    /// The least position that covers `written`, a commit of some session that
-    /// was acknowledged before `acknowledged`: the position itself, or that of
-    /// a later leader in which the commit either survived or was rolled back
-    /// for everyone.
+    /// Returns the lowest position that covers `written`, a session's commit that was
+    /// acknowledged before `acknowledged`. That is `written` itself, or the position of a later
+    /// leader under which the commit has either survived or been rolled back for all sessions.
     pub fn covering(&self, written: Position, acknowledged: Instant) -> Position {
-        let later = self
+        let superseding = self
             .entries
             .iter()
-            .find(|entry| is_later_history(entry, written, acknowledged));
-        later.map_or(written, |entry| entry.position)
+            .find(|entry| supersedes(entry, written, acknowledged));
+        superseding.map_or(written, |entry| entry.position)
     }
 }
 
-/// Whether the leader of `entry` must hold `written` unless it was rolled back,
-/// and its position alone does not say which.
-fn is_later_history(entry: &LeaderObservation, written: Position, acknowledged: Instant) -> bool {
-    let lacks_it = entry.asked >= acknowledged && entry.position < written;
-    entry.position.term > written.term || lacks_it
+/// Returns whether `entry` replaces `written`: its term is later, or its leader reported a
+/// lower position in response to a request sent after the acknowledgement.
+fn supersedes(entry: &LeaderObservation, written: Position, acknowledged: Instant) -> bool {
+    let lacks_written = entry.asked >= acknowledged && entry.position < written;
+    entry.position.term > written.term || lacks_written
 }
--- a/crates/millwind-core/src/lib.rs
+++ b/crates/millwind-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of the millwind database proxy, without I/O.
+//! Decision logic of the millwind database proxy, without I/O.
 //!
-//! Nothing here opens a socket, reads a clock or starts a task: events and a
-//! time go in, actions and reasons come out, and the same input gives the same
-//! output. That is what lets the daemon, the model checker and the hollow
-//! capacity runs share one implementation.
+//! Nothing in this crate opens a socket, reads a clock or spawns a task. Functions take
+//! events and the current time, and return actions and reasons; the same input always
+//! gives the same output. The daemon, the model checker and the capacity simulations
+//! therefore run the same code.
 
 pub mod admission;
 pub mod affinity;
@@ -47,22 +47,22 @@
 pub mod token;
 pub mod warm_up;
 
-/// A point in time in microseconds on the caller's monotonic clock.
+/// A point in time, in microseconds on the caller's monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// Builds a time from whole milliseconds.
+    /// Returns the time `millis` milliseconds after the clock's origin.
     pub const fn from_millis(millis: u64) -> Self {
         Instant(millis * 1_000)
     }
 
-    /// This time moved later by `millis` milliseconds.
+    /// Returns the time `millis` milliseconds after this one.
     pub const fn plus_millis(self, millis: u64) -> Self {
         Instant(self.0 + millis * 1_000)
     }
 
-    /// Whole milliseconds since `earlier`, zero if `earlier` is later.
+    /// Returns the whole milliseconds since `earlier`, or zero if `earlier` is later.
     pub const fn millis_since(self, earlier: Instant) -> u64 {
         self.0.saturating_sub(earlier.0) / 1_000
     }
--- a/crates/millwind-core/tests/incarnation.rs
+++ b/crates/millwind-core/tests/incarnation.rs
@@ -1,13 +1,13 @@
-//! What shows that an instance began anew under its name.
+//! Restart detection from the records of an instance.
 
 use std::net::SocketAddr;
 
 use millwind_core::incarnation::{Incarnation, LifeEvidence, LifeSigns, began_anew};
 use proptest::prelude::*;
 
-fn signs(born: Option<u64>, heartbeat: Option<u64>) -> LifeSigns {
+fn life_signs(started_ms: Option<u64>, heartbeat: Option<u64>) -> LifeSigns {
     LifeSigns {
-        incarnation: born.map(Incarnation),
+        incarnation: started_ms.map(Incarnation),
         heartbeat,
         address: SocketAddr::from(([127, 0, 0, 1], 5_001)),
         is_leaving: false,
@@ -15,61 +15,69 @@
 }
 
 #[test]
-fn another_time_of_start_is_another_life_also_where_the_clock_went_back() {
-    let former = signs(Some(2_000), Some(9));
-    for later in [signs(Some(3_000), Some(1)), signs(Some(1_000), Some(10))] {
-        assert_eq!(began_anew(&former, &later), Some(LifeEvidence::Incarnation));
+fn a_different_incarnation_is_a_restart_even_if_the_clock_went_back() {
+    let previous = life_signs(Some(2_000), Some(9));
+    for current in [
+        life_signs(Some(3_000), Some(1)),
+        life_signs(Some(1_000), Some(10)),
+    ] {
+        assert_eq!(began_anew(&previous, &current), Some(LifeEvidence::Incarnation));
     }
 }
 
 #[test]
-fn the_same_time_of_start_is_the_same_life_whatever_is_counted() {
-    let former = signs(Some(2_000), Some(9));
-    let mut later = signs(Some(2_000), Some(1));
-    assert_eq!(began_anew(&former, &later), None);
-    later.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
-    assert_eq!(began_anew(&former, &later), None);
+fn the_same_incarnation_is_no_restart_even_if_heartbeat_or_address_changes() {
+    let previous = life_signs(Some(2_000), Some(9));
+    let mut current = life_signs(Some(2_000), Some(1));
+    assert_eq!(began_anew(&previous, &current), None);
+    current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
+    assert_eq!(began_anew(&previous, &current), None);
 }
 
 #[test]
-fn a_record_that_tells_its_life_follows_none_that_did_not() {
-    let untold = signs(None, Some(9));
-    let told = signs(Some(2_000), Some(10));
-    assert_eq!(began_anew(&untold, &told), Some(LifeEvidence::Incarnation));
-    assert_eq!(began_anew(&told, &untold), Some(LifeEvidence::Incarnation));
+fn gaining_or_losing_the_incarnation_is_a_restart() {
+    let unnamed = life_signs(None, Some(9));
+    let named = life_signs(Some(2_000), Some(10));
+    assert_eq!(began_anew(&unnamed, &named), Some(LifeEvidence::Incarnation));
+    assert_eq!(began_anew(&named, &unnamed), Some(LifeEvidence::Incarnation));
 }
 
 #[test]
-fn without_a_time_of_start_a_count_that_begins_anew_tells() {
-    let former = signs(None, Some(9));
-    assert_eq!(began_anew(&former, &signs(None, Some(9))), None);
-    assert_eq!(began_anew(&former, &signs(None, Some(10))), None);
-    assert_eq!(began_anew(&former, &signs(None, None)), None);
+fn without_an_incarnation_a_lower_heartbeat_is_a_restart() {
+    let previous = life_signs(None, Some(9));
+    assert_eq!(began_anew(&previous, &life_signs(None, Some(9))), None);
+    assert_eq!(began_anew(&previous, &life_signs(None, Some(10))), None);
+    assert_eq!(began_anew(&previous, &life_signs(None, None)), None);
     assert_eq!(
-        began_anew(&former, &signs(None, Some(1))),
+        began_anew(&previous, &life_signs(None, Some(1))),
         Some(LifeEvidence::Heartbeat)
     );
 }
 
 #[test]
-fn without_a_time_of_start_another_address_or_an_end_taken_back_tells() {
-    let mut former = signs(None, None);
-    let mut later = former;
-    later.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
-    assert_eq!(began_anew(&former, &later), Some(LifeEvidence::Address));
-    former.is_leaving = true;
+fn without_an_incarnation_a_new_address_or_a_withdrawn_shutdown_is_a_restart() {
+    let mut previous = life_signs(None, None);
+    let mut current = previous;
+    current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
+    assert_eq!(began_anew(&previous, &current), Some(LifeEvidence::Address));
+    previous.is_leaving = true;
     assert_eq!(
-        began_anew(&former, &signs(None, None)),
-        Some(LifeEvidence::Returned)
+        began_anew(&previous, &life_signs(None, None)),
+        Some(LifeEvidence::ShutdownWithdrawn)
     );
 }
 
 proptest! {
     #[test]
-    fn two_lives_that_tell_their_start_are_never_taken_for_one(
-        former in 0_u64..5, later in 0_u64..5, beats in prop::array::uniform2(prop::option::of(0_u64..5)),
+    fn named_incarnations_alone_decide_whether_an_instance_restarted(
+        previous in 0_u64..5,
+        current in 0_u64..5,
+        heartbeats in prop::array::uniform2(prop::option::of(0_u64..5)),
     ) {
-        let began = began_anew(&signs(Some(former), beats[0]), &signs(Some(later), beats[1]));
-        prop_assert_eq!(began.is_some(), former != later);
+        let evidence = began_anew(
+            &life_signs(Some(previous), heartbeats[0]),
+            &life_signs(Some(current), heartbeats[1]),
+        );
+        prop_assert_eq!(evidence.is_some(), previous != current);
     }
 }
--- a/crates/millwind-core/tests/leader_observation.rs
+++ b/crates/millwind-core/tests/leader_observation.rs
@@ -1,4 +1,4 @@
-//! Observed leader positions against a simple history as the oracle.
+//! Observed leader positions, checked against a simulated commit history.
 
 use millwind_core::Instant;
 use millwind_core::leader_observation::LeaderObservations;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_oldest_question_that_is_young_enough_gives_the_floor() {
+fn the_floor_is_the_oldest_observation_that_is_recent_enough() {
     let mut observations = LeaderObservations::default();
     for (millis, number) in [(1_000, 10), (1_100, 11), (1_200, 12)] {
         observations.record(at(millis), Position::new(1, number));
@@ -41,24 +41,24 @@
 }
 
 #[test]
-fn an_own_commit_that_was_rolled_back_no_longer_binds() {
+fn a_rolled_back_commit_no_longer_raises_the_floor() {
     let mut observations = LeaderObservations::default();
     let written = Position::new(1, 90);
     observations.record(at(1_000), Position::new(1, 80));
-    // Asked before the acknowledgement: says nothing of the commit.
+    // A request sent before the acknowledgement proves nothing about the commit.
     assert_eq!(observations.covering(written, at(1_500)), written);
     observations.record(at(2_000), Position::new(1, 85));
     assert_eq!(observations.covering(written, at(1_500)), Position::new(1, 85));
 }
 
-/// One step of a group's life.
+/// One step in a group's history.
 #[derive(Debug, Clone)]
 enum Step {
     /// The leader commits.
     Commit,
-    /// The leader is asked, and answers so much later, in milliseconds.
+    /// The leader is asked for its position and answers `delay` milliseconds later.
     Observe { delay: u64 },
-    /// A replica that lacks the last commits takes over.
+    /// A replica that lacks the last `lacking` commits is promoted.
     Promote { lacking: u64 },
 }
 
@@ -71,7 +71,7 @@
     proptest::collection::vec(step, 1..120)
 }
 
-/// A commit that was acknowledged, and when.
+/// A commit and the time of its acknowledgement.
 #[derive(Debug, Clone, Copy)]
 struct Acknowledged {
     position: Position,
@@ -79,15 +79,15 @@
 }
 
 proptest! {
-    /// Whatever happens, a log that holds the floor holds every commit that
-    /// was acknowledged early enough and not rolled back.
+    /// A log that holds the floor holds every commit that was acknowledged early enough and
+    /// not rolled back.
     #[test]
-    fn the_floor_covers_what_was_acknowledged(steps in steps(), staleness in 0_u64..3_000) {
+    fn the_floor_covers_acknowledged_commits(steps in steps(), staleness in 0_u64..3_000) {
         let mut observations = LeaderObservations::default();
         let mut log: Vec<Acknowledged> = Vec::new();
         let mut term = 1;
         let mut now = 10_000;
-        let mut under_way: Vec<(u64, u64, Position)> = Vec::new();
+        let mut in_flight: Vec<(u64, u64, Position)> = Vec::new();
         for step in steps {
             now += 17;
             match step {
@@ -97,7 +97,7 @@
                 }
                 Step::Observe { delay } => {
                     let position = log.last().map_or(Position::new(1, 0), |last| last.position);
-                    under_way.push((now + delay, now, position));
+                    in_flight.push((now + delay, now, position));
                 }
                 Step::Promote { lacking } => {
                     log.truncate(log.len().saturating_sub(lacking as usize));
@@ -105,13 +105,13 @@
                 }
             }
             let (arrived, rest): (Vec<_>, Vec<_>) =
-                under_way.into_iter().partition(|(arrival, _, _)| *arrival <= now);
-            under_way = rest;
+                in_flight.into_iter().partition(|(arrival, _, _)| *arrival <= now);
+            in_flight = rest;
             for (_, asked, position) in arrived {
                 observations.record(at(asked), position);
             }
             let Some(floor) = observations.floor(at(now - staleness)) else { continue };
-            // What any log of the present history that holds the floor lacks.
+            // Commits that a log of the current history may lack if it ends at the floor.
             let Some(index) = log.iter().position(|commit| commit.position == floor) else { continue };
             let missing = log[index + 1..].iter().find(|commit| commit.time < now - staleness);
             prop_assert!(missing.is_none(), "floor {floor} misses {missing:?} at {now}");
