--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -1,77 +1,76 @@
-//! Lending of what all nodes together may use: one node lends, ahead of need or on
-//! demand, and the others borrow. A loan that is not used in time is void, and the
-//! lender lends no more than its supply brings, so that the sum over any window is
-//! bounded however many nodes there are.
+//! Rate limiting across nodes by loans: one node, the lender, holds the budget, and the
+//! other nodes borrow operations from it on demand or ahead of demand. Unused loans expire,
+//! and the lender lends no more than its supply allows, so the total over any window is
+//! bounded whatever the number of nodes.
 
 use std::collections::VecDeque;
 
 use crate::Instant;
 
-/// Longest time after which a caller is told to come back, in milliseconds.
-const MOST_RETRY_AFTER_MS: u64 = 5_000;
-/// Refusals are counted over windows of this length, in milliseconds.
-const REFUSALS_MS: u64 = 1_000;
+/// Longest retry delay that a refused caller is given, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 5_000;
+/// Length of the windows over which refusals are counted, in milliseconds.
+const REFUSAL_WINDOW_MS: u64 = 1_000;
 
-/// What a lender may lend.
+/// Limits on what a lender may lend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Supply {
-    /// Operations a second.
+    /// Refill rate, in operations per second.
     pub rate_per_s: f64,
-    /// Operations that are saved up at most.
+    /// Maximum number of operations that accumulate while they are not lent.
     pub most_saved: f64,
-    /// Operations that a budget begins with where another may have lent a moment ago.
+    /// Operations in a new budget if another node may have lent a moment ago.
     pub first_loan: f64,
 }
 
-/// How a node borrows.
+/// Parameters of a borrowing node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BorrowingTerms {
-    /// A loan must be spent within this time from when it was asked for, in
-    /// milliseconds.
+    /// How long a loan may be used, counted from its request, in milliseconds.
     pub loan_ms: u64,
-    /// Use is counted over windows of this length, in milliseconds.
+    /// Length of the windows over which usage is counted, in milliseconds.
     pub use_window_ms: u64,
-    /// Part of what was used in one window that is asked for ahead of need, in percent;
-    /// zero where loans are short, since what is not used is lost.
+    /// Share of one window's usage that is borrowed ahead of demand, in percent. Zero for
+    /// short-lived loans, because unused operations are lost.
     pub ahead_percent: u32,
-    /// A node that got nothing asks again after this time, in milliseconds.
+    /// How long a node waits after a denied loan before it asks again, in milliseconds.
     pub denied_pause_ms: u64,
 }
 
-/// What a lender lends.
+/// A lender's answer to a request for operations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Loan {
-    /// Operations that may be admitted.
+    /// Number of operations that the borrower may admit.
     pub operations: u32,
-    /// When callers that are refused may come back, in milliseconds.
+    /// Retry delay for callers that are refused, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// What a budget holds when it begins.
+/// Initial content of a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Beginning {
-    /// Nothing: many nodes may begin one at the same moment.
+    /// Nothing, because many nodes may create such a budget at the same moment.
     Empty,
-    /// A little: another node may have lent all of it a moment ago.
+    /// [`Supply::first_loan`], because another node may have lent the full supply a moment ago.
     FirstLoan,
-    /// All: nobody has lent any of it lately.
+    /// [`Supply::most_saved`], because no node has lent from this supply recently.
     Unspent,
 }
 
-/// What is left to lend, at the node that lends.
+/// The operations that a lender has left to lend.
 #[derive(Debug)]
 pub struct Budget {
     available: f64,
-    refilled: Instant,
-    /// Operations that were asked for and not lent, in this window of refusals and
-    /// in the one before.
+    last_refill: Instant,
+    /// Operations requested and not lent in the current window of refusals.
     refused: u64,
-    refused_before: u64,
-    refusals_began: Instant,
+    /// Operations requested and not lent in the window before.
+    refused_in_previous_window: u64,
+    refusal_window_start: Instant,
 }
 
 impl Budget {
-    /// A budget that begins at `now`.
+    /// Creates a budget at `now`.
     pub fn new(supply: Supply, beginning: Beginning, now: Instant) -> Self {
         Budget {
             available: match beginning {
@@ -79,19 +78,19 @@
                 Beginning::FirstLoan => supply.first_loan,
                 Beginning::Unspent => supply.most_saved,
             },
-            refilled: now,
+            last_refill: now,
             refused: 0,
-            refused_before: 0,
-            refusals_began: now,
+            refused_in_previous_window: 0,
+            refusal_window_start: now,
         }
     }
 
-    /// Lends up to `wanted` operations of `supply`, which may have changed.
+    /// Lends up to `wanted` operations. `supply` may differ from the previous call's.
     pub fn lend(&mut self, supply: Supply, wanted: u32, now: Instant) -> Loan {
         self.refill(supply, now);
         let operations = wanted.min(self.available as u32);
         self.available -= f64::from(operations);
-        self.note_refusals(u64::from(wanted - operations), now);
+        self.count_refusals(u64::from(wanted - operations), now);
         Loan {
             operations,
             retry_after_ms: self.retry_after_ms(supply),
@@ -99,78 +98,82 @@
     }
 
     fn refill(&mut self, supply: Supply, now: Instant) {
-        let elapsed_us = now.0.saturating_sub(self.refilled.0);
-        self.refilled = self.refilled.max(now);
+        let elapsed_us = now.0.saturating_sub(self.last_refill.0);
+        self.last_refill = self.last_refill.max(now);
         let added = supply.rate_per_s * elapsed_us as f64 / 1_000_000.0;
         self.available = (self.available + added).min(supply.most_saved);
     }
 
-    fn note_refusals(&mut self, refused: u64, now: Instant) {
-        let age_ms = now.millis_since(self.refusals_began);
-        if age_ms >= REFUSALS_MS {
-            self.refused_before = if age_ms < 2 * REFUSALS_MS { self.refused } else { 0 };
+    fn count_refusals(&mut self, refused: u64, now: Instant) {
+        let age_ms = now.millis_since(self.refusal_window_start);
+        if age_ms >= REFUSAL_WINDOW_MS {
+            self.refused_in_previous_window = if age_ms < 2 * REFUSAL_WINDOW_MS {
+                self.refused
+            } else {
+                0
+            };
             self.refused = 0;
-            self.refusals_began = now;
+            self.refusal_window_start = now;
         }
         self.refused += refused;
     }
 
-    /// Time in which the rate would serve all that were refused lately: those that
-    /// come back then find operations, and they don't come back at one moment.
+    /// Returns the time in which the refill rate serves all recent refusals, so that callers that
+    /// retry find operations available and do not all retry at the same moment.
     fn retry_after_ms(&self, supply: Supply) -> u32 {
-        let waiting = self.refused.max(self.refused_before) as f64 + 1.0;
+        let waiting = self.refused.max(self.refused_in_previous_window) as f64 + 1.0;
         let wait_ms = waiting * 1_000.0 / supply.rate_per_s.max(0.001);
-        wait_ms.min(MOST_RETRY_AFTER_MS as f64) as u32
+        wait_ms.min(MAX_RETRY_AFTER_MS as f64) as u32
     }
 }
 
-/// What becomes of an operation that a caller asks for.
+/// Decision on an operation that a caller requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run.
+    /// The operation may run.
     Admitted,
-    /// Nothing is left for it; its caller may come back after this time.
+    /// No operation is available; the caller may retry later.
     Refused {
-        /// In milliseconds.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The lender must be asked first.
+    /// The lender must be asked for a loan first.
     AskFirst,
 }
 
-/// A node's loans of one lender.
+/// One node's loans from one lender.
 #[derive(Debug)]
 pub struct Allowance {
     terms: BorrowingTerms,
-    /// Operations left of each loan, with the time until which they may be used.
+    /// Operations left in each loan, and when the loan expires.
     loans: VecDeque<(u32, Instant)>,
-    /// Nothing was lent: refused until the first time, told the second.
+    /// After a denied loan: until when callers are refused, and their retry delay in milliseconds.
     denied: Option<(Instant, u32)>,
     used: u32,
-    used_before: u32,
-    use_began: Instant,
+    used_in_previous_window: u32,
+    usage_window_start: Instant,
 }
 
 impl Allowance {
-    /// Nothing is lent yet.
+    /// Creates an allowance without loans.
     pub fn new(terms: BorrowingTerms) -> Self {
         Allowance {
             terms,
             loans: VecDeque::new(),
             denied: None,
             used: 0,
-            used_before: 0,
-            use_began: Instant::default(),
+            used_in_previous_window: 0,
+            usage_window_start: Instant::default(),
         }
     }
 
-    /// Takes in that a caller asks for an operation.
+    /// Counts an operation that a caller requests.
     pub fn arrived(&mut self, now: Instant) {
-        self.turn_window(now);
+        self.advance_usage_window(now);
         self.used += 1;
     }
 
-    /// Admits one operation if there is a loan for it.
+    /// Admits one operation if a loan covers it.
     pub fn admit(&mut self, now: Instant) -> Admission {
         while let Some((left, until)) = self.loans.front_mut() {
             if *until <= now || *left == 0 {
@@ -186,25 +189,25 @@
         }
     }
 
-    /// Operations to ask for while `waiting` callers wait for the answer: theirs,
-    /// and a part of what was used in the last window.
+    /// Returns the number of operations to request from the lender: one for each of the
+    /// `waiting` callers, and a share of recent usage ahead of demand.
     pub fn wanted(&mut self, waiting: u32, now: Instant) -> u32 {
-        self.turn_window(now);
-        let ahead = self.ahead();
+        self.advance_usage_window(now);
+        let ahead = self.ahead_of_demand();
         (waiting + ahead).max(1)
     }
 
-    /// Whether a loan should be asked for before the present ones are spent: no more
-    /// than half of what is asked for ahead is left.
+    /// Returns whether to borrow ahead of demand before the present loans are used up: less than
+    /// half of the share requested ahead of demand is left, and no denial is in force.
     pub fn is_low(&mut self, now: Instant) -> bool {
-        self.turn_window(now);
+        self.advance_usage_window(now);
         let valid = self.loans.iter().filter(|(_, until)| *until > now);
         let left: u32 = valid.map(|(left, _)| *left).sum();
-        let ahead = self.ahead() / 2;
+        let ahead = self.ahead_of_demand() / 2;
         ahead > 0 && left < ahead && self.denied.is_none_or(|(until, _)| until <= now)
     }
 
-    /// Takes in the answer to a question sent at `asked`.
+    /// Records the lender's answer to a request sent at `asked`.
     pub fn lent(&mut self, loan: Loan, asked: Instant, now: Instant) {
         if loan.operations > 0 {
             self.loans
@@ -215,22 +218,22 @@
         }
     }
 
-    fn ahead(&self) -> u32 {
-        let used = u64::from(self.used.max(self.used_before));
+    fn ahead_of_demand(&self) -> u32 {
+        let used = u64::from(self.used.max(self.used_in_previous_window));
         (used * u64::from(self.terms.ahead_percent) / 100) as u32
     }
 
-    fn turn_window(&mut self, now: Instant) {
-        let age_ms = now.millis_since(self.use_began);
+    fn advance_usage_window(&mut self, now: Instant) {
+        let age_ms = now.millis_since(self.usage_window_start);
         if age_ms < self.terms.use_window_ms {
             return;
         }
-        self.used_before = if age_ms < 2 * self.terms.use_window_ms {
+        self.used_in_previous_window = if age_ms < 2 * self.terms.use_window_ms {
             self.used
         } else {
             0
         };
         self.used = 0;
-        self.use_began = now;
+        self.usage_window_start = now;
     }
 }
