--- a/crates/millwind-core/src/group_view.rs
+++ b/crates/millwind-core/src/group_view.rs
@@ -1,5 +1,5 @@
-//! One node's view of a database group: who leads, who has replayed how far,
-//! and how stale each replica is.
+//! One node's view of a database group: which instance is the primary, how far each instance
+//! has replayed the log, and how stale each replica is.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,12 +7,12 @@
 use crate::ids::InstanceName;
 use crate::position::{Coverage, LogPosition, Position, Term, TermStart, coverage};
 
-/// How many samples of the primary's position are kept for staleness.
-const PRIMARY_SAMPLES: usize = 256;
-/// A status older than this says nothing about the present, in milliseconds.
+/// Number of samples of the primary's position that are kept to determine staleness.
+const MAX_PRIMARY_SAMPLES: usize = 256;
+/// Age above which a status is no longer current, in milliseconds.
 pub const STATUS_LIFETIME_MS: u64 = 2_000;
 
-/// Whether an instance accepts writes.
+/// Role of an instance in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Accepts writes.
@@ -21,26 +21,26 @@
     Replica,
 }
 
-/// One answer of an instance to the status question.
+/// An instance's answer to a status query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// Role the instance believes it has.
+    /// The role that the instance reports.
     pub role: Role,
-    /// Term and replayed (or written) position.
+    /// The term, and the position up to which the log is replayed or, on a primary, written.
     pub position: Position,
-    /// How far the instance has received the log; its own end for a primary.
+    /// The position up to which the instance has received the log; on a primary, the log's end.
     pub received: LogPosition,
-    /// Where the terms known to the instance began.
+    /// Where the terms known to the instance started.
     pub history: Vec<TermStart>,
 }
 
 #[derive(Debug, Clone)]
 struct Member {
     status: Option<(Instant, InstanceStatus)>,
-    leaving: bool,
+    is_leaving: bool,
 }
 
-/// What is known of a group on one node.
+/// One node's knowledge of a group.
 #[derive(Debug, Clone)]
 pub struct GroupView {
     members: BTreeMap<InstanceName, Member>,
@@ -48,11 +48,11 @@
 }
 
 impl GroupView {
-    /// A view of a group with these instances, of which nothing is known yet.
+    /// Creates a view of a group with these instances and no status of any of them.
     pub fn new(instances: impl IntoIterator<Item = InstanceName>) -> Self {
         let empty = Member {
             status: None,
-            leaving: false,
+            is_leaving: false,
         };
         GroupView {
             members: instances.into_iter().map(|name| (name, empty.clone())).collect(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes in a status answer received at `now`.
+    /// Records a status answer received at `now`.
     pub fn observe(&mut self, now: Instant, instance: &InstanceName, status: InstanceStatus) {
         let Some(member) = self.members.get_mut(instance) else {
             return;
@@ -69,32 +69,32 @@
         let role = status.role;
         member.status = Some((now, status));
         if role == Role::Primary && position.term == self.highest_term() {
-            self.sample_primary(now, position);
+            self.record_primary_sample(now, position);
         }
     }
 
-    /// Takes in that `instance` did not answer: its last status is dropped.
+    /// Records that `instance` did not answer, and drops its last status.
     pub fn unreachable(&mut self, instance: &InstanceName) {
         if let Some(member) = self.members.get_mut(instance) {
             member.status = None;
         }
     }
 
-    /// Marks an instance as leaving, or as staying again.
-    pub fn set_leaving(&mut self, instance: &InstanceName, leaving: bool) {
+    /// Sets whether an instance is leaving.
+    pub fn set_leaving(&mut self, instance: &InstanceName, is_leaving: bool) {
         if let Some(member) = self.members.get_mut(instance) {
-            member.leaving = leaving;
+            member.is_leaving = is_leaving;
         }
     }
 
-    fn sample_primary(&mut self, now: Instant, position: Position) {
-        if self.primary_samples.len() == PRIMARY_SAMPLES {
+    fn record_primary_sample(&mut self, now: Instant, position: Position) {
+        if self.primary_samples.len() == MAX_PRIMARY_SAMPLES {
             self.primary_samples.pop_front();
         }
         self.primary_samples.push_back((now, position));
     }
 
-    /// The highest term any instance has shown.
+    /// Returns the highest term in any instance's last status.
     pub fn highest_term(&self) -> Term {
         self.members
             .values()
@@ -104,47 +104,47 @@
             .unwrap_or_default()
     }
 
-    /// The primary of the highest term shown, if it and a majority were heard
-    /// lately.
+    /// Returns the primary of the highest known term, if its status and those of a majority of
+    /// the instances are recent and it is not leaving.
     ///
-    /// Must hold because an instance that leads a lower term is an old primary,
-    /// and without a majority nobody can tell whether there is a higher one.
+    /// An instance that leads a lower term is a former primary, and without a majority of recent
+    /// statuses a higher term may exist that this node does not know.
     pub fn primary(&self, now: Instant) -> Option<(&InstanceName, Term)> {
-        let heard = self
+        let recent = self
             .members
             .values()
             .filter_map(|member| member.status.as_ref())
-            .filter(|(heard, _)| now.millis_since(*heard) <= STATUS_LIFETIME_MS)
+            .filter(|(received_at, _)| now.millis_since(*received_at) <= STATUS_LIFETIME_MS)
             .count();
-        if heard * 2 <= self.members.len() {
+        if recent * 2 <= self.members.len() {
             return None;
         }
         let highest = self.highest_term();
         self.members.iter().find_map(|(name, member)| {
-            let (heard, status) = member.status.as_ref()?;
-            let fresh = now.millis_since(*heard) <= STATUS_LIFETIME_MS;
-            let leads = status.role == Role::Primary && status.position.term == highest;
-            (fresh && leads && !member.leaving).then_some((name, highest))
+            let (received_at, status) = member.status.as_ref()?;
+            let is_fresh = now.millis_since(*received_at) <= STATUS_LIFETIME_MS;
+            let is_primary = status.role == Role::Primary && status.position.term == highest;
+            (is_fresh && is_primary && !member.is_leaving).then_some((name, highest))
         })
     }
 
-    /// The last status of an instance and when it came.
+    /// Returns an instance's last status and when it was received.
     pub fn status(&self, instance: &InstanceName) -> Option<&(Instant, InstanceStatus)> {
         self.members.get(instance)?.status.as_ref()
     }
 
-    /// Names of the group's instances.
+    /// Iterates over the names of the group's instances.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceName> {
         self.members.keys()
     }
 
-    /// Whether an instance is leaving.
+    /// Returns whether an instance is leaving.
     pub fn is_leaving(&self, instance: &InstanceName) -> bool {
-        self.members.get(instance).is_some_and(|member| member.leaving)
+        self.members.get(instance).is_some_and(|member| member.is_leaving)
     }
 
-    /// How far an instance at `position` is behind the primary, in
-    /// milliseconds; none when no sample tells.
+    /// Returns how far an instance at `position` is behind the primary, in milliseconds, or
+    /// `None` if the instance covers none of the kept samples.
     pub fn staleness_ms(&self, now: Instant, position: Position, history: &[TermStart]) -> Option<u64> {
         self.primary_samples
             .iter()
--- a/crates/millwind-core/src/invariant.rs
+++ b/crates/millwind-core/src/invariant.rs
@@ -1,35 +1,35 @@
-//! The nine properties that must always hold, by name.
+//! The invariants of the proxy, by name.
 //!
-//! The model checker, the fuzz tests and the experiments all report against
-//! this one list, so that a report can say what was checked where.
+//! The model checker, the fuzz tests and the experiments report violations against this
+//! common list.
 
 use std::fmt;
 
 /// A property that must hold at all times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// A session reads its own writes, also through another proxy.
+    /// A session reads its own writes, even through another proxy.
     ReadYourWrites,
-    /// No write is acknowledged by an old primary.
+    /// An old primary acknowledges no write.
     NoOldPrimaryAcknowledgement,
     /// Transactions of different callers never share a back-end transaction.
     TransactionIsolation,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete answer to its own request.
     WholeOwnAnswer,
-    /// A refusal that says "not run" is true.
+    /// A request that is reported as "not run" has not run.
     NotRunIsTrue,
-    /// A request that may not be repeated runs at most once.
+    /// A request that is not safe to repeat runs at most once.
     AtMostOnce,
     /// A leaving back end gets no new work after a few seconds.
     LeavingGetsNoWork,
-    /// A planned stop cuts no request.
+    /// A planned shutdown interrupts no request.
     PlannedStopCutsNothing,
-    /// An accepted configuration is in force everywhere and never reverts.
+    /// An accepted configuration is in force on every node and is never reverted.
     ConfigurationInForce,
 }
 
 impl Invariant {
-    /// Every property, in the order of the users' brief.
+    /// All invariants, in order of declaration.
     pub const ALL: [Invariant; 9] = [
         Invariant::ReadYourWrites,
         Invariant::NoOldPrimaryAcknowledgement,
@@ -42,7 +42,7 @@
         Invariant::ConfigurationInForce,
     ];
 
-    /// The name used in reports and JSON.
+    /// Returns the name used in reports and JSON.
     pub const fn name(self) -> &'static str {
         match self {
             Invariant::ReadYourWrites => "read_your_writes",
