--- a/crates/millwind-core/src/membership.rs
+++ b/crates/millwind-core/src/membership.rs
@@ -1,11 +1,11 @@
-//! Membership: which nodes are alive, found by pings within a zone and spread
-//! by news that rides on them.
+//! Membership and failure detection: nodes detect failures by pings within their zone, and
+//! membership updates are piggybacked on the pings and acknowledgements.
 //!
-//! A node pings one peer of its zone per interval, so its cost does not grow
-//! with the deployment. Only a node's own zone declares it dead, so a zone
-//! that is cut off does not declare the rest dead. A node's incarnation beats
-//! every older word about it, so a paused or restarted node is never held to
-//! what was said before. Relays carry news between zones.
+//! A node pings one peer of its zone per interval, so its load does not grow with the
+//! deployment. Only a node's own zone declares it dead, so a partitioned zone does not
+//! declare the other zones dead. A record with a higher incarnation overrides every earlier
+//! record of the node, so a paused or restarted node can refute outdated records about
+//! itself. Relays carry updates between zones.
 
 use std::collections::BTreeMap;
 
@@ -20,24 +20,24 @@
 use crate::ids::NodeName;
 use crate::placement;
 
-/// Fewest relays per zone; relays watch the platform and carry news between
+/// Minimum number of relays per zone. Relays watch the platform and carry updates between
 /// zones.
 pub const MINIMUM_RELAYS: usize = 3;
-/// A zone has one relay for this many nodes, if that is more.
+/// A zone has one relay per this many nodes, if that is more than [`MINIMUM_RELAYS`].
 pub const NODES_PER_RELAY: usize = 36;
 const UPDATES_PER_MESSAGE: usize = 6;
 const INDIRECT_PROBES: usize = 2;
 
-/// Times of the failure detector, in milliseconds.
+/// Timing of the failure detector, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipTimes {
-    /// Between two pings of a node.
+    /// Time between two pings of a node.
     pub ping_interval_ms: u64,
-    /// Until a ping is tried through others.
+    /// Time without an acknowledgement until a ping is tried through other nodes.
     pub acknowledge_timeout_ms: u64,
-    /// From suspect to dead.
+    /// Time until a suspect member is declared dead.
     pub suspect_ms: u64,
-    /// Until a dead member is forgotten.
+    /// Time until a dead member is removed from the table.
     pub forget_ms: u64,
 }
 
@@ -52,21 +52,21 @@
     }
 }
 
-/// A message to another node.
+/// A message to send to another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Receiver.
+    /// The receiving node.
     pub to: NodeName,
-    /// Its peer address.
+    /// Address of the receiver's peer listener.
     pub address: String,
-    /// What to say.
+    /// The message.
     pub message: ControlMessage,
 }
 
 #[derive(Debug, Clone)]
 struct Member {
     record: MemberRecord,
-    since: Instant,
+    updated_at: Instant,
 }
 
 #[derive(Debug, Clone)]
@@ -78,15 +78,16 @@
     may_suspect: bool,
 }
 
+/// A ping that this node sends on behalf of another node.
 #[derive(Debug, Clone)]
-struct Relayed {
+struct IndirectPing {
     sequence: u64,
-    origin: String,
-    origin_sequence: u64,
+    requester: String,
+    requester_sequence: u64,
     sent: Instant,
 }
 
-/// Whether what was heard is news to pass on.
+/// Whether a received record is passed on to other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Spread {
     Yes,
@@ -94,77 +95,77 @@
 }
 
 #[derive(Debug, Clone)]
-struct News {
+struct PendingUpdate {
     record: MemberRecord,
     sends_left: usize,
 }
 
-/// The member table of one node and its failure detector.
+/// One node's member table and failure detector.
 #[derive(Debug, Clone)]
 pub struct Membership {
     own: MemberRecord,
     times: MembershipTimes,
     members: BTreeMap<String, Member>,
     probes: Vec<Probe>,
-    relayed: Vec<Relayed>,
-    news: Vec<News>,
-    /// Zones with their regions.
+    indirect_pings: Vec<IndirectPing>,
+    pending_updates: Vec<PendingUpdate>,
+    /// The known zones with their regions.
     zones: BTreeMap<String, String>,
-    order: Vec<String>,
+    ping_order: Vec<String>,
     next_ping: Instant,
     sequence: u64,
     hash: u64,
     changed: bool,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl Membership {
-    /// A table that holds only the node itself.
+    /// Creates a table that holds only the node itself.
     pub fn new(own: MemberRecord, times: MembershipTimes, seed: u64) -> Self {
         let hash = record_hash(&own);
         Membership {
             times,
             members: BTreeMap::new(),
             probes: Vec::new(),
-            relayed: Vec::new(),
-            news: Vec::new(),
+            indirect_pings: Vec::new(),
+            pending_updates: Vec::new(),
             zones: BTreeMap::from([(own.zone.clone(), own.region.clone())]),
             own,
-            order: Vec::new(),
+            ping_order: Vec::new(),
             next_ping: Instant::default(),
             sequence: 0,
             hash,
             changed: true,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The node's own record.
+    /// Returns the node's own record.
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Hash over the table, to compare with another node's.
+    /// Returns a hash of the table, to compare with another node's.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// True once after the table changed.
+    /// Returns whether the table has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Records of all members, the node itself first.
+    /// Iterates over the records of all members, starting with the node itself.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         std::iter::once(&self.own).chain(self.members.values().map(|member| &member.record))
     }
 
-    /// Members not believed dead, the node itself included.
+    /// Iterates over the members that are not considered dead, including the node itself.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|record| record.liveness != Liveness::Dead)
     }
 
-    /// The record of a member, if known.
+    /// Returns the record of a member, if known.
     pub fn record(&self, node: &str) -> Option<&MemberRecord> {
         if node == self.own.node {
             return Some(&self.own);
@@ -172,7 +173,8 @@
         self.members.get(node).map(|member| &member.record)
     }
 
-    /// The relays of `zone`, best first, out of its live members.
+    /// Returns the relays of `zone`, highest ranked first, chosen from its live members that are
+    /// not leaving.
     pub fn relays(&self, zone: &str) -> Vec<NodeName> {
         let names: Vec<NodeName> = self
             .live()
@@ -186,25 +188,25 @@
             .collect()
     }
 
-    /// Whether this node is a relay of its zone.
+    /// Returns whether this node is a relay of its zone.
     pub fn is_relay(&self) -> bool {
         self.relays(&self.own.zone)
             .iter()
             .any(|relay| relay.as_str() == self.own.node)
     }
 
-    /// The zones known, with their regions.
+    /// Returns the known zones with their regions.
     pub fn zones(&self) -> &BTreeMap<String, String> {
         &self.zones
     }
 
-    /// Marks the node itself as leaving, and tells the others.
+    /// Marks this node as leaving and queues the update for other nodes.
     pub fn leave(&mut self) {
         self.own.leaving = 1;
         self.raise_incarnation(self.own.incarnation);
     }
 
-    /// The node's own word that it has stopped.
+    /// Returns the message by which this node announces that it has stopped.
     pub fn goodbye(&self) -> ControlMessage {
         ControlMessage::Table {
             members: vec![MemberRecord {
@@ -222,50 +224,50 @@
         self.own.liveness = Liveness::Alive;
         self.hash ^= record_hash(&self.own);
         let own = self.own.clone();
-        self.spread(own);
+        self.queue_update(own);
         self.changed = true;
     }
 
-    /// The message with which a newcomer introduces itself to a seed.
+    /// Returns the message by which a new node introduces itself to a seed.
     pub fn join(&self) -> ControlMessage {
         ControlMessage::Join {
             record: self.own.clone(),
         }
     }
 
-    /// The whole table as a message.
+    /// Returns a message with the whole table.
     pub fn table(&self) -> ControlMessage {
         ControlMessage::Table {
             members: self.records().cloned().collect(),
         }
     }
 
-    /// Lets time pass.
+    /// Advances the timers to `now` and returns the messages to send.
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        self.chase_probes(now, &mut out);
-        self.age_members(now);
+        self.check_probes(now, &mut out);
+        self.expire_members(now);
         if now >= self.next_ping {
             self.next_ping = now.plus_millis(self.times.ping_interval_ms);
             self.ping_in_zone(now, &mut out);
             self.ping_other_zone(now, &mut out);
         }
         let lifetime = self.times.ping_interval_ms * 4;
-        self.relayed
-            .retain(|relayed| now.millis_since(relayed.sent) < lifetime);
+        self.indirect_pings
+            .retain(|ping| now.millis_since(ping.sent) < lifetime);
         out
     }
 
     fn ping_in_zone(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        let Some(target) = self.next_in_order() else {
+        let Some(target) = self.next_ping_target() else {
             return;
         };
         self.ping(now, target, true, out);
     }
 
-    fn next_in_order(&mut self) -> Option<String> {
+    fn next_ping_target(&mut self) -> Option<String> {
         for _ in 0..2 {
-            while let Some(candidate) = self.order.pop() {
+            while let Some(candidate) = self.ping_order.pop() {
                 let alive = self
                     .members
                     .get(&candidate)
@@ -274,14 +276,14 @@
                     return Some(candidate);
                 }
             }
-            self.order = self
+            self.ping_order = self
                 .members
                 .values()
                 .filter(|member| member.record.zone == self.own.zone)
                 .filter(|member| member.record.liveness != Liveness::Dead)
                 .map(|member| member.record.node.clone())
                 .collect();
-            self.order.shuffle(&mut self.random);
+            self.ping_order.shuffle(&mut self.rng);
         }
         None
     }
@@ -298,14 +300,14 @@
         if others.is_empty() {
             return;
         }
-        let index = self.random.random_range(0..others.len());
+        let index = self.rng.random_range(0..others.len());
         self.ping(now, others[index].clone(), false, out);
     }
 
     fn ping(&mut self, now: Instant, target: String, may_suspect: bool, out: &mut Vec<Outgoing>) {
         self.sequence += 1;
         let sequence = self.sequence;
-        let updates = self.take_news();
+        let updates = self.take_updates();
         self.send(&target, ControlMessage::Ping { sequence, updates }, out);
         self.probes.push(Probe {
             sequence,
@@ -326,7 +328,7 @@
         }
     }
 
-    fn chase_probes(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    fn check_probes(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         let probes = std::mem::take(&mut self.probes);
         for mut probe in probes {
             let waited = now.millis_since(probe.sent);
@@ -338,27 +340,27 @@
             }
             if waited >= self.times.acknowledge_timeout_ms && !probe.indirect && probe.may_suspect {
                 probe.indirect = true;
-                self.probe_through_others(&probe, out);
+                self.request_indirect_pings(&probe, out);
             }
             self.probes.push(probe);
         }
     }
 
-    fn probe_through_others(&mut self, probe: &Probe, out: &mut Vec<Outgoing>) {
-        let mut helpers: Vec<String> = self
+    fn request_indirect_pings(&mut self, probe: &Probe, out: &mut Vec<Outgoing>) {
+        let mut intermediaries: Vec<String> = self
             .members
             .values()
             .filter(|member| member.record.zone == self.own.zone)
             .filter(|member| member.record.liveness == Liveness::Alive && member.record.node != probe.target)
             .map(|member| member.record.node.clone())
             .collect();
-        helpers.shuffle(&mut self.random);
-        for helper in helpers.iter().take(INDIRECT_PROBES) {
+        intermediaries.shuffle(&mut self.rng);
+        for intermediary in intermediaries.iter().take(INDIRECT_PROBES) {
             let request = ControlMessage::PingRequest {
                 sequence: probe.sequence,
                 target: probe.target.clone(),
             };
-            self.send(helper, request, out);
+            self.send(intermediary, request, out);
         }
     }
 
@@ -373,11 +375,11 @@
         }
     }
 
-    fn age_members(&mut self, now: Instant) {
+    fn expire_members(&mut self, now: Instant) {
         let mut dead = Vec::new();
         let mut forgotten = Vec::new();
         for member in self.members.values() {
-            let age = now.millis_since(member.since);
+            let age = now.millis_since(member.updated_at);
             match member.record.liveness {
                 Liveness::Suspect if age >= self.times.suspect_ms && member.record.zone == self.own.zone => {
                     dead.push(member.record.clone());
@@ -407,13 +409,13 @@
             .collect();
     }
 
-    /// Takes in a message from `from`.
+    /// Handles a message from `from` and returns the messages to send.
     pub fn receive(&mut self, now: Instant, from: &str, message: &ControlMessage) -> Vec<Outgoing> {
         let mut out = Vec::new();
         match message {
             ControlMessage::Ping { sequence, updates } => {
                 self.merge_all(now, updates);
-                let updates = self.take_news();
+                let updates = self.take_updates();
                 let reply = ControlMessage::Acknowledge {
                     sequence: *sequence,
                     updates,
@@ -425,7 +427,7 @@
                 self.acknowledged(*sequence, &mut out);
             }
             ControlMessage::PingRequest { sequence, target } => {
-                self.ping_for(now, from, *sequence, target, &mut out);
+                self.ping_on_behalf(now, from, *sequence, target, &mut out);
             }
             ControlMessage::Join { record } => {
                 self.merge(now, record.clone(), Spread::Yes);
@@ -434,7 +436,7 @@
             }
             ControlMessage::Table { members } => {
                 for record in members {
-                    // Known to the sender already: not news to spread.
+                    // The sender has these records already and spreads them itself.
                     self.merge(now, record.clone(), Spread::No);
                 }
             }
@@ -446,34 +448,34 @@
     fn acknowledged(&mut self, sequence: u64, out: &mut Vec<Outgoing>) {
         self.probes.retain(|probe| probe.sequence != sequence);
         let Some(index) = self
-            .relayed
+            .indirect_pings
             .iter()
-            .position(|relayed| relayed.sequence == sequence)
+            .position(|ping| ping.sequence == sequence)
         else {
             return;
         };
-        let relayed = self.relayed.swap_remove(index);
+        let ping = self.indirect_pings.swap_remove(index);
         let reply = ControlMessage::Acknowledge {
-            sequence: relayed.origin_sequence,
+            sequence: ping.requester_sequence,
             updates: Vec::new(),
         };
-        self.send(&relayed.origin, reply, out);
+        self.send(&ping.requester, reply, out);
     }
 
-    fn ping_for(
+    fn ping_on_behalf(
         &mut self,
         now: Instant,
-        origin: &str,
-        origin_sequence: u64,
+        requester: &str,
+        requester_sequence: u64,
         target: &str,
         out: &mut Vec<Outgoing>,
     ) {
         self.sequence += 1;
         let sequence = self.sequence;
-        self.relayed.push(Relayed {
+        self.indirect_pings.push(IndirectPing {
             sequence,
-            origin: origin.to_owned(),
-            origin_sequence,
+            requester: requester.to_owned(),
+            requester_sequence,
             sent: now,
         });
         let ping = ControlMessage::Ping {
@@ -489,10 +491,12 @@
         }
     }
 
-    /// Takes in what is said of a member; news is spread further.
+    /// Merges a received record into the table and, with [`Spread::Yes`], queues the result for
+    /// other nodes.
     ///
-    /// Must hold because a paused or restarted node's old word never wins: a
-    /// higher incarnation replaces all, an equal one only adds suspicion.
+    /// A record with a higher incarnation replaces the stored record, and one with a lower
+    /// incarnation is ignored. With the same incarnation only liveness and leaving can advance, so
+    /// outdated records of a paused or restarted node have no effect.
     fn merge(&mut self, now: Instant, record: MemberRecord, spread: Spread) {
         if record.node == self.own.node {
             if record.liveness != Liveness::Alive && record.incarnation >= self.own.incarnation {
@@ -503,67 +507,69 @@
         let merged = match self.members.get(&record.node) {
             None if record.liveness == Liveness::Dead => return,
             None => record,
-            Some(held) => match combine(&held.record, &record) {
+            Some(stored) => match merge_records(&stored.record, &record) {
                 Some(combined) => combined,
                 None => return,
             },
         };
-        if let Some(held) = self.members.get(&merged.node) {
-            self.hash ^= record_hash(&held.record);
+        if let Some(stored) = self.members.get(&merged.node) {
+            self.hash ^= record_hash(&stored.record);
         }
         self.hash ^= record_hash(&merged);
         self.changed = true;
         if spread == Spread::Yes {
-            self.spread(merged.clone());
+            self.queue_update(merged.clone());
         }
         self.zones.insert(merged.zone.clone(), merged.region.clone());
         self.members.insert(
             merged.node.clone(),
             Member {
                 record: merged,
-                since: now,
+                updated_at: now,
             },
         );
     }
 
-    fn spread(&mut self, record: MemberRecord) {
+    fn queue_update(&mut self, record: MemberRecord) {
         let members = (self.members.len() + 2) as u32;
         let sends_left = 3 * (u32::BITS - members.leading_zeros()) as usize;
-        self.news.retain(|news| news.record.node != record.node);
-        self.news.push(News { record, sends_left });
+        self.pending_updates
+            .retain(|update| update.record.node != record.node);
+        self.pending_updates.push(PendingUpdate { record, sends_left });
     }
 
-    /// The news that has been sent least often goes first.
-    fn take_news(&mut self) -> Vec<MemberRecord> {
-        self.news.sort_by_key(|news| std::cmp::Reverse(news.sends_left));
+    /// Takes the updates for the next message, those sent least often first.
+    fn take_updates(&mut self) -> Vec<MemberRecord> {
+        self.pending_updates
+            .sort_by_key(|update| std::cmp::Reverse(update.sends_left));
         let mut taken = Vec::new();
-        for news in self.news.iter_mut().take(UPDATES_PER_MESSAGE) {
-            news.sends_left -= 1;
-            taken.push(news.record.clone());
+        for update in self.pending_updates.iter_mut().take(UPDATES_PER_MESSAGE) {
+            update.sends_left -= 1;
+            taken.push(update.record.clone());
         }
-        self.news.retain(|news| news.sends_left > 0);
+        self.pending_updates.retain(|update| update.sends_left > 0);
         taken
     }
 }
 
-/// The record that results from hearing `heard` while holding `held`; none
-/// when nothing changes.
-fn combine(held: &MemberRecord, heard: &MemberRecord) -> Option<MemberRecord> {
-    if heard.incarnation < held.incarnation {
+/// Returns the record that results from merging `received` into `stored`, or `None` if
+/// nothing changes.
+fn merge_records(stored: &MemberRecord, received: &MemberRecord) -> Option<MemberRecord> {
+    if received.incarnation < stored.incarnation {
         return None;
     }
-    if heard.incarnation > held.incarnation {
-        return Some(heard.clone());
+    if received.incarnation > stored.incarnation {
+        return Some(received.clone());
     }
-    let liveness = held.liveness.max(heard.liveness);
-    let leaving = held.leaving.max(heard.leaving);
-    if liveness == held.liveness && leaving == held.leaving {
+    let liveness = stored.liveness.max(received.liveness);
+    let leaving = stored.leaving.max(received.leaving);
+    if liveness == stored.liveness && leaving == stored.leaving {
         return None;
     }
     Some(MemberRecord {
         liveness,
         leaving,
-        ..held.clone()
+        ..stored.clone()
     })
 }
 
