--- a/crates/millwind-core/src/owner_ranking.rs
+++ b/crates/millwind-core/src/owner_ranking.rs
@@ -1,11 +1,12 @@
-//! Which nodes own the connections to an instance, and which stand in for them.
+//! Selects the nodes that own the connections to an instance, and the backup owners that
+//! are used while no owner is reachable.
 //!
-//! Every node ranks all nodes alike, from their rendezvous weights and their places, so
-//! that nobody is told who owns what. Owners stand near the instance: an owner
-//! elsewhere adds the way between regions to every statement. Those that stand in stand
-//! outside of the instance's zone, since the zone may be what fails; most of them in its
-//! region, where a customer that allows the instance allows them too, and some beyond,
-//! for when all of the region's nodes are cut off.
+//! Every node computes the same ranking from rendezvous weights and node locations, so
+//! ownership needs no coordination. Owners are the nodes nearest to the instance, because a
+//! remote owner adds inter-region latency to every statement. Backup owners are preferably
+//! located outside the instance's zone, because the whole zone may fail. Most of them are
+//! in the instance's region, which a customer that allows the instance also allows; some
+//! are in other regions, in case all nodes of the region are unreachable.
 
 use std::cmp::Reverse;
 
@@ -13,24 +14,25 @@
 use crate::eligibility::judge_carrier;
 use crate::ids::ZoneName;
 
-/// Those of the nodes that stand in for owners which are taken from the instance's
-/// region before others: most of them, so that a restricted statement finds some that
-/// hold a stand-in's share of connections.
-const STAND_INS_OF_REGION: usize = 3;
+/// Number of backup owners that are taken from the instance's region before any from other
+/// regions. They are the majority, so that statements restricted to the region can use
+/// nodes that hold a backup owner's share of connections.
+const REGIONAL_BACKUP_OWNERS: usize = 3;
 
-/// How near a node stands to an instance.
+/// Location of a node relative to an instance, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Nearness {
-    /// In its zone.
+    /// The node is in the instance's zone.
     Zone,
-    /// In its region.
+    /// The node is in another zone of the instance's region.
     Region,
-    /// Anywhere else, or in a zone without a region.
+    /// The node is in another region, or one of the two zones has no known region.
     Elsewhere,
 }
 
 impl Nearness {
-    /// How near a node in one zone stands to an instance in another.
+    /// Returns the location of a node in zone `node` relative to an instance in zone
+    /// `instance`.
     pub fn between(topology: &Topology, instance: &ZoneName, node: &ZoneName) -> Nearness {
         if instance == node {
             return Nearness::Zone;
@@ -45,71 +47,74 @@
 /// A node that may own connections to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerCandidate {
-    /// Its rendezvous weight for the instance; the heaviest goes first.
+    /// The node's rendezvous weight for the instance; higher weights are preferred.
     pub weight: u64,
-    /// How near it stands.
+    /// The node's location relative to the instance.
     pub nearness: Nearness,
-    /// Whether a statement may pass it: it stands in an allowed region, or it is the
-    /// node that the caller is connected to.
+    /// Whether the statement may be forwarded through this node: the node is in an allowed
+    /// region, or is the node that the client is connected to.
     pub is_allowed: bool,
 }
 
 impl OwnerCandidate {
-    /// Whether a statement that allows `regions` may pass a node of `zone`.
+    /// Returns whether a statement restricted to `regions` may be forwarded through a node
+    /// in `zone`.
     pub fn is_carrier(regions: &AllowedRegions, topology: &Topology, zone: &ZoneName) -> bool {
         judge_carrier(regions, topology.region_of(zone)).is_ok()
     }
 }
 
-/// How many nodes are sought.
+/// The number of nodes to select.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnersSought {
-    /// Nodes that own connections.
+    /// Number of owners.
     pub owners: usize,
-    /// Nodes that stand in while no owner is reached.
+    /// Number of backup owners.
     pub stand_ins: usize,
 }
 
-/// The chosen nodes, as indices among the candidates, first ones first.
+/// The selected nodes, as indices into the candidates, in order of preference.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RankedOwners {
-    /// Those that own connections.
+    /// Owners of connections.
     pub owners: Vec<usize>,
-    /// Those that stand in for them.
+    /// Backup owners, used while no owner is reachable.
     pub stand_ins: Vec<usize>,
 }
 
-/// Chooses among all nodes.
+/// Selects the owners and backup owners of an instance from all nodes.
 ///
-/// The owners of an instance are the same for every statement; one that may not pass
-/// some of them has fewer. In the place of stand-ins that it may not pass it gets
-/// others, nearest first, so that it finds a way as long as any allowed node is up.
+/// The owners are the same for every statement; a statement that may not be forwarded
+/// through some of them has fewer. Backup owners that are not allowed are replaced by the
+/// next allowed node in order of preference, so that a route exists as long as any allowed
+/// node is up.
 pub fn rank_owners(candidates: &[OwnerCandidate], sought: OwnersSought) -> RankedOwners {
     let mut ranked: Vec<usize> = (0..candidates.len()).collect();
     ranked.sort_unstable_by_key(|index| {
         let candidate = &candidates[*index];
         (candidate.nearness, Reverse(candidate.weight))
     });
-    let rest = ranked.split_off(ranked.len().min(sought.owners));
+    let remaining = ranked.split_off(ranked.len().min(sought.owners));
     let is_allowed = |index: &usize| candidates[*index].is_allowed;
     let owners: Vec<usize> = ranked.into_iter().filter(is_allowed).collect();
-    let allowed: Vec<usize> = rest.into_iter().filter(is_allowed).collect();
-    let stand_ins = rank_stand_ins(candidates, &allowed, sought.stand_ins);
+    let allowed: Vec<usize> = remaining.into_iter().filter(is_allowed).collect();
+    let stand_ins = rank_backup_owners(candidates, &allowed, sought.stand_ins);
     RankedOwners { owners, stand_ins }
 }
 
-/// Those that stand in, of `rest` in the order of nearness and weight.
-fn rank_stand_ins(candidates: &[OwnerCandidate], rest: &[usize], count: usize) -> Vec<usize> {
-    let of = |nearness: Nearness| {
+/// Selects up to `count` backup owners from `remaining`, which is sorted by nearness and
+/// weight.
+fn rank_backup_owners(candidates: &[OwnerCandidate], remaining: &[usize], count: usize) -> Vec<usize> {
+    let with_nearness = |nearness: Nearness| {
         let matches = move |index: &&usize| candidates[**index].nearness == nearness;
-        rest.iter().filter(matches).copied()
+        remaining.iter().filter(matches).copied()
     };
-    let first_of_region = of(Nearness::Region).take(STAND_INS_OF_REGION);
-    let other_of_region = of(Nearness::Region).skip(STAND_INS_OF_REGION);
-    first_of_region
-        .chain(of(Nearness::Elsewhere))
-        .chain(other_of_region)
-        .chain(of(Nearness::Zone))
+    let preferred_regional = with_nearness(Nearness::Region).take(REGIONAL_BACKUP_OWNERS);
+    let other_regional = with_nearness(Nearness::Region).skip(REGIONAL_BACKUP_OWNERS);
+    preferred_regional
+        .chain(with_nearness(Nearness::Elsewhere))
+        .chain(other_regional)
+        .chain(with_nearness(Nearness::Zone))
         .take(count)
         .collect()
 }
--- a/crates/millwind-core/src/owner_table.rs
+++ b/crates/millwind-core/src/owner_table.rs
@@ -1,11 +1,11 @@
-//! Who owns an instance, as one node sees it.
+//! Looks up the owner of an instance in one node's view of the membership.
 
 use std::collections::BTreeSet;
 
 use crate::ids::{InstanceName, NodeName, RegionName, ZoneName};
 use crate::placement;
 
-/// A node that may own instances.
+/// A node that may own instances, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct OwnerCandidate {
     pub(crate) node: NodeName,
@@ -13,31 +13,33 @@
     pub(crate) region: RegionName,
 }
 
-/// The nodes that may own instances, as one node sees them.
+/// The nodes that may own instances, according to one node's view of the membership.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OwnerTable {
     pub(crate) candidates: Vec<OwnerCandidate>,
 }
 
 impl OwnerTable {
-    /// Owner of an instance in `zone` of `region`.
+    /// Returns the owner of an instance in `zone` of `region`, or `None` if there are no
+    /// candidates.
     pub fn owner(&self, instance: &InstanceName, zone: &ZoneName, region: &RegionName) -> Option<&NodeName> {
         self.owner_except(instance, zone, region, &BTreeSet::new())
     }
 
-    /// The same, leaving out nodes that could not be reached just now: the
-    /// next in order takes over before the others know.
+    /// Returns the owner like [`OwnerTable::owner`], but skips the nodes in `excluded`.
+    /// Used for nodes that were just found unreachable, before the membership reflects the
+    /// failure.
     pub fn owner_except(
         &self,
         instance: &InstanceName,
         zone: &ZoneName,
         region: &RegionName,
-        avoided: &BTreeSet<NodeName>,
+        excluded: &BTreeSet<NodeName>,
     ) -> Option<&NodeName> {
         let candidates = self
             .candidates
             .iter()
-            .filter(|candidate| !avoided.contains(&candidate.node))
+            .filter(|candidate| !excluded.contains(&candidate.node))
             .map(|candidate| placement::Candidate {
                 node: &candidate.node,
                 zone: &candidate.zone,
--- a/crates/millwind-core/src/placement.rs
+++ b/crates/millwind-core/src/placement.rs
@@ -1,7 +1,7 @@
-//! Which node owns an instance: rendezvous hashing over the live nodes of its
-//! zone, then its region, then anywhere.
+//! Assigns instances to owner nodes by rendezvous hashing.
 //!
-//! Losing one node moves only that node's instances.
+//! Nodes in the instance's zone are preferred, then nodes in its region, then all others.
+//! The loss of a node reassigns only the instances that this node owned.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,13 +12,14 @@
 pub struct Candidate<'a> {
     /// The node.
     pub node: &'a NodeName,
-    /// Zone it runs in.
+    /// Zone that the node runs in.
     pub zone: &'a ZoneName,
-    /// Region of that zone.
+    /// Region that contains the zone.
     pub region: &'a RegionName,
 }
 
-/// The rendezvous score of `node` for `key`; the highest score wins.
+/// Returns the rendezvous score of `node` for `key`; the node with the highest score is
+/// preferred.
 pub fn score(node: &str, key: &str) -> u64 {
     let mut text = String::with_capacity(node.len() + key.len() + 1);
     text.push_str(node);
@@ -27,7 +28,7 @@
     xxh3_64(text.as_bytes())
 }
 
-/// The owner of `instance`, or none when there is no candidate at all.
+/// Returns the owner of `instance`, or `None` if there are no candidates.
 pub fn owner<'a>(
     instance: &InstanceName,
     zone: &ZoneName,
@@ -49,13 +50,14 @@
         .map(|candidate| candidate.node)
 }
 
-/// Connections one owner may open when two nodes may both believe that they
-/// own the instance: half the limit, less what status checks need.
+/// Returns the number of connections that one owner may open: half of the limit that
+/// remains after status checks, and at least one. Two nodes whose membership views differ
+/// may both act as owner, and must stay within the limit together.
 pub fn owner_connection_cap(connection_limit: u32, status_connections: u32) -> u32 {
     (connection_limit.saturating_sub(status_connections) / 2).max(1)
 }
 
-/// The `count` members that act as relays for a key, best first.
+/// Returns the `count` members that act as relays for `key`, highest score first.
 pub fn relays<'a>(key: &str, members: impl Iterator<Item = &'a NodeName>, count: usize) -> Vec<&'a NodeName> {
     let mut scored: Vec<_> = members.map(|node| (score(node.as_str(), key), node)).collect();
     scored.sort_by(|left, right| right.cmp(left));
--- a/crates/millwind-core/src/retry.rs
+++ b/crates/millwind-core/src/retry.rs
@@ -1,10 +1,10 @@
-//! Retry budget: retries stay a fixed share of the traffic, so that a failing
-//! back end is never met by a storm of them.
+//! A retry budget that limits retries to a fixed share of the traffic, which prevents retry
+//! storms against a failing back end.
 
-/// Tokens are counted in thousandths of a retry.
-const MILLI: u64 = 1_000;
+/// The balance is counted in thousandths of a retry.
+const MILLIS_PER_RETRY: u64 = 1_000;
 
-/// A budget that each first attempt pays into and each retry draws from.
+/// A budget that grows with each first attempt and shrinks with each retry.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     percent: u64,
@@ -13,10 +13,10 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries per hundred first attempts, saved up to at
-    /// most `ceiling` retries; it starts full.
+    /// Creates a full budget that allows `percent` retries per hundred first attempts and
+    /// accumulates at most `ceiling` retries.
     pub fn new(percent: u32, ceiling: u32) -> Self {
-        let ceiling_milli = u64::from(ceiling) * MILLI;
+        let ceiling_milli = u64::from(ceiling) * MILLIS_PER_RETRY;
         RetryBudget {
             percent: u64::from(percent),
             balance_milli: ceiling_milli,
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Records a first attempt.
+    /// Credits the budget for a first attempt.
     pub fn deposit(&mut self) {
-        let gained = self.percent * MILLI / 100;
-        self.balance_milli = (self.balance_milli + gained).min(self.ceiling_milli);
+        let credit = self.percent * MILLIS_PER_RETRY / 100;
+        self.balance_milli = (self.balance_milli + credit).min(self.ceiling_milli);
     }
 
-    /// Takes one retry if the budget holds one.
+    /// Takes one retry from the budget. Returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
-        if self.balance_milli < MILLI {
+        if self.balance_milli < MILLIS_PER_RETRY {
             return false;
         }
-        self.balance_milli -= MILLI;
+        self.balance_milli -= MILLIS_PER_RETRY;
         true
     }
 }
--- a/crates/millwind-core/src/routing.rs
+++ b/crates/millwind-core/src/routing.rs
@@ -1,5 +1,5 @@
-//! Where a request runs, and why: each candidate is weighed for and against,
-//! and the decision keeps the reasons so that an operator can watch them.
+//! Ranks a group's instances for a read and records the reason for each rank, so that
+//! operators can see why an instance was chosen or skipped.
 
 use std::fmt;
 
@@ -8,35 +8,36 @@
 use crate::ids::{InstanceName, RegionName, ZoneName};
 use crate::position::{Coverage, Position, TermStart, coverage};
 
-/// What a gateway remembers of an instance, from answers and notices.
+/// A gateway's cached knowledge of an instance, from the instance's responses and from
+/// status updates. May be out of date.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceHint {
     /// The instance.
     pub instance: InstanceName,
-    /// Zone it runs in.
+    /// Zone that the instance runs in.
     pub zone: ZoneName,
-    /// Region of that zone.
+    /// Region that contains the zone.
     pub region: RegionName,
-    /// Whether it led the group's highest term when last heard.
+    /// Whether the instance was the primary of the group's highest term when last observed.
     pub primary: bool,
-    /// Last position heard, with its time.
+    /// Last reported log position and when it was received.
     pub position: Option<(Instant, Position)>,
-    /// Replay lag seen lately, in milliseconds: the expected catch-up time.
+    /// Most recent replay lag in milliseconds, used as the expected catch-up time.
     pub lag_ms: u64,
-    /// Term starts heard with the position.
+    /// Term starts reported together with the position.
     pub history: Vec<TermStart>,
-    /// Leaving instances get no new work.
+    /// Whether the instance is being decommissioned and receives no new requests.
     pub leaving: bool,
-    /// Not used again before this time, after a failure.
+    /// Time until which the instance is skipped after a failure.
     pub banned_until: Instant,
 }
 
-/// Where the gateway itself runs.
+/// The gateway's own location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Locality {
-    /// Own zone.
+    /// Zone that the gateway runs in.
     pub zone: ZoneName,
-    /// Own region.
+    /// Region that the gateway runs in.
     pub region: RegionName,
 }
 
@@ -44,40 +45,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadPolicy {
-    /// The nearest replica that covers the session, the primary as fallback.
+    /// The nearest replica whose position covers the session's; the primary is the
+    /// fallback.
     #[default]
     Replica,
-    /// Always the primary; a baseline for measurements.
+    /// The primary only.
     PrimaryOnly,
 }
 
-/// Why a candidate was put where it is in the order.
+/// The reason for a candidate's rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// Its last known position already covers the session.
+    /// The instance's last known position covers the session's.
     Covers,
-    /// Expected to catch up within the time a read may wait.
+    /// The instance is expected to catch up within the time that the read may wait.
     CatchesUp,
-    /// Nothing is known of its position; it decides for itself.
+    /// The instance's position is unknown; the instance itself checks it when the read
+    /// arrives.
     PositionUnknown,
-    /// Too far behind to catch up in time.
+    /// The instance is not expected to catch up in time.
     TooFarBehind,
-    /// Its term has discarded the session's position.
+    /// The instance's term discarded the log that contained the session's position.
     Discarded,
-    /// The primary: last choice for a read.
+    /// The instance is the primary, which serves reads only if no replica is suitable.
     PrimaryFallback,
-    /// The tenant's policy sends no reads there.
+    /// The tenant's read policy excludes the instance.
     NotAllowed,
-    /// The tenant's terms exclude its region.
+    /// The instance's region is not among the tenant's allowed regions.
     RegionNotAllowed,
-    /// Leaving: gets no new work.
+    /// The instance is being decommissioned.
     Leaving,
-    /// Failed lately and is left alone for a while.
+    /// The instance failed recently and is skipped for a while.
     Banned,
 }
 
 impl Reason {
-    /// Whether a candidate with this reason may be chosen.
+    /// Returns whether a candidate with this reason may serve the read.
     pub const fn eligible(self) -> bool {
         !matches!(
             self,
@@ -116,32 +119,32 @@
     }
 }
 
-/// A candidate with the reason for its place.
+/// A ranked candidate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
     /// The instance.
     pub instance: InstanceName,
-    /// Why it stands here.
+    /// Reason for the candidate's rank.
     pub reason: Reason,
-    /// True when it is the primary.
+    /// Whether the instance is the primary.
     pub primary: bool,
 }
 
-/// What a read asks for.
+/// The constraints of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadRequest {
-    /// The session's token in this group, if it has one.
+    /// Position from the session's token for this group, if the session has one.
     pub token: Option<Position>,
-    /// How long the read may wait for a replica, in milliseconds.
+    /// Longest time that the read may wait for a replica to catch up, in milliseconds.
     pub wait_ms: u64,
-    /// Which instances may serve it.
+    /// The tenant's read policy.
     pub policy: ReadPolicy,
-    /// Regions that the tenant's terms allow.
+    /// Regions in which the read may run.
     pub regions: AllowedRegions,
 }
 
-/// Orders the group's instances for a read, best first; candidates that may
-/// not be used come last with their reason, so that a watcher sees them.
+/// Returns the group's instances ranked for a read, best first. Ineligible instances come
+/// last and keep their reason, so that it can be reported.
 pub fn order_for_read(
     now: Instant,
     locality: &Locality,
@@ -151,11 +154,11 @@
     let mut ranked: Vec<_> = hints
         .iter()
         .map(|hint| {
-            let reason = weigh(now, hint, request);
-            ((reason.rank(), distance(locality, hint)), hint, reason)
+            let reason = classify_candidate(now, hint, request);
+            ((reason.rank(), zone_distance(locality, hint)), hint, reason)
         })
         .collect();
-    ranked.sort_by_key(|left| left.0);
+    ranked.sort_by_key(|entry| entry.0);
     ranked
         .into_iter()
         .map(|(_, hint, reason)| Choice {
@@ -166,7 +169,7 @@
         .collect()
 }
 
-fn weigh(now: Instant, hint: &InstanceHint, request: &ReadRequest) -> Reason {
+fn classify_candidate(now: Instant, hint: &InstanceHint, request: &ReadRequest) -> Reason {
     if !request.regions.allows(Some(&hint.region)) {
         return Reason::RegionNotAllowed;
     }
@@ -185,7 +188,7 @@
     if request.policy == ReadPolicy::PrimaryOnly {
         return Reason::NotAllowed;
     }
-    let Some((heard, position)) = hint.position else {
+    let Some((reported_at, position)) = hint.position else {
         return Reason::PositionUnknown;
     };
     let Some(token) = request.token else {
@@ -194,16 +197,16 @@
     match coverage(position, &hint.history, token) {
         Coverage::Covered => Reason::Covers,
         Coverage::Discarded => Reason::Discarded,
-        // A lag heard a while ago has been worked off since; without this, a
-        // replica once found slow would never be asked again.
-        Coverage::Behind if hint.lag_ms.saturating_sub(now.millis_since(heard)) <= request.wait_ms => {
+        // The time since the lag was reported counts towards catching up. Otherwise a
+        // replica that was slow once would never be selected again.
+        Coverage::Behind if hint.lag_ms.saturating_sub(now.millis_since(reported_at)) <= request.wait_ms => {
             Reason::CatchesUp
         }
         Coverage::Behind => Reason::TooFarBehind,
     }
 }
 
-fn distance(locality: &Locality, hint: &InstanceHint) -> u8 {
+fn zone_distance(locality: &Locality, hint: &InstanceHint) -> u8 {
     if hint.zone == locality.zone {
         0
     } else if hint.region == locality.region {
--- a/crates/millwind-core/src/selection.rs
+++ b/crates/millwind-core/src/selection.rs
@@ -1,67 +1,67 @@
-//! Which instance of a group a read is tried on first.
+//! Orders the instances of a group by the expected latency of a read.
 //!
-//! Every candidate is safe by the position that goes with the read; the order
-//! is only about time: the instance that is expected to answer first, by its
-//! measured latency and the statements already under way there.
+//! Every candidate returns correct results, because the read carries the position that it
+//! requires. The order affects only latency and load: it is computed from the measured
+//! latency, the statements in flight, and cost factors.
 
 use crate::ids::InstanceName;
 
-/// The leader's expected time counts this much more, in percent, since only it
-/// can take writes.
+/// Cost factor for the leader, in percent, which keeps its capacity free for writes.
 const LEADER_COST_PERCENT: u64 = 150;
-/// The expected time of an instance in another zone counts this much more, in
-/// percent: bytes between zones and regions are dear.
-const FAR_COST_PERCENT: u64 = 160;
-/// The expected time of a cold instance counts this much more, in percent: it is some
-/// three times slower on the users' sites, and takes few statements. One whose warm
-/// neighbours have long lines is still used.
+/// Cost factor for an instance in another zone, in percent, which accounts for the cost of
+/// traffic between zones.
+const REMOTE_ZONE_COST_PERCENT: u64 = 160;
+/// Cost factor for a cold instance, in percent. A cold instance is slower and accepts few
+/// statements, but is still used when the queues of warm instances are long.
 const COLD_COST_PERCENT: u64 = 300;
-/// An instance that failed or lagged a moment ago comes after all others.
-const AVOIDED_COST: u64 = 1 << 40;
+/// Cost added to an instance that failed or lagged recently, which places it after all
+/// others.
+const AVOIDED_PENALTY: u64 = 1 << 40;
 
 /// An instance that may serve a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadCandidate {
     /// The instance.
     pub instance: InstanceName,
-    /// Mean time of a statement there, in microseconds.
+    /// Mean statement latency, in microseconds.
     pub latency_us: u64,
-    /// This node's statements under way there.
+    /// Statements in flight from this node.
     pub outstanding: u32,
-    /// Statements it runs at the same time.
+    /// Statements that the instance runs concurrently.
     pub slots: u32,
-    /// It runs in this node's own zone.
+    /// Whether the instance runs in this node's zone.
     pub is_near: bool,
-    /// It leads the group.
+    /// Whether the instance is the group's leader.
     pub is_leader: bool,
-    /// It failed or lagged a moment ago.
+    /// Whether the instance failed or lagged recently.
     pub is_avoided: bool,
-    /// It has just started.
+    /// Whether the instance was started recently and is still warming up.
     pub is_cold: bool,
 }
 
 impl ReadCandidate {
     fn cost(&self) -> u64 {
         let slots = u64::from(self.slots.max(1));
-        let waiting = self.latency_us * u64::from(self.outstanding) / slots;
-        let mut cost = self.latency_us + waiting;
+        let queueing = self.latency_us * u64::from(self.outstanding) / slots;
+        let mut cost = self.latency_us + queueing;
         if self.is_leader {
             cost = cost * LEADER_COST_PERCENT / 100;
         }
         if !self.is_near {
-            cost = cost * FAR_COST_PERCENT / 100;
+            cost = cost * REMOTE_ZONE_COST_PERCENT / 100;
         }
         if self.is_cold {
             cost = cost * COLD_COST_PERCENT / 100;
         }
         if self.is_avoided {
-            cost += AVOIDED_COST;
+            cost += AVOIDED_PENALTY;
         }
         cost
     }
 }
 
-/// The candidates, the one expected to answer first in front.
+/// Returns the candidates' instances in ascending order of cost: the expected response time
+/// with the cost factors applied.
 pub fn order_by_expected_time(candidates: &[ReadCandidate]) -> Vec<InstanceName> {
     let mut ordered: Vec<_> = candidates.iter().collect();
     ordered.sort_by_key(|candidate| candidate.cost());
--- a/crates/millwind-core/tests/owner_ranking.rs
+++ b/crates/millwind-core/tests/owner_ranking.rs
@@ -1,5 +1,5 @@
-//! Which nodes own connections to an instance and stand in for owners, with and without
-//! regions that a customer allows.
+//! Tests of the selection of owners and backup owners, with and without restrictions on the
+//! allowed regions.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use millwind_core::owner_ranking::{Nearness, OwnerCandidate, OwnersSought, rank_owners};
 use proptest::prelude::*;
 
-const SOUGHT: OwnersSought = OwnersSought {
+const COUNTS: OwnersSought = OwnersSought {
     owners: 3,
     stand_ins: 5,
 };
@@ -23,17 +23,17 @@
 }
 
 fn any_candidates() -> impl Strategy<Value = Vec<OwnerCandidate>> {
-    let one = (
+    let any_candidate = (
         any::<u64>(),
         proptest::sample::select(&NEARNESS[..]),
         any::<bool>(),
     );
-    let one = one.prop_map(|(weight, nearness, is_allowed)| OwnerCandidate {
+    let any_candidate = any_candidate.prop_map(|(weight, nearness, is_allowed)| OwnerCandidate {
         weight,
         nearness,
         is_allowed,
     });
-    proptest::collection::vec(one, 0..300)
+    proptest::collection::vec(any_candidate, 0..300)
 }
 
 #[test]
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_heaviest_of_the_zone_own_and_others_stand_in() {
+fn owners_are_the_heaviest_of_the_zone_and_backups_come_from_elsewhere_first() {
     let candidates = [
         candidate(1, Nearness::Zone),
         candidate(4, Nearness::Zone),
@@ -59,26 +59,26 @@
         candidate(5, Nearness::Elsewhere),
         candidate(1, Nearness::Region),
     ];
-    let ranked = rank_owners(&candidates, SOUGHT);
+    let ranked = rank_owners(&candidates, COUNTS);
     assert_eq!(ranked.owners, [1, 3, 2]);
     assert_eq!(ranked.stand_ins, [5, 4, 0]);
 }
 
 #[test]
-fn owners_come_from_the_region_where_the_zone_has_too_few() {
+fn owners_come_from_the_region_if_the_zone_has_too_few_nodes() {
     let candidates = [
         candidate(9, Nearness::Elsewhere),
         candidate(1, Nearness::Region),
         candidate(2, Nearness::Region),
         candidate(0, Nearness::Zone),
     ];
-    assert_eq!(rank_owners(&candidates, SOUGHT).owners, [3, 2, 1]);
+    assert_eq!(rank_owners(&candidates, COUNTS).owners, [3, 2, 1]);
 }
 
-/// The zone has no nodes and few of the others are allowed: without a ranking of its own
-/// a restricted statement found none of them among the eight that stand for all.
+/// The zone has no nodes, and only two nodes elsewhere are allowed. They must be selected
+/// although many nodes with higher weights precede them.
 #[test]
-fn a_restricted_statement_finds_the_few_nodes_that_it_may_pass() {
+fn a_restricted_statement_gets_the_few_allowed_nodes() {
     let mut candidates: Vec<_> = (100..400)
         .map(|weight| OwnerCandidate {
             is_allowed: false,
@@ -87,57 +87,58 @@
         .collect();
     candidates.push(candidate(1, Nearness::Elsewhere));
     candidates.push(candidate(2, Nearness::Elsewhere));
-    let ranked = rank_owners(&candidates, SOUGHT);
+    let ranked = rank_owners(&candidates, COUNTS);
     assert_eq!((ranked.owners, ranked.stand_ins), (vec![], vec![301, 300]));
 }
 
 proptest! {
-    /// No node is passed that is not allowed; as many are found as there are, up to
-    /// those sought; nobody is named twice.
+    /// Only allowed nodes are selected, no node is selected twice, and at least as many
+    /// nodes are selected as are allowed, up to the number of backup owners.
     #[test]
-    fn only_allowed_nodes_are_passed(candidates in any_candidates()) {
-        let ranked = rank_owners(&candidates, SOUGHT);
-        let named: Vec<_> = ranked.owners.iter().chain(&ranked.stand_ins).copied().collect();
-        prop_assert!(named.iter().all(|index| candidates[*index].is_allowed));
-        let unique: BTreeSet<_> = named.iter().collect();
-        prop_assert_eq!(unique.len(), named.len());
+    fn only_allowed_nodes_are_selected(candidates in any_candidates()) {
+        let ranked = rank_owners(&candidates, COUNTS);
+        let selected: Vec<_> = ranked.owners.iter().chain(&ranked.stand_ins).copied().collect();
+        prop_assert!(selected.iter().all(|index| candidates[*index].is_allowed));
+        let unique: BTreeSet<_> = selected.iter().collect();
+        prop_assert_eq!(unique.len(), selected.len());
         let allowed = candidates.iter().filter(|candidate| candidate.is_allowed).count();
-        prop_assert!(named.len() >= allowed.min(SOUGHT.stand_ins));
+        prop_assert!(selected.len() >= allowed.min(COUNTS.stand_ins));
     }
 
-    /// The owners of a restricted statement are owners for all, in the same order.
+    /// The owners for a restricted statement are the allowed ones among the owners for an
+    /// unrestricted statement, in the same order.
     #[test]
-    fn owners_are_the_same_for_everybody(candidates in any_candidates()) {
-        let free: Vec<_> = candidates
+    fn owners_are_the_same_for_all_statements(candidates in any_candidates()) {
+        let unrestricted: Vec<_> = candidates
             .iter()
             .map(|candidate| OwnerCandidate { is_allowed: true, ..*candidate })
             .collect();
-        let all = rank_owners(&free, SOUGHT).owners;
+        let all = rank_owners(&unrestricted, COUNTS).owners;
         let allowed: Vec<_> = all.into_iter().filter(|index| candidates[*index].is_allowed).collect();
-        prop_assert_eq!(rank_owners(&candidates, SOUGHT).owners, allowed);
+        prop_assert_eq!(rank_owners(&candidates, COUNTS).owners, allowed);
     }
 
-    /// A node that joins or leaves outside of those chosen changes nobody's choice.
+    /// Nodes that are not selected can join or leave without changing the selection.
     #[test]
-    fn nodes_that_are_not_chosen_matter_to_nobody(candidates in any_candidates()) {
-        let ranked = rank_owners(&candidates, SOUGHT);
-        let free: Vec<_> = candidates
+    fn unselected_nodes_do_not_affect_the_selection(candidates in any_candidates()) {
+        let ranked = rank_owners(&candidates, COUNTS);
+        let unrestricted: Vec<_> = candidates
             .iter()
             .map(|candidate| OwnerCandidate { is_allowed: true, ..*candidate })
             .collect();
-        let owners = rank_owners(&free, SOUGHT).owners;
+        let owners = rank_owners(&unrestricted, COUNTS).owners;
         let kept: BTreeSet<_> = ranked.owners.iter().chain(&ranked.stand_ins).chain(&owners).collect();
         let fewer: Vec<_> = (0..candidates.len()).filter(|index| kept.contains(index)).collect();
         let remaining: Vec<_> = fewer.iter().map(|index| candidates[*index]).collect();
-        let again = rank_owners(&remaining, SOUGHT);
-        let back = |indices: Vec<usize>| indices.into_iter().map(|index| fewer[index]).collect::<Vec<_>>();
-        prop_assert_eq!(back(again.owners), ranked.owners);
-        prop_assert_eq!(back(again.stand_ins), ranked.stand_ins);
+        let reranked = rank_owners(&remaining, COUNTS);
+        let original_indices = |indices: Vec<usize>| indices.into_iter().map(|index| fewer[index]).collect::<Vec<_>>();
+        prop_assert_eq!(original_indices(reranked.owners), ranked.owners);
+        prop_assert_eq!(original_indices(reranked.stand_ins), ranked.stand_ins);
     }
 }
 
 #[test]
-fn a_carrier_stands_in_an_allowed_region() {
+fn a_statement_is_forwarded_only_through_allowed_regions() {
     let topology = Topology::new([(ZoneName::from("north-1"), RegionName::from("north"))]);
     let only = AllowedRegions::from_list([RegionName::from("north")]);
     let is_carrier = |zone: &str| OwnerCandidate::is_carrier(&only, &topology, &ZoneName::from(zone));
--- a/crates/millwind-core/tests/routing.rs
+++ b/crates/millwind-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where reads go, who owns an instance, and who gets a slot.
+//! Tests of read routing, instance placement, admission queues and retry budgets.
 
 use millwind_core::Instant;
 use millwind_core::admission::{Admission, AdmissionLimits, AdmissionQueue, Ticket};
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_instance_outside_of_the_tenants_regions_is_shown_and_not_chosen() {
+fn an_instance_outside_the_allowed_regions_is_listed_but_not_eligible() {
     let mut abroad = hint("near-abroad", "near", false, Some(Position::new(1, 10)));
     abroad.region = "abroad".into();
     let mut primary = hint("primary-abroad", "near", true, Some(Position::new(1, 10)));
@@ -59,11 +59,11 @@
         primary,
         hint("far-behind", "far", false, Some(Position::new(1, 5))),
     ];
-    let asked = ReadRequest {
+    let read = ReadRequest {
         regions: AllowedRegions::from_list(["r".into()]),
         ..request(Some(Position::new(1, 10)))
     };
-    let order = order_for_read(NOW, &locality(), &hints, &asked);
+    let order = order_for_read(NOW, &locality(), &hints, &read);
     assert_eq!(order[0].instance.as_str(), "far-behind");
     assert!(
         order[1..]
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_covering_replica_comes_before_a_nearer_one_that_lags() {
+fn a_covering_replica_ranks_before_a_nearer_lagging_one() {
     let hints = [
         hint("near-behind", "near", false, Some(Position::new(1, 5))),
         hint("far-covers", "far", false, Some(Position::new(1, 10))),
@@ -86,63 +86,62 @@
 }
 
 #[test]
-fn too_long_a_lag_sends_the_read_to_the_primary() {
+fn excessive_lag_routes_the_read_to_the_primary() {
     let mut hints = [
         hint("replica", "near", false, Some(Position::new(1, 5))),
         hint("primary", "far", true, Some(Position::new(1, 10))),
     ];
     hints[0].lag_ms = 5_000;
-    let asked = request(Some(Position::new(1, 10)));
+    let read = request(Some(Position::new(1, 10)));
     assert_eq!(
-        names(&order_for_read(NOW, &locality(), &hints, &asked)),
+        names(&order_for_read(NOW, &locality(), &hints, &read)),
         ["primary", "replica"]
     );
 }
 
-/// Seen in the old-primary experiment: one instance that no longer replays made
-/// every replica of its group look slow, and reads went to the primary.
+/// The replay lag of one instance must not affect the ranking of the others.
 #[test]
-fn one_slow_instance_does_not_slow_the_others() {
+fn one_lagging_instance_does_not_affect_the_rank_of_others() {
     let mut hints = [
         hint("stuck", "near", false, Some(Position::new(1, 5))),
-        hint("well", "far", false, Some(Position::new(1, 9))),
+        hint("healthy", "far", false, Some(Position::new(1, 9))),
         hint("primary", "near", true, Some(Position::new(1, 10))),
     ];
     hints[0].lag_ms = 60_000;
-    let asked = request(Some(Position::new(1, 10)));
+    let read = request(Some(Position::new(1, 10)));
     assert_eq!(
-        names(&order_for_read(NOW, &locality(), &hints, &asked)),
-        ["well", "primary", "stuck"]
+        names(&order_for_read(NOW, &locality(), &hints, &read)),
+        ["healthy", "primary", "stuck"]
     );
 }
 
-/// Seen in the old-primary experiment: after a failover all replicas looked a
-/// second behind, none was asked again, and reads stayed on the primary.
+/// A replica that lagged after a failover must be selected again once it has had time to
+/// catch up.
 #[test]
-fn a_replica_once_found_slow_is_asked_again() {
+fn a_lagging_replica_is_selected_again_later() {
     let mut hints = [
         hint("replica", "near", false, Some(Position::new(1, 5))),
         hint("primary", "near", true, Some(Position::new(1, 10))),
     ];
     hints[0].lag_ms = 1_000;
-    let asked = request(Some(Position::new(1, 10)));
+    let read = request(Some(Position::new(1, 10)));
     assert_eq!(
-        names(&order_for_read(NOW, &locality(), &hints, &asked)),
+        names(&order_for_read(NOW, &locality(), &hints, &read)),
         ["primary", "replica"]
     );
     let later = NOW.plus_millis(800);
     assert_eq!(
-        names(&order_for_read(later, &locality(), &hints, &asked)),
+        names(&order_for_read(later, &locality(), &hints, &read)),
         ["replica", "primary"]
     );
 }
 
 #[test]
-fn a_tenant_of_the_primary_only_is_never_sent_to_a_replica() {
+fn the_primary_only_policy_excludes_replicas() {
     let hints = [hint("replica", "near", false, None)];
-    let mut asked = request(None);
-    asked.policy = ReadPolicy::PrimaryOnly;
-    let order = order_for_read(NOW, &locality(), &hints, &asked);
+    let mut read = request(None);
+    read.policy = ReadPolicy::PrimaryOnly;
+    let order = order_for_read(NOW, &locality(), &hints, &read);
     assert!(order.iter().all(|choice| !choice.reason.eligible()));
 }
 
@@ -174,11 +173,11 @@
 }
 
 #[test]
-fn an_old_primary_is_not_the_primary() {
+fn a_primary_of_an_old_term_is_not_the_primary() {
     let [a, b, c] = ["a", "b", "c"].map(InstanceName::from);
     let mut view = GroupView::new([a.clone(), b.clone(), c.clone()]);
     view.observe(NOW, &a, status(Role::Primary, 1, 10));
-    assert_eq!(view.primary(NOW), None, "no majority was heard");
+    assert_eq!(view.primary(NOW), None, "only a minority has reported");
     view.observe(NOW, &c, status(Role::Replica, 1, 10));
     assert_eq!(view.primary(NOW).map(|(name, _)| name.as_str()), Some("a"));
     view.observe(NOW, &b, status(Role::Primary, 2, 10));
@@ -186,12 +185,12 @@
     assert_eq!(
         view.primary(NOW.plus_millis(10_000)),
         None,
-        "nothing was heard lately"
+        "all reports are outdated"
     );
 }
 
 #[test]
-fn staleness_counts_from_the_last_position_the_replica_has() {
+fn staleness_is_measured_from_the_replicas_last_position() {
     let [a, b] = ["a", "b"].map(InstanceName::from);
     let mut view = GroupView::new([a.clone(), b]);
     view.observe(NOW, &a, status(Role::Primary, 1, 10));
@@ -220,7 +219,7 @@
 }
 
 #[test]
-fn an_instance_is_owned_in_its_own_zone_first() {
+fn owners_in_the_instances_zone_are_preferred() {
     let mut all = nodes(3, "z1");
     all.extend(nodes(3, "z2"));
     assert!(owner_of("i", "z2", &all).is_some_and(|owner| owner.starts_with("z2")));
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn losing_a_node_moves_only_its_instances() {
+fn losing_a_node_reassigns_only_its_instances() {
     let all = nodes(10, "z");
     let fewer: Vec<_> = all[1..].to_vec();
     for index in 0..200 {
@@ -264,7 +263,7 @@
 }
 
 #[test]
-fn a_full_queue_makes_room_for_more_value() {
+fn a_full_queue_displaces_a_request_of_lower_value() {
     let mut queue = queue(1, 1);
     let mut displaced = Vec::new();
     assert_eq!(
@@ -285,7 +284,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_finish_is_refused_early() {
+fn a_request_that_cannot_meet_its_deadline_is_refused() {
     let mut queue = queue(1, 100);
     let mut expired = Vec::new();
     let mut displaced = Vec::new();
@@ -299,7 +298,7 @@
 }
 
 #[test]
-fn tenants_share_by_weight_whatever_they_queue() {
+fn tenants_share_slots_by_weight_regardless_of_queue_length() {
     let mut queue = queue(1, 1_000);
     let mut scratch = Vec::new();
     queue.admit(NOW, ticket(0, "x", 1, 100_000), &mut scratch);
@@ -311,14 +310,14 @@
     }
     let mut modest = 0;
     for _ in 0..20 {
-        let next = queue.release(NOW, 1, &mut scratch).expect("one waits");
+        let next = queue.release(NOW, 1, &mut scratch).expect("requests are waiting");
         modest += usize::from(next.tenant.as_str() == "modest");
     }
     assert_eq!(modest, 10);
 }
 
 #[test]
-fn retries_stay_a_share_of_the_traffic() {
+fn retries_are_limited_to_a_share_of_the_traffic() {
     let mut budget = RetryBudget::new(10, 2);
     assert!(budget.withdraw() && budget.withdraw());
     assert!(!budget.withdraw());
@@ -356,10 +355,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::with_cases(256) })]
 
-    /// Against a simple count: never more running than slots, never more
-    /// waiting than the queue holds, and every ticket leaves exactly once.
+    /// Compares the queue with a simple model: the number of running requests never exceeds
+    /// the slots, the number of waiting requests never exceeds the queue length, and every
+    /// ticket leaves exactly once.
     #[test]
-    fn the_queue_keeps_its_limits(steps in proptest::collection::vec(step(), 1..80)) {
+    fn the_queue_respects_its_limits(steps in proptest::collection::vec(step(), 1..80)) {
         let mut queue = queue(3, 5);
         let mut running = 0u32;
         let mut waiting = std::collections::BTreeSet::new();
@@ -368,22 +368,22 @@
             match step {
                 Step::Admit { tenant, value, deadline_ms } => {
                     let mut displaced = Vec::new();
-                    let asked = ticket(id, &format!("t{tenant}"), value, deadline_ms);
-                    match queue.admit(NOW, asked, &mut displaced) {
+                    let new_ticket = ticket(id, &format!("t{tenant}"), value, deadline_ms);
+                    match queue.admit(NOW, new_ticket, &mut displaced) {
                         Admission::Granted => running += 1,
                         Admission::Queued => { waiting.insert(id); }
                         Admission::Refused(kind) => prop_assert_eq!(kind.answer().effect, millwind_core::error_kind::Effect::NotRun),
                     }
-                    for gone in displaced {
-                        prop_assert!(waiting.remove(&gone));
+                    for displaced_id in displaced {
+                        prop_assert!(waiting.remove(&displaced_id));
                     }
                 }
                 Step::Release { held_us } if running > 0 => {
                     running -= 1;
                     let mut expired = Vec::new();
                     let next = queue.release(NOW, held_us, &mut expired);
-                    for gone in expired {
-                        prop_assert!(waiting.remove(&gone));
+                    for expired_id in expired {
+                        prop_assert!(waiting.remove(&expired_id));
                     }
                     if let Some(next) = next {
                         prop_assert!(waiting.remove(&next.id));
