--- a/crates/millwind-core/examples/session.rs
+++ b/crates/millwind-core/examples/session.rs
@@ -1,5 +1,5 @@
-//! Embedding the coordination parts: a session that roams, replicas that lag, a
-//! failover that discards a tail, and a commit that must be confirmed.
+//! Example of the session and commit logic: reads of a session on lagging replicas, a
+//! failover that discards part of the log, and the confirmation of a commit.
 //!
 //! Run with `cargo run -p millwind-core --example session`.
 
@@ -9,15 +9,15 @@
 use millwind_core::token::SessionToken;
 
 fn main() {
-    // A caller wrote at position 100 of term 1, and carries this elsewhere.
+    // A client wrote at position 100 of term 1 and takes this token to another proxy.
     let written = Position::new(1, 100);
     let token = SessionToken {
         group: "climate-core-1".into(),
         position: written,
     };
-    println!("the caller carries {token}");
+    println!("session token: {token}");
 
-    // A replica that has replayed less must not answer yet.
+    // A replica that has not replayed up to the position must not serve the read.
     println!(
         "replica at 1:90: {:?}",
         coverage(Position::new(1, 90), &[], written)
@@ -27,7 +27,7 @@
         coverage(Position::new(1, 100), &[], written)
     );
 
-    // Term 2 branched off at 80: what the caller wrote is gone, and it is told.
+    // Term 2 branched off at position 80, so the client's write was discarded.
     let branched = [TermStart {
         term: Term(2),
         start: LogPosition(80),
@@ -37,23 +37,23 @@
         coverage(Position::new(2, 150), &branched, written)
     );
 
-    // A commit is acknowledged once a majority has received it in its term.
+    // A commit is confirmed once a majority has received it in its term.
     let mut tracker = ConfirmationTracker::new(3, ConfirmationRule::Replicated);
     let primary = InstanceName::from("a");
     let replica = InstanceName::from("b");
     println!("commit registered: {:?}", tracker.register(1, written));
-    let asked = tracker.draw();
+    let sequence = tracker.draw();
     println!(
-        "a shows it: {:?}",
-        tracker.observe(&primary, asked, Term(1), LogPosition(100))
+        "a has received the commit: {:?}",
+        tracker.observe(&primary, sequence, Term(1), LogPosition(100))
     );
     println!(
-        "b shows less: {:?}",
-        tracker.observe(&replica, asked, Term(1), LogPosition(60))
+        "b has not received the commit: {:?}",
+        tracker.observe(&replica, sequence, Term(1), LogPosition(60))
     );
-    let asked = tracker.draw();
+    let sequence = tracker.draw();
     println!(
-        "b shows it: {:?}",
-        tracker.observe(&replica, asked, Term(1), LogPosition(100))
+        "b has received the commit: {:?}",
+        tracker.observe(&replica, sequence, Term(1), LogPosition(100))
     );
 }
--- a/crates/millwind-core/src/outcome.rs
+++ b/crates/millwind-core/src/outcome.rs
@@ -1,47 +1,49 @@
-//! How far a request has got, and what may truthfully be said about it.
+//! Tracks how far a request has progressed, and decides from that whether to retry it and
+//! which error may be reported.
 
 use crate::error_kind::{Effect, ErrorKind};
 
-/// The life of one request, as far as its effect is concerned.
+/// The progress of a request, as far as its effect on data is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// No back end has been given any byte of it.
+    /// No part of the request was sent to a back end.
     NotSent,
-    /// A back end may have it.
+    /// The request was sent, and a back end may have received it.
     Sent,
-    /// The back end's transaction is proven rolled back or discarded.
+    /// The back end's transaction is known to be rolled back or discarded.
     ProvenUndone,
-    /// Its whole answer was read.
+    /// The complete response was read.
     Answered,
 }
 
-/// What may be done with a request after an attempt failed.
+/// The next step after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum NextStep {
-    /// Run it again, here or elsewhere.
+    /// Retry the request, on the same instance or another.
     RunAgain,
-    /// Look its request id up before saying anything.
+    /// Look up the outcome by the request's id before answering the client.
     Resolve,
-    /// Tell the caller this kind now.
+    /// Report an error of this kind to the client.
     Tell(ErrorKind),
 }
 
-/// Facts about the request that decide its fate.
+/// Properties of a request that determine how a failure is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestTraits {
-    /// True for statements that change nothing.
+    /// Whether the request only reads.
     pub read_only: bool,
-    /// True when the tenant's class lets the proxy repeat it.
+    /// Whether the request's class allows the proxy to retry a write.
     pub may_repeat: bool,
-    /// True when the caller gave a request id.
+    /// Whether the client supplied a request id.
     pub has_request_id: bool,
 }
 
-/// Decides what follows a failed attempt of kind `failure`.
+/// Returns the next step after an attempt failed with `failure`.
 ///
-/// Must hold because `Tell(kind)` with a kind whose effect is
-/// [`Effect::NotRun`] is only returned from [`Progress::NotSent`],
-/// [`Progress::ProvenUndone`], or for statements that change nothing.
+/// Invariant: an error kind whose effect is [`Effect::NotRun`] is reported only at
+/// [`Progress::NotSent`], at [`Progress::ProvenUndone`], or for read-only requests. A
+/// client may repeat the request after such an error, so a wrong report could apply a write
+/// twice.
 pub fn after_failure(progress: Progress, traits: RequestTraits, failure: ErrorKind) -> NextStep {
     match progress {
         Progress::NotSent => NextStep::RunAgain,
@@ -53,8 +55,9 @@
     }
 }
 
-/// Whether `kind` may be told to the caller at `progress`.
-pub fn is_truthful(progress: Progress, read_only: bool, kind: ErrorKind) -> bool {
+/// Returns whether an error of `kind` correctly describes the effect of a request at
+/// `progress`.
+pub fn is_accurate_report(progress: Progress, read_only: bool, kind: ErrorKind) -> bool {
     match kind.answer().effect {
         Effect::Unknown => true,
         Effect::NotRun => progress == Progress::NotSent || progress == Progress::ProvenUndone || read_only,
--- a/crates/millwind-core/src/position.rs
+++ b/crates/millwind-core/src/position.rs
@@ -1,6 +1,6 @@
-//! Positions in a group's replicated log, and whether one covers another.
+//! Positions in a group's replicated log, and the test whether one position covers another.
 //!
-//! In PostgreSQL's words a term is a timeline id and a log position an LSN.
+//! In PostgreSQL terms, a term corresponds to a timeline id and a log position to an LSN.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A group's term: it rises by an election and never falls.
+/// The number of a group's term. Each election increases the term; it never decreases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Term(pub u64);
@@ -30,7 +30,8 @@
     }
 }
 
-/// A log position that is not two hexadecimal halves with a slash between.
+/// The error for a log position text that is not two hexadecimal halves separated by a
+/// slash.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("log position {0:?} is not of the form X/Y with hexadecimal halves of at most 8 digits")]
 pub struct ParseLogPositionError(pub String);
@@ -47,17 +48,17 @@
     }
 }
 
-/// A place in a group's history: a term and a log position within it.
+/// A position in a group's log: a term and a log position within that term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Position {
-    /// Term in which the position was read.
+    /// Term that the log position belongs to.
     pub term: Term,
-    /// Position in that term's log.
+    /// Position in the log of that term.
     pub log_position: LogPosition,
 }
 
 impl Position {
-    /// Builds a position from plain numbers.
+    /// Creates a position from a term number and a byte position.
     pub const fn new(term: u64, log_position: u64) -> Self {
         Position {
             term: Term(term),
@@ -72,31 +73,31 @@
     }
 }
 
-/// Where a term branched off its predecessor's log.
+/// The point at which a term's log branched off from its predecessor's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TermStart {
-    /// The term that began.
+    /// The term that starts here.
     pub term: Term,
-    /// Everything below this position was kept from earlier terms.
+    /// Start of the term; the log before this position is inherited from earlier terms.
     pub start: LogPosition,
 }
 
-/// Whether an instance at one position holds everything up to another.
+/// Whether an instance holds the log up to a given position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Coverage {
-    /// Everything up to the wanted position is there.
+    /// The instance holds the log up to the position.
     Covered,
-    /// Not yet, but it can still arrive.
+    /// The instance does not hold the position yet, but may still receive it.
     Behind,
-    /// The wanted position was in a tail that a later term discarded.
+    /// The position belongs to a log tail that a later term discarded.
     Discarded,
 }
 
-/// Decides whether an instance that reports `held` and the term starts
-/// `history` holds everything up to `wanted`.
+/// Determines whether an instance at position `held` with the term starts `history` holds
+/// the log up to `wanted`.
 ///
-/// Must hold because reads are released on it: an answer of `Covered` means
-/// that a session which saw `wanted` sees at least that much again.
+/// Reads are released on [`Coverage::Covered`], so this result must guarantee that a
+/// session which has observed `wanted` never reads older data.
 pub fn coverage(held: Position, history: &[TermStart], wanted: Position) -> Coverage {
     if held.term < wanted.term {
         return Coverage::Behind;
@@ -107,7 +108,7 @@
             .filter(|entry| entry.term > wanted.term && entry.term <= held.term)
             .map(|entry| entry.start);
         match later_starts.min() {
-            // Without the branch point nothing is known of the older term.
+            // Without the branch point, it is unknown how much of the older term was kept.
             None => return Coverage::Behind,
             Some(start) if start < wanted.log_position => return Coverage::Discarded,
             Some(_) => {}
--- a/crates/millwind-core/src/session_state.rs
+++ b/crates/millwind-core/src/session_state.rs
@@ -1,34 +1,34 @@
-//! What a session keeps between statements, and how a shared back-end
-//! connection is brought to it.
+//! The state of a client session, and the steps that apply it to a shared back-end
+//! connection.
 //!
-//! Values and prepared statements belong to the caller's session, while its
-//! statements run on connections that other sessions use as well. Before each
-//! statement the connection is brought to the session's state with the fewest
-//! steps. Prepared statements get names from their meaning, so that sessions
-//! which prepare the same statement share it and names never clash.
+//! Session values and prepared statements belong to the client's session, while its
+//! statements run on connections shared with other sessions. Before each statement, the
+//! connection is brought to the session's state with as few steps as possible. The name of
+//! a prepared statement on a shared connection is derived from its content, so that
+//! sessions which prepare the same statement share it and names never collide.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Whether a prepared statement changes data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Access {
-    /// It only reads.
+    /// The statement only reads.
     Read,
-    /// It writes.
+    /// The statement writes.
     Write,
 }
 
-/// A prepared statement as its session prepared it.
+/// A prepared statement as defined by a session.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PreparedStatement {
-    /// Whether it changes data.
+    /// Whether the statement reads or writes.
     pub access: Access,
-    /// Its text, without a name.
+    /// The statement's text without its name.
     pub shape: String,
 }
 
 impl PreparedStatement {
-    /// The name that every shared connection knows it by.
+    /// Returns the name of the statement on shared connections.
     pub fn shared_name(&self) -> String {
         match self.access {
             Access::Read => format!("r_{}", self.shape),
@@ -37,28 +37,28 @@
     }
 }
 
-/// What the caller has set and prepared in its session.
+/// The values and prepared statements of a client session.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SessionState {
     /// Values by name.
     pub values: BTreeMap<String, String>,
-    /// Prepared statements by the caller's name.
+    /// Prepared statements by the client's name for them.
     pub prepared: BTreeMap<String, PreparedStatement>,
 }
 
-/// What a back-end connection holds.
+/// The values and prepared statements present on a back-end connection.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ConnectionState {
     /// Values by name.
     pub values: BTreeMap<String, String>,
-    /// Statements prepared there.
+    /// Statements prepared on the connection.
     pub prepared: BTreeSet<PreparedStatement>,
 }
 
-/// One step that brings a connection nearer to a session's state.
+/// A step that prepares a connection for a session's statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PreparationStep {
-    /// Drop all values and prepared statements.
+    /// Discard all values and prepared statements.
     Reset,
     /// Set a value.
     Set {
@@ -72,20 +72,23 @@
 }
 
 impl ConnectionState {
-    /// The steps after which a statement of `session` may run here; `needed`
-    /// is the prepared statement that it executes, if any.
+    /// Returns the steps required before a statement of `session` may run on this
+    /// connection. `needed` is the prepared statement that it executes, if any.
+    ///
+    /// A value that the session does not set requires a reset, which prevents state from
+    /// leaking between sessions.
     pub fn steps_to(
         &self,
         session: &SessionState,
         needed: Option<&PreparedStatement>,
     ) -> Vec<PreparationStep> {
-        let has_foreign_value = self.values.keys().any(|name| !session.values.contains_key(name));
+        let must_reset = self.values.keys().any(|name| !session.values.contains_key(name));
         let mut steps = Vec::new();
-        if has_foreign_value {
+        if must_reset {
             steps.push(PreparationStep::Reset);
         }
         for (name, value) in &session.values {
-            if has_foreign_value || self.values.get(name) != Some(value) {
+            if must_reset || self.values.get(name) != Some(value) {
                 steps.push(PreparationStep::Set {
                     name: name.clone(),
                     value: value.clone(),
@@ -93,14 +96,14 @@
             }
         }
         if let Some(statement) = needed
-            && (has_foreign_value || !self.prepared.contains(statement))
+            && (must_reset || !self.prepared.contains(statement))
         {
             steps.push(PreparationStep::Prepare(statement.clone()));
         }
         steps
     }
 
-    /// Records that `step` succeeded.
+    /// Updates the connection's state after `step` succeeded.
     pub fn apply(&mut self, step: &PreparationStep) {
         match step {
             PreparationStep::Reset => *self = ConnectionState::default(),
--- a/crates/millwind-core/src/token.rs
+++ b/crates/millwind-core/src/token.rs
@@ -1,5 +1,5 @@
-//! Session tokens: what a caller carries from one proxy to another so that it
-//! goes on reading its own writes.
+//! Session tokens, which a client passes from one proxy to another to keep reading its own
+//! writes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,16 +9,16 @@
 use crate::ids::GroupName;
 use crate::position::{LogPosition, Position, Term};
 
-/// Longest accepted token text in bytes; longer input is refused unread.
+/// Maximum length of a token in bytes; longer input is rejected before parsing.
 pub const MAXIMUM_TOKEN_BYTES: usize = 200;
 const PREFIX: &str = "mw1";
 
-/// The newest position a session has been shown, in one group.
+/// The newest position that a session has observed in one group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SessionToken {
-    /// Group the position belongs to.
+    /// Group that the position belongs to.
     pub group: GroupName,
-    /// Position the session must see again.
+    /// Position that the session's reads must include.
     pub position: Position,
 }
 
@@ -30,18 +30,18 @@
     }
 }
 
-/// Why a token text was refused.
+/// The reason why a token could not be parsed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// Longer than any token this program writes.
+    /// The token exceeds [`MAXIMUM_TOKEN_BYTES`].
     #[error("session token is longer than {MAXIMUM_TOKEN_BYTES} bytes")]
     TooLong,
-    /// Not the four fields `mw1:group:term:position`.
+    /// The token does not consist of the four fields `mw1:group:term:position`.
     #[error("session token is not of the form mw1:group:term:position")]
-    Shape,
-    /// A field is not a number in its range.
+    Malformed,
+    /// The named field is not a number in its range.
     #[error("session token field {0} is not a number in its range")]
-    Field(&'static str),
+    InvalidField(&'static str),
 }
 
 impl FromStr for SessionToken {
@@ -53,15 +53,15 @@
         }
         let mut fields = text.split(':');
         let prefix = fields.next();
-        let group = fields.next().ok_or(TokenError::Shape)?;
-        let term = fields.next().ok_or(TokenError::Shape)?;
-        let log_position = fields.next().ok_or(TokenError::Shape)?;
+        let group = fields.next().ok_or(TokenError::Malformed)?;
+        let term = fields.next().ok_or(TokenError::Malformed)?;
+        let log_position = fields.next().ok_or(TokenError::Malformed)?;
         if prefix != Some(PREFIX) || group.is_empty() || fields.next().is_some() {
-            return Err(TokenError::Shape);
+            return Err(TokenError::Malformed);
         }
-        let term = term.parse().map_err(|_| TokenError::Field("term"))?;
+        let term = term.parse().map_err(|_| TokenError::InvalidField("term"))?;
         let log_position =
-            u64::from_str_radix(log_position, 16).map_err(|_| TokenError::Field("position"))?;
+            u64::from_str_radix(log_position, 16).map_err(|_| TokenError::InvalidField("position"))?;
         Ok(SessionToken {
             group: GroupName::from(group),
             position: Position {
--- a/crates/millwind-core/tests/session.rs
+++ b/crates/millwind-core/tests/session.rs
@@ -1,9 +1,9 @@
-//! Positions, tokens, confirmation and what may truthfully be said.
+//! Tests of log positions, session tokens, commit confirmation and error reporting.
 
 use millwind_core::confirmation::{ConfirmationRule, ConfirmationTracker, Sequence, Verdict};
 use millwind_core::error_kind::{Effect, ErrorKind};
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::outcome::{NextStep, Progress, RequestTraits, after_failure, is_truthful};
+use millwind_core::outcome::{NextStep, Progress, RequestTraits, after_failure, is_accurate_report};
 use millwind_core::position::{Coverage, LogPosition, Position, Term, TermStart, coverage};
 use millwind_core::token::{MAXIMUM_TOKEN_BYTES, SessionToken, TokenError};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_replica_of_the_same_term_covers_by_its_position() {
+fn positions_of_the_same_term_are_compared_directly() {
     assert_eq!(
         coverage(Position::new(1, 10), &[], Position::new(1, 10)),
         Coverage::Covered
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_old_term_never_covers_a_new_one() {
+fn an_older_term_never_covers_a_newer_one() {
     assert_eq!(
         coverage(Position::new(1, 999), &[], Position::new(2, 1)),
         Coverage::Behind
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_position_in_a_discarded_tail_is_told() {
+fn a_position_in_a_discarded_tail_is_reported_as_discarded() {
     let history = [start(2, 90)];
     assert_eq!(
         coverage(Position::new(2, 120), &history, Position::new(1, 100)),
@@ -66,15 +66,15 @@
 }
 
 #[test]
-fn tokens_name_what_is_wrong() {
-    assert_eq!("mw1:g:1".parse::<SessionToken>(), Err(TokenError::Shape));
+fn token_errors_name_the_invalid_field() {
+    assert_eq!("mw1:g:1".parse::<SessionToken>(), Err(TokenError::Malformed));
     assert_eq!(
         "mw1:g:x:1".parse::<SessionToken>(),
-        Err(TokenError::Field("term"))
+        Err(TokenError::InvalidField("term"))
     );
     assert_eq!(
         "mw1:g:1:zz".parse::<SessionToken>(),
-        Err(TokenError::Field("position"))
+        Err(TokenError::InvalidField("position"))
     );
     let long = "x".repeat(MAXIMUM_TOKEN_BYTES + 1);
     assert_eq!(long.parse::<SessionToken>(), Err(TokenError::TooLong));
@@ -89,27 +89,27 @@
 }
 
 #[test]
-fn a_majority_that_has_received_the_commit_confirms_it() {
+fn a_commit_received_by_a_majority_is_confirmed() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
     assert_eq!(tracker.register(7, Position::new(1, 100)), None);
-    let asked = tracker.draw();
-    let short = tracker.observe(&instance("b"), asked, Term(1), LogPosition(99));
-    assert!(short.is_empty());
+    let sequence = tracker.draw();
+    let undecided = tracker.observe(&instance("b"), sequence, Term(1), LogPosition(99));
+    assert!(undecided.is_empty());
     assert!(
         tracker
-            .observe(&instance("a"), asked, Term(1), LogPosition(100))
+            .observe(&instance("a"), sequence, Term(1), LogPosition(100))
             .is_empty()
     );
-    let decided = tracker.observe(&instance("b"), asked, Term(1), LogPosition(100));
+    let decided = tracker.observe(&instance("b"), sequence, Term(1), LogPosition(100));
     assert_eq!(decided, vec![(7, Verdict::Confirmed)]);
 }
 
 #[test]
-fn what_was_shown_before_the_answer_confirms_at_once() {
+fn a_commit_already_held_by_a_majority_is_confirmed_on_registration() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
-    let asked = tracker.draw();
-    tracker.observe(&instance("b"), asked, Term(1), LogPosition(100));
-    tracker.observe(&instance("c"), asked, Term(1), LogPosition(120));
+    let sequence = tracker.draw();
+    tracker.observe(&instance("b"), sequence, Term(1), LogPosition(100));
+    tracker.observe(&instance("c"), sequence, Term(1), LogPosition(120));
     assert_eq!(
         tracker.register(7, Position::new(1, 100)),
         Some(Verdict::Confirmed)
@@ -120,13 +120,13 @@
 fn a_higher_term_supersedes_a_commit_that_no_majority_holds() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
     tracker.register(7, Position::new(1, 100));
-    let asked = tracker.draw();
-    let decided = tracker.observe(&instance("b"), asked, Term(2), LogPosition(90));
+    let sequence = tracker.draw();
+    let decided = tracker.observe(&instance("b"), sequence, Term(2), LogPosition(90));
     assert_eq!(decided, vec![(7, Verdict::Superseded)]);
 }
 
 #[test]
-fn by_the_term_alone_only_later_questions_count() {
+fn the_term_rule_counts_only_queries_after_registration() {
     let mut tracker = tracker(ConfirmationRule::Term);
     let early = tracker.draw();
     tracker.observe(&instance("a"), early, Term(1), LogPosition(0));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_older_answer_does_not_replace_a_newer_one() {
+fn an_outdated_response_does_not_replace_a_newer_one() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
     tracker.observe(&instance("b"), Sequence(9), Term(1), LogPosition(100));
     tracker.observe(&instance("b"), Sequence(3), Term(1), LogPosition(50));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn the_table_holds_every_kind_once() {
+fn every_error_kind_has_a_unique_code() {
     for (index, kind) in ErrorKind::ALL.into_iter().enumerate() {
         assert_eq!(usize::from(kind.code()), index + 1, "{}", kind.name());
         assert_eq!(ErrorKind::from_code(kind.code()), Some(kind));
@@ -177,25 +177,25 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::with_cases(1024) })]
 
     #[test]
-    fn a_token_survives_its_text(group in "[a-z][a-z0-9-]{0,20}", term in any::<u64>(), position in any::<u64>()) {
+    fn a_token_round_trips_through_its_text(group in "[a-z][a-z0-9-]{0,20}", term in any::<u64>(), position in any::<u64>()) {
         let token = SessionToken { group: GroupName::from(group.as_str()), position: Position::new(term, position) };
         prop_assert_eq!(token.to_string().parse::<SessionToken>(), Ok(token));
     }
 
     #[test]
-    fn any_text_is_a_token_or_an_error(text in ".{0,300}") {
+    fn parsing_arbitrary_text_does_not_panic(text in ".{0,300}") {
         let _ = text.parse::<SessionToken>();
         let _ = text.parse::<LogPosition>();
     }
 
-    /// What is told after a failure is true, and a write without leave to be
-    /// repeated is never run again once sent.
+    /// The error reported after a failure matches the effect of the request, and a write is
+    /// never retried after it was sent unless its effect is known to be undone.
     #[test]
-    fn the_next_step_is_truthful(progress in progress(), read_only: bool, may_repeat: bool, has_request_id: bool) {
+    fn the_reported_error_matches_the_effect(progress in progress(), read_only: bool, may_repeat: bool, has_request_id: bool) {
         let traits = RequestTraits { read_only, may_repeat, has_request_id };
         match after_failure(progress, traits, ErrorKind::TransactionLost) {
             NextStep::Tell(kind) => {
-                prop_assert!(is_truthful(progress, read_only, kind));
+                prop_assert!(is_accurate_report(progress, read_only, kind));
                 prop_assert!(kind.answer().effect != Effect::NotRun || progress != Progress::Sent || read_only);
             }
             NextStep::RunAgain => {
--- a/crates/millwind-core/tests/session_state.rs
+++ b/crates/millwind-core/tests/session_state.rs
@@ -1,5 +1,5 @@
-//! Shared connections are brought to a session's state, and never keep
-//! another's.
+//! Tests that a shared connection is brought to a session's state and keeps no values of
+//! other sessions.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn names_come_from_the_meaning() {
+fn shared_names_depend_on_text_and_access() {
     let read = statement("q1");
     let write = PreparedStatement {
         access: Access::Write,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_connection_in_the_right_state_needs_no_step() {
+fn a_prepared_connection_needs_no_steps() {
     let mut connection = ConnectionState::default();
     let session = SessionState::default();
     let needed = statement("q1");
@@ -43,7 +43,7 @@
 
 proptest! {
     #[test]
-    fn after_its_steps_a_connection_holds_exactly_the_sessions_values(
+    fn after_all_steps_the_connection_has_exactly_the_sessions_values(
         sessions in proptest::collection::vec((values(), "[x-z]"), 1..12),
     ) {
         let mut connection = ConnectionState::default();
