--- a/crates/millwind-core/src/outlier.rs
+++ b/crates/millwind-core/src/outlier.rs
@@ -1,76 +1,78 @@
-//! Whether an instance answers its statements as it should, whatever its
-//! health checks say.
+//! Detects unresponsive instances and instances with a high error rate from the outcomes of
+//! statements.
 //!
-//! An instance can accept connections and answer checks while statements hang
-//! or break. Two signs are kept: how long it has been silent while statements
-//! were under way, and the share of statements that failed lately.
+//! An instance can accept connections and pass health checks while statements hang or fail.
+//! Two signals are tracked: the time without any response while statements are in flight,
+//! and the ratio of recent statements that failed.
 
 use crate::Instant;
 
-/// Outcomes lose half of their weight in this time, in microseconds.
+/// Half-life of the weight of an outcome, in microseconds.
 const HALF_LIFE_MICROS: f64 = 2_000_000.0;
-/// Outcomes, as weighted, before a share is judged.
-const LEAST_OUTCOMES: f64 = 8.0;
-/// Share of failures from which on an instance is an outlier.
-const OUTLIER_SHARE: f64 = 0.2;
-/// Silence is judged against so many times the mean time of a statement.
-const SILENCE_FACTOR: u64 = 8;
-/// Least and most silence that marks an instance as unresponsive, in
+/// Minimum weighted number of outcomes before the failure ratio is evaluated.
+const MIN_OUTCOMES: f64 = 8.0;
+/// Failure ratio at or above which an instance is an outlier.
+const OUTLIER_FAILURE_RATIO: f64 = 0.2;
+/// Time without a response, as a multiple of the mean statement latency, after which an
+/// instance is unresponsive.
+const SILENCE_LATENCY_MULTIPLE: u64 = 8;
+/// Bounds of the time without a response after which an instance is unresponsive, in
 /// milliseconds.
-const LEAST_SILENCE_MS: u64 = 300;
-const MOST_SILENCE_MS: u64 = 800;
+const MIN_SILENCE_MS: u64 = 300;
+const MAX_SILENCE_MS: u64 = 800;
 
-/// How the statements of one instance have ended lately.
+/// Recent outcomes of the statements sent to one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct StatementHealth {
     succeeded: f64,
     failed: f64,
     updated: Instant,
-    under_way: u32,
-    /// Statements sent since the last answer.
+    in_flight: u32,
+    /// Statements sent since the last response.
     unanswered: u32,
-    /// Statements given up since the last answer.
-    given_up: u32,
-    /// Since when statements are under way and none has been answered.
+    /// Statements abandoned without a response since the last response.
+    abandoned: u32,
+    /// Start of the current period in which statements are in flight and no response has
+    /// arrived.
     silent_since: Option<Instant>,
 }
 
 impl StatementHealth {
-    /// A statement was sent.
+    /// Records that a statement was sent.
     pub fn sent(&mut self, now: Instant) {
-        self.under_way += 1;
+        self.in_flight += 1;
         self.unanswered += 1;
         self.silent_since.get_or_insert(now);
     }
 
-    /// The instance answered a statement, with a success or not.
+    /// Records a response from the instance, successful or not.
     pub fn answered(&mut self, now: Instant) {
         self.unanswered = 0;
-        self.given_up = 0;
+        self.abandoned = 0;
         if self.silent_since.is_some() {
             self.silent_since = Some(now);
         }
     }
 
-    /// A statement is no longer under way; `was_answered` unless it was given
-    /// up.
+    /// Records that a statement is no longer in flight; `was_answered` is false if it was
+    /// abandoned without a response.
     pub fn ended(&mut self, was_answered: bool) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         if !was_answered {
-            self.given_up += 1;
+            self.abandoned += 1;
         }
-        if self.under_way == 0 {
+        if self.in_flight == 0 {
             self.silent_since = None;
         }
     }
 
-    /// A statement succeeded.
+    /// Records a successful statement.
     pub fn succeeded(&mut self, now: Instant) {
         self.decay(now);
         self.succeeded += 1.0;
     }
 
-    /// A statement got no answer, or failed where it should not.
+    /// Records a statement that failed because of the instance or its connection.
     pub fn failed(&mut self, now: Instant) {
         self.decay(now);
         self.failed += 1.0;
@@ -84,37 +86,39 @@
         self.updated = now;
     }
 
-    /// Statements under way.
+    /// Returns the number of statements in flight.
     pub fn under_way(&self) -> u32 {
-        self.under_way
+        self.in_flight
     }
 
-    /// Whether one more statement may be sent: while the instance is silent only
-    /// one at a time, which shows when it is well again.
+    /// Returns whether another statement may be sent. While the instance is unresponsive,
+    /// at most one statement is in flight, as a probe for recovery.
     pub fn admits(&self, now: Instant, mean_us: u64) -> bool {
-        let is_silent = self.given_up > 0 || self.unresponsive_since(now, mean_us).is_some();
-        self.under_way == 0 || !is_silent
+        let is_unresponsive = self.abandoned > 0 || self.unresponsive_since(now, mean_us).is_some();
+        self.in_flight == 0 || !is_unresponsive
     }
 
-    /// Whether several statements in a row were not answered: one lost answer
-    /// says nothing of the next statement.
+    /// Returns whether more than one statement was sent since the last response. A single
+    /// lost response does not indicate that the next statement will fail.
     pub fn is_repeatedly_silent(&self) -> bool {
         self.unanswered > 1
     }
 
-    /// Since when the instance is unresponsive: statements are under way, and
-    /// none was answered for much longer than `mean_us`, their mean time.
+    /// Returns since when the instance is unresponsive: statements are in flight, and no
+    /// response has arrived for a multiple of `mean_us`, the mean statement latency.
+    /// Returns `None` while the instance responds or is idle.
     pub fn unresponsive_since(&self, now: Instant, mean_us: u64) -> Option<Instant> {
         let since = self.silent_since?;
-        let limit_ms = (mean_us * SILENCE_FACTOR / 1_000).clamp(LEAST_SILENCE_MS, MOST_SILENCE_MS);
+        let limit_ms = (mean_us * SILENCE_LATENCY_MULTIPLE / 1_000).clamp(MIN_SILENCE_MS, MAX_SILENCE_MS);
         (now.millis_since(since) >= limit_ms).then_some(since)
     }
 
-    /// Whether so many statements failed lately that others should serve.
+    /// Returns whether the recent failure ratio is so high that other instances should be
+    /// preferred.
     pub fn is_outlier(&self, now: Instant) -> bool {
         let mut current = *self;
         current.decay(now);
         let outcomes = current.succeeded + current.failed;
-        outcomes >= LEAST_OUTCOMES && current.failed >= outcomes * OUTLIER_SHARE
+        outcomes >= MIN_OUTCOMES && current.failed >= outcomes * OUTLIER_FAILURE_RATIO
     }
 }
--- a/crates/millwind-core/tests/outlier.rs
+++ b/crates/millwind-core/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! When an instance counts as unresponsive or as an outlier.
+//! Tests of the detection of unresponsive instances and outliers.
 
 use millwind_core::Instant;
 use millwind_core::outlier::StatementHealth;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn silence_counts_only_while_statements_are_under_way() {
+fn an_instance_is_unresponsive_only_while_statements_are_in_flight() {
     let mut health = StatementHealth::default();
     assert_eq!(health.unresponsive_since(at(60_000), MEAN_US), None);
     health.sent(at(0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn one_answer_shows_that_the_instance_responds() {
+fn a_response_restarts_the_silence_period() {
     let mut health = StatementHealth::default();
     health.sent(at(0));
     health.sent(at(10));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn slow_statements_are_given_more_time() {
+fn the_silence_limit_grows_with_the_mean_latency() {
     let mut health = StatementHealth::default();
     health.sent(at(0));
     assert_eq!(health.unresponsive_since(at(500), 80_000), None);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn few_failures_say_nothing_and_many_do() {
+fn an_outlier_requires_a_minimum_number_of_outcomes() {
     let mut health = StatementHealth::default();
     for _ in 0..7 {
         health.failed(at(0));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_outlier_is_tried_again_after_a_while() {
+fn an_outlier_recovers_as_failures_decay() {
     let mut health = StatementHealth::default();
     for _ in 0..10 {
         health.failed(at(0));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_silent_instance_gets_one_statement_at_a_time_until_it_answers() {
+fn an_unresponsive_instance_admits_one_statement_at_a_time() {
     let mut health = StatementHealth::default();
     health.sent(at(0));
     assert!(health.admits(at(100), MEAN_US));
@@ -80,7 +80,7 @@
 
 proptest! {
     #[test]
-    fn rare_failures_make_no_outlier(start in 0_usize..10) {
+    fn a_low_failure_ratio_is_not_an_outlier(start in 0_usize..10) {
         let mut health = StatementHealth::default();
         for step in 0..200_usize {
             if (step + start) % 10 == 0 {
@@ -93,7 +93,7 @@
     }
 
     #[test]
-    fn counts_never_fall_below_zero(steps in proptest::collection::vec(any::<bool>(), 0..100)) {
+    fn the_in_flight_count_never_underflows(steps in proptest::collection::vec(any::<bool>(), 0..100)) {
         let mut health = StatementHealth::default();
         let mut expected = 0_u32;
         for is_sent in steps {
