--- a/crates/millwind-core/src/quota.rs
+++ b/crates/millwind-core/src/quota.rs
@@ -1,100 +1,98 @@
-//! What a tenant may ask for, however many nodes its callers use.
+//! Tenant quotas, enforced across all nodes.
 //!
-//! One node counts for a tenant: it lends operations of the tenant's budget to the
-//! nodes that its callers use, ahead of need and sized by what each used lately.
-//! Over every window the operations that run stay within rate times window plus
-//! burst, with a tenth to spare: loans run out, a budget that begins anew begins
-//! almost empty, and a part of the burst is kept back for operations that run later
-//! than they were admitted.
+//! One node is the lender of a tenant's budget. The nodes that serve the tenant's clients
+//! borrow operations from the lender, ahead of need and in proportion to their recent use.
+//! Over any window, the operations that run stay within rate times window plus burst, with
+//! a tolerance of a tenth. Three rules ensure this: loans expire, a new budget starts
+//! almost empty, and a part of the burst is reserved for operations that run later than
+//! they were admitted.
 
 use crate::lending::{BorrowingTerms, Supply};
 
 pub use crate::lending::{Admission, Allowance, Beginning, Budget, Loan};
 
-/// What a tenant may ask for, summed over all nodes.
+/// A tenant's limits, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quota {
-    /// Operations a second.
+    /// Operations per second.
     pub rate_per_s: u64,
-    /// Operations beyond that at one moment.
+    /// Operations that may exceed the rate at one time.
     pub burst: u64,
 }
 
-/// Part of the burst that is lent, in percent. The rest covers operations that run
-/// after others of a later window were admitted: those that wait at an instance,
-/// and those of loans that are spent late (up to 0.25 s of use).
-const LENT_BURST_PERCENT: u64 = 80;
-/// A budget that begins anew holds so much of a second's rate, in percent: an
-/// earlier count may have lent all of it a moment ago.
-const FIRST_LOAN_PERCENT: u64 = 20;
-/// Operations that it holds at least, so that a small tenant's first are served.
-const LEAST_FIRST_LOAN: f64 = 2.0;
-/// Rate of a node that stands in for one that counts and is reached by itself, in
-/// percent: both may lend at the same time, and a tenth of the window's
-/// operations is there to cover it.
-pub const STAND_IN_PERCENT: u32 = 25;
-/// Rate of all nodes together that reach nobody who counts, in percent; each has an
-/// even part of it.
+/// Part of the burst that is lent, in percent. The rest covers operations that run after
+/// later ones were admitted: operations queued at an instance, and operations of loans that
+/// are spent late.
+const LENDABLE_BURST_PERCENT: u64 = 80;
+/// Initial content of a new budget, in percent of one second's rate. The content is small
+/// because a previous lender may just have lent the full burst.
+const INITIAL_LOAN_PERCENT: u64 = 20;
+/// Minimum initial content of a new budget in operations, so that the first operations of a
+/// small tenant are admitted.
+const MIN_INITIAL_LOAN: f64 = 2.0;
+/// Percentage of the quota that the backup lender lends while it reaches the primary
+/// lender. Both may lend at the same time; the tolerance of a tenth covers the excess.
+pub const BACKUP_LENDER_PERCENT: u32 = 25;
+/// Percentage of the quota that the nodes that reach no lender may use together; each node
+/// gets an equal part.
 pub const UNCOUNTED_PERCENT: u32 = 50;
-/// A loan must be spent within this time from when it was asked for, in
-/// milliseconds.
-const LOAN_MS: u64 = 1_000;
-/// Use is counted over windows of this length, in milliseconds.
+/// Lifetime of a loan from the time of the request, in milliseconds.
+const LOAN_LIFETIME_MS: u64 = 1_000;
+/// Length of the window over which use is counted, in milliseconds.
 const USE_WINDOW_MS: u64 = 500;
-/// A node asks ahead for this part of what it used in one, in percent.
-const AHEAD_PERCENT: u32 = 50;
-/// A node that got nothing asks again after this time, in milliseconds: at 59 nodes
-/// some 400 questions a second reach the node that counts for a tenant at its
-/// limit.
-const DENIED_PAUSE_MS: u64 = 150;
+/// Part of the use in one window that a node requests ahead of need, in percent.
+const PREFETCH_PERCENT: u32 = 50;
+/// Delay before a node whose request was denied asks again, in milliseconds. The delay
+/// bounds the request rate at the lender of a tenant that has reached its limit.
+const DENIED_RETRY_DELAY_MS: u64 = 150;
 
-/// How nodes borrow operations of a tenant.
-const BORROWING: BorrowingTerms = BorrowingTerms {
-    loan_ms: LOAN_MS,
+/// Terms under which nodes borrow operations from a tenant's budget.
+const BORROWING_TERMS: BorrowingTerms = BorrowingTerms {
+    loan_ms: LOAN_LIFETIME_MS,
     use_window_ms: USE_WINDOW_MS,
-    ahead_percent: AHEAD_PERCENT,
-    denied_pause_ms: DENIED_PAUSE_MS,
+    ahead_percent: PREFETCH_PERCENT,
+    denied_pause_ms: DENIED_RETRY_DELAY_MS,
 };
 
 impl Default for Allowance {
-    /// Nothing is lent yet of a tenant's quota.
+    /// Creates an allowance without loans, under the terms for tenants' quotas.
     fn default() -> Self {
-        Allowance::new(BORROWING)
+        Allowance::new(BORROWING_TERMS)
     }
 }
 
-/// What one of the two nodes that may count for a tenant sees of the other.
+/// The state of a tenant's other lender, as seen by one of its two lenders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OtherCounter {
-    /// It answers.
+    /// The other lender responds.
     Heard,
-    /// Its process is gone, so that it counts for nobody.
+    /// The other lender's process has terminated, so that it lends nothing.
     Gone,
-    /// It says nothing: it may be cut off, and lend on its side.
+    /// The other lender does not respond. It may be partitioned and lend to the nodes on
+    /// its side.
     Silent,
 }
 
-/// What a node that counts sees of the others.
+/// The connectivity of a lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reach {
-    /// Nodes that it reaches, itself among them, in percent of all.
+    /// Percentage of all nodes that the lender reaches, including itself.
     pub percent: u32,
-    /// The other node that may count.
+    /// State of the other lender.
     pub other: OtherCounter,
 }
 
-/// How much of a quota a node lends that counts first for it (`is_first`) or stands in
-/// for the one that does, in percent.
+/// Returns the percentage of a quota that a lender may lend. `is_first` is true for the
+/// primary lender and false for the backup lender.
 ///
-/// Nodes that reach neither use an even part each, [`UNCOUNTED_PERCENT`] of all together:
-/// that is taken off for those that this node does not reach. Where the other one that
-/// counts may lend on another side of a cut, each side lends what its nodes are of all.
-/// Without this, two fifths of the nodes cut off let a tenant at its limit run up to
-/// 1.05 times what the users allow in five seconds.
+/// Nodes that reach neither lender use [`UNCOUNTED_PERCENT`] of the quota together, so the
+/// lender deducts the parts of the nodes that it does not reach. While the other lender may
+/// be active on the other side of a network partition, each lender lends in proportion to
+/// the nodes that it reaches. Otherwise the two sides together would exceed the quota.
 pub fn lent_percent(is_first: bool, reach: Reach) -> u32 {
     let reached = reach.percent.min(100);
     match (is_first, reach.other) {
-        (false, OtherCounter::Heard) => STAND_IN_PERCENT,
+        (false, OtherCounter::Heard) => BACKUP_LENDER_PERCENT,
         (_, OtherCounter::Silent) => reached,
         (true, OtherCounter::Heard) | (_, OtherCounter::Gone) => {
             100 - (100 - reached) * UNCOUNTED_PERCENT / 100
@@ -103,20 +101,20 @@
 }
 
 impl Quota {
-    /// What may be lent of this part of it, in percent of the rate and the burst.
+    /// Returns the supply for `percent` of the rate and the burst.
     pub fn part(self, percent: f64) -> Supply {
         let rate_per_s = self.rate_per_s as f64 * percent / 100.0;
         let burst = self.burst as f64 * percent / 100.0;
-        let most_saved = (burst * LENT_BURST_PERCENT as f64 / 100.0).max(1.0);
-        let first_loan = rate_per_s * FIRST_LOAN_PERCENT as f64 / 100.0;
+        let most_saved = (burst * LENDABLE_BURST_PERCENT as f64 / 100.0).max(1.0);
+        let first_loan = rate_per_s * INITIAL_LOAN_PERCENT as f64 / 100.0;
         Supply {
             rate_per_s,
             most_saved,
-            first_loan: first_loan.max(LEAST_FIRST_LOAN).min(most_saved),
+            first_loan: first_loan.max(MIN_INITIAL_LOAN).min(most_saved),
         }
     }
 
-    /// What may be lent of all of it.
+    /// Returns the supply for the full quota.
     pub fn whole(self) -> Supply {
         self.part(100.0)
     }
--- a/crates/millwind-core/src/tenant.rs
+++ b/crates/millwind-core/src/tenant.rs
@@ -1,5 +1,5 @@
-//! Database groups, templates and tenants: what operators write, and the
-//! checked settings that follow from it.
+//! Configuration of database groups, templates and tenants, and the validated settings
+//! derived from it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,52 +11,52 @@
 use crate::ids::{GroupName, InstanceName, RegionName, TenantName, ZoneName};
 use crate::routing::ReadPolicy;
 
-/// One database instance as operators describe it.
+/// Configuration of one database instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSpec {
-    /// Name, unique over the deployment.
+    /// Name, unique within the deployment.
     pub name: InstanceName,
-    /// IP number and port of its PostgreSQL listener.
+    /// IP address and port of the PostgreSQL listener.
     pub address: std::net::SocketAddr,
-    /// Zone it runs in.
+    /// Zone that the instance runs in.
     pub zone: ZoneName,
-    /// Region of that zone.
+    /// Region that contains the zone.
     pub region: RegionName,
-    /// Statements it runs at the same time.
+    /// Statements that the instance runs concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Connections that the instance accepts.
     pub connections: u32,
-    /// Leaving instances get no new work.
+    /// Whether the instance is being decommissioned and receives no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A replicated database group.
+/// Configuration of a replicated database group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupSpec {
     /// Name of the group.
     pub name: GroupName,
-    /// User the proxy connects as.
+    /// User that the proxy connects as.
     pub user: String,
     /// Password of that user; empty for none.
     #[serde(default)]
     pub password: String,
     /// Database name sent to the instances.
     pub database: String,
-    /// What a majority must show before a write is acknowledged.
+    /// Condition that a majority must meet before a write is acknowledged.
     #[serde(default)]
     pub confirmation: ConfirmationRule,
-    /// Its instances.
+    /// Instances of the group.
     pub instances: Vec<InstanceSpec>,
 }
 
-/// How requests of one class are treated.
+/// How requests of one class are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// Name of the class; a request may name it in a comment or setting.
+    /// Name of the class; a request can select the class by name in a comment or setting.
     pub name: String,
     /// Tables whose mention puts a write in this class.
     #[serde(default)]
@@ -64,21 +64,22 @@
     /// Tables whose mention puts a read in this class.
     #[serde(default)]
     pub read_tables: Vec<String>,
-    /// Time from arrival to answer, in milliseconds.
+    /// Time limit from arrival to response, in milliseconds.
     pub window_ms: u64,
-    /// What a request completed in its window counts for.
-    #[serde(default = "one")]
+    /// Value of a request that completes within its window; requests of lower value are
+    /// displaced first from a full queue.
+    #[serde(default = "default_request_value")]
     pub value: u32,
-    /// Whether the proxy may run a write of this class again.
+    /// Whether the proxy may retry a write of this class.
     #[serde(default)]
     pub may_repeat: bool,
 }
 
-fn one() -> u32 {
+fn default_request_value() -> u32 {
     1
 }
 
-/// The settings a template may open to its tenants.
+/// Parameters that a template can allow its tenants to set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Parameter {
@@ -88,7 +89,7 @@
     ReplicaWaitMs,
     /// How long a write may wait for a primary, in milliseconds.
     HoldMs,
-    /// Share of the instance's slots relative to other tenants.
+    /// Weight of the tenant in the distribution of an instance's slots.
     Weight,
     /// Client connections per node.
     MaximumClients,
@@ -102,27 +103,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ParameterSpec {
-    /// Value for tenants that set none.
+    /// Value for tenants that do not set the parameter.
     pub default: u64,
     /// Smallest allowed value.
     pub minimum: u64,
     /// Largest allowed value.
     pub maximum: u64,
-    /// Unit, for people.
+    /// Unit, as documentation for operators.
     #[serde(default)]
     pub unit: String,
-    /// What it does, for people.
+    /// Description, as documentation for operators.
     #[serde(default)]
     pub meaning: String,
 }
 
-/// A template from which tenants are made.
+/// A template that tenants are created from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
     /// Name of the template.
     pub name: String,
-    /// Parameters that tenants may set, with ranges.
+    /// Parameters that tenants may set, with their ranges.
     #[serde(default)]
     pub parameters: BTreeMap<Parameter, ParameterSpec>,
     /// Request classes, first match wins.
@@ -131,39 +132,39 @@
     /// Which instances serve reads.
     #[serde(default)]
     pub read_policy: ReadPolicy,
-    /// Regions in which statements of its tenants may run; empty for all.
+    /// Regions in which the tenants' statements may run; empty allows all regions.
     #[serde(default, alias = "allowed-regions")]
     pub allowed_regions: Vec<RegionName>,
 }
 
-/// A tenant made from a template.
+/// A tenant created from a template.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Name; callers give it as the database in their startup message.
+    /// Name of the tenant, which clients send as the database name in the startup message.
     pub name: TenantName,
-    /// Template it is made from.
+    /// Template that the tenant is created from.
     pub template: String,
     /// Database group it uses.
     pub group: GroupName,
     /// Password callers must prove; empty for none.
     #[serde(default)]
     pub password: String,
-    /// Values for the template's parameters.
+    /// Values of the template's parameters.
     #[serde(default)]
     pub parameters: BTreeMap<Parameter, u64>,
-    /// Regions in which its statements may run; empty for all that its template
-    /// allows.
+    /// Regions in which the tenant's statements may run; empty allows all regions that the
+    /// template allows.
     #[serde(default, alias = "allowed-regions")]
     pub allowed_regions: Vec<RegionName>,
 }
 
-/// Why a template or tenant was refused.
+/// The reason why a group, template or tenant was rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TenantError {
-    /// A parameter the template does not open.
-    #[error("tenant {tenant}: parameter {parameter:?} is not opened by template {template}")]
-    NotOpened {
+    /// The tenant sets a parameter that the template does not allow tenants to set.
+    #[error("tenant {tenant}: template {template} does not allow tenants to set parameter {parameter:?}")]
+    ParameterNotAllowed {
         /// The tenant.
         tenant: TenantName,
         /// The template.
@@ -171,23 +172,23 @@
         /// The parameter.
         parameter: Parameter,
     },
-    /// A value outside the template's range.
+    /// The value of a parameter is outside the template's range.
     #[error("tenant {tenant}: parameter {parameter:?} is {value}, allowed {minimum} to {maximum}")]
     OutOfRange {
         /// The tenant.
         tenant: TenantName,
         /// The parameter.
         parameter: Parameter,
-        /// Value given.
+        /// Configured value.
         value: u64,
         /// Smallest allowed value.
         minimum: u64,
         /// Largest allowed value.
         maximum: u64,
     },
-    /// A template whose default lies outside its own range.
+    /// A parameter's default is outside the template's own range.
     #[error("template {template}: default of {parameter:?} is outside {minimum} to {maximum}")]
-    BadDefault {
+    DefaultOutOfRange {
         /// The template.
         template: String,
         /// The parameter.
@@ -197,7 +198,7 @@
         /// Largest allowed value.
         maximum: u64,
     },
-    /// A request class with a window of zero.
+    /// A request class has a window of zero.
     #[error("template {template}: class {class}: window_ms must be 1 or more")]
     ZeroWindow {
         /// The template.
@@ -205,37 +206,39 @@
         /// The class.
         class: String,
     },
-    /// Terms name a region in which the group has no instance.
-    #[error("tenant {tenant}: no instance of group {group} runs in region {region}, but in {known}")]
+    /// An allowed region contains no instance of the group.
+    #[error(
+        "tenant {tenant}: no instance of group {group} runs in region {region}; regions with instances: {known}"
+    )]
     UnknownRegion {
         /// The tenant.
         tenant: TenantName,
-        /// Its group.
+        /// The tenant's group.
         group: GroupName,
         /// The region.
         region: RegionName,
-        /// Regions of the group's instances.
+        /// Regions that contain instances of the group.
         known: AllowedRegions,
     },
-    /// A tenant and its template allow no region in common.
+    /// The allowed regions of the tenant and of its template do not overlap.
     #[error("tenant {tenant}: allowed_regions of tenant and template have no region in common")]
     NoCommonRegion {
         /// The tenant.
         tenant: TenantName,
     },
-    /// A group without instances, or with an unusable one.
+    /// A field of a group is invalid.
     #[error("group {group}: {field} must be {allowed}")]
     Group {
         /// The group.
         group: GroupName,
-        /// Field at fault.
+        /// Name of the invalid field.
         field: &'static str,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
 }
 
-/// Checked settings of a tenant, ready for use on the request path.
+/// Validated settings of a tenant, as used on the request path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenantSettings {
     /// The tenant.
@@ -250,7 +253,7 @@
     pub replica_wait_ms: u64,
     /// How long a write may wait for a primary, in milliseconds.
     pub hold_ms: u64,
-    /// Weight in the fair queues.
+    /// Weight in fair queueing.
     pub weight: u32,
     /// Client connections per node.
     pub maximum_clients: u32,
@@ -262,7 +265,8 @@
     pub classes: Vec<RequestClass>,
     /// Which instances serve reads.
     pub read_policy: ReadPolicy,
-    /// Regions in which its statements may run, by its own terms and its template's.
+    /// Regions in which the tenant's statements may run: the intersection of the tenant's
+    /// and the template's allowed regions.
     pub allowed_regions: AllowedRegions,
 }
 
@@ -275,11 +279,12 @@
 const DEFAULT_WINDOW_MS: u64 = 5_000;
 
 impl Template {
-    /// Checks the template by itself.
+    /// Validates the template. Fails if the default of a parameter is outside its range, or
+    /// if a request class has a window of zero.
     pub fn check(&self) -> Result<(), TenantError> {
         for (parameter, spec) in &self.parameters {
             if spec.default < spec.minimum || spec.default > spec.maximum {
-                return Err(TenantError::BadDefault {
+                return Err(TenantError::DefaultOutOfRange {
                     template: self.name.clone(),
                     parameter: *parameter,
                     minimum: spec.minimum,
@@ -296,15 +301,16 @@
         }
     }
 
-    /// The settings of `tenant` under this template.
+    /// Returns the settings of `tenant` under this template. Fails if the tenant sets a
+    /// parameter that is not allowed or is out of range.
     pub fn settings_for(&self, tenant: &Tenant) -> Result<TenantSettings, TenantError> {
-        self.check_values(tenant)?;
+        self.check_parameters(tenant)?;
         let value = |parameter, fallback| {
             let given = tenant.parameters.get(&parameter).copied();
             let default = self.parameters.get(&parameter).map(|spec| spec.default);
             given.or(default).unwrap_or(fallback)
         };
-        let narrow = |wide: u64| u32::try_from(wide).unwrap_or(u32::MAX);
+        let saturating_u32 = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
         Ok(TenantSettings {
             name: tenant.name.clone(),
             group: tenant.group.clone(),
@@ -312,9 +318,12 @@
             staleness_ms: value(Parameter::StalenessMs, DEFAULT_STALENESS_MS),
             replica_wait_ms: value(Parameter::ReplicaWaitMs, DEFAULT_REPLICA_WAIT_MS),
             hold_ms: value(Parameter::HoldMs, DEFAULT_HOLD_MS),
-            weight: narrow(value(Parameter::Weight, DEFAULT_WEIGHT)).max(1),
-            maximum_clients: narrow(value(Parameter::MaximumClients, DEFAULT_MAXIMUM_CLIENTS)),
-            retry_budget_percent: narrow(value(Parameter::RetryBudgetPercent, DEFAULT_RETRY_BUDGET_PERCENT)),
+            weight: saturating_u32(value(Parameter::Weight, DEFAULT_WEIGHT)).max(1),
+            maximum_clients: saturating_u32(value(Parameter::MaximumClients, DEFAULT_MAXIMUM_CLIENTS)),
+            retry_budget_percent: saturating_u32(value(
+                Parameter::RetryBudgetPercent,
+                DEFAULT_RETRY_BUDGET_PERCENT,
+            )),
             default_window_ms: value(Parameter::DefaultWindowMs, DEFAULT_WINDOW_MS).max(1),
             classes: self.classes.clone(),
             read_policy: self.read_policy,
@@ -323,12 +332,12 @@
         })
     }
 
-    fn check_values(&self, tenant: &Tenant) -> Result<(), TenantError> {
+    fn check_parameters(&self, tenant: &Tenant) -> Result<(), TenantError> {
         for (parameter, value) in &tenant.parameters {
             let spec = self
                 .parameters
                 .get(parameter)
-                .ok_or_else(|| TenantError::NotOpened {
+                .ok_or_else(|| TenantError::ParameterNotAllowed {
                     tenant: tenant.name.clone(),
                     template: self.name.clone(),
                     parameter: *parameter,
@@ -348,7 +357,8 @@
 }
 
 impl GroupSpec {
-    /// Checks the group by itself.
+    /// Validates the group. Fails if the group has no instances, an invalid name, or an
+    /// instance with too few slots or connections.
     pub fn check(&self) -> Result<(), TenantError> {
         let fail = |field, allowed| {
             Err(TenantError::Group {
@@ -377,13 +387,14 @@
     }
 }
 
-/// Fewest connections an instance must accept: status checks of each possible
-/// owner of the group, and two owners' pools.
+/// Minimum number of connections that an instance must accept, for status checks by each
+/// possible owner of the group and for the pools of two owners.
 pub const MINIMUM_CONNECTIONS: u32 = 8;
 
 impl TenantSettings {
-    /// Checks the allowed regions against those of the group's instances. A name that is
-    /// misspelt would else be found only when the tenant's statements are refused.
+    /// Validates the allowed regions. Fails if no region is allowed, or if an allowed
+    /// region contains no instance of the group. This reports a misspelt region name when
+    /// the configuration changes, not when the tenant's statements are rejected.
     pub fn check_regions(&self, group: &GroupSpec) -> Result<(), TenantError> {
         let AllowedRegions::Only(regions) = &self.allowed_regions else {
             return Ok(());
@@ -404,19 +415,19 @@
         }
     }
 
-    /// The class of a request: the one it names, else the first whose tables
-    /// it mentions.
+    /// Returns the class of a request: the class that the request names, or else the first
+    /// class that lists one of the request's tables. Returns `None` if no class matches.
     pub fn class(&self, named: Option<&str>, read: bool, tables: &[String]) -> Option<&RequestClass> {
         if let Some(name) = named {
             return self.classes.iter().find(|class| class.name == name);
         }
         self.classes.iter().find(|class| {
-            let wanted = if read {
+            let class_tables = if read {
                 &class.read_tables
             } else {
                 &class.write_tables
             };
-            wanted.iter().any(|table| tables.contains(table))
+            class_tables.iter().any(|table| tables.contains(table))
         })
     }
 }
--- a/crates/millwind-core/src/warm_up.rs
+++ b/crates/millwind-core/src/warm_up.rs
@@ -1,29 +1,29 @@
-//! Instances that have started a moment ago are cold: slower, and to be given
-//! only so many statements a second by all nodes together.
+//! Detects cold instances, and limits the rate of statements that all nodes together send
+//! to one. An instance is cold, and therefore slower, for a while after its start.
 
 use crate::Instant;
 use crate::lending::{BorrowingTerms, Supply};
 
-/// How instances of a group warm up.
+/// The warm-up limits of a group's instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUpTerms {
-    /// An instance is cold for so long after its start, in milliseconds.
+    /// Time for which an instance is cold after its start, in milliseconds.
     pub duration_ms: u64,
-    /// Statements a second that all nodes together may send to a cold one.
+    /// Statements per second that all nodes together may send to a cold instance.
     pub statements_per_s: f64,
 }
 
-/// What is let pass beyond a group's terms, as the deployment's settings tell.
+/// The excess over a group's warm-up limits that the deployment's settings tolerate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WarmUpTolerance {
-    /// Of the statements a second, in percent: a hundred for nothing beyond them.
+    /// Tolerated rate, in percent of the configured rate; 100 tolerates no excess.
     pub overage_percent: u64,
-    /// Statements beyond that in any second.
+    /// Additional statements tolerated within any second.
     pub slack: u64,
 }
 
 impl Default for WarmUpTolerance {
-    /// Nothing beyond the terms.
+    /// Returns a tolerance without any excess.
     fn default() -> Self {
         WarmUpTolerance {
             overage_percent: 100,
@@ -32,146 +32,155 @@
     }
 }
 
-/// Whether an instance is warm.
+/// Whether an instance is warm or cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Warmth {
-    /// It may be loaded like any other.
+    /// The instance accepts the normal load.
     Warm,
-    /// It is cold until then.
+    /// The instance is cold until this time.
     ColdUntil(Instant),
 }
 
 impl Warmth {
-    /// Whether it is cold at `now`.
+    /// Returns whether the instance is cold at `now`.
     pub fn is_cold(self, now: Instant) -> bool {
         matches!(self, Warmth::ColdUntil(until) if now < until)
     }
 }
 
-/// What a node has seen of one life of an instance that tells whether it is warm.
+/// What a node has observed about the warm-up of one process of an instance.
 ///
-/// An instance tells for how long it stays slow. Its record may have travelled through
-/// other nodes and may be old, so what it tells counts from when this node read it; of
-/// several such times each is an upper bound, and the earliest holds.
+/// An instance reports its remaining warm-up time in its record. The record may have passed
+/// through other nodes and may be old, so the reported time counts from when this node read
+/// the record. Each read yields an upper bound for the end of the warm-up; the earliest
+/// bound applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sight {
-    /// It is cold until then by its own word.
-    told_until: Instant,
-    /// What its record told when it was last read, in milliseconds.
-    told_ms: u64,
-    /// It is taken to have begun then, whatever it tells.
-    begun: Option<Instant>,
-    /// Its process seemed to end.
-    doubt: Option<Doubt>,
+    /// End of the warm-up according to the records of the instance.
+    reported_until: Instant,
+    /// Remaining warm-up time in the last record read, in milliseconds.
+    reported_ms: u64,
+    /// Assumed start of the process, which applies regardless of the reported time.
+    assumed_start: Option<Instant>,
+    /// Set while the process is suspected to have terminated.
+    suspicion: Option<SuspectedTermination>,
 }
 
-/// The process of an instance seemed to end, and no record of a new one was read yet.
+/// A suspicion that the process of an instance has terminated. Lasts until a record of a
+/// new process is read or the old process is confirmed to be running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Doubt {
-    /// Its last sign.
+struct SuspectedTermination {
+    /// Time of the last indication.
     since: Instant,
-    /// The newest heartbeat that is known of the instance.
+    /// Newest known heartbeat of the instance.
     heartbeat: Option<u64>,
-    /// Later heartbeats of the same life that were read since.
-    later: u8,
+    /// Number of later heartbeats of the same process that were read since.
+    later_heartbeats: u8,
 }
 
-/// So many later heartbeats show that a process did not end: the first may have been
-/// written before the sign of its end, and been on its way.
-const SETTLING_HEARTBEATS: u8 = 2;
+/// Number of later heartbeats that confirm that a process is still running. One is not
+/// enough, because it may have been written before the suspected termination and delivered
+/// after it.
+const CONFIRMING_HEARTBEATS: u8 = 2;
 
 impl Sight {
-    /// An instance that this node sees for the first time at `now`, whose record tells
-    /// that it stays slow for `told_ms`. One that tells nothing may have run for long.
-    pub fn first(told_ms: u64, now: Instant) -> Self {
+    /// Creates the state of an instance that this node first observes at `now`, with a
+    /// reported remaining warm-up time of `reported_ms`. An instance that reports zero is
+    /// taken as warm, because it may have been running for a long time.
+    pub fn first(reported_ms: u64, now: Instant) -> Self {
         Sight {
-            told_until: now.plus_millis(told_ms),
-            told_ms,
-            begun: None,
-            doubt: None,
+            reported_until: now.plus_millis(reported_ms),
+            reported_ms,
+            assumed_start: None,
+            suspicion: None,
         }
     }
 
-    /// A new life of an instance is seen at `now`. One that does not tell for how long
-    /// it stays slow is taken to have begun just now.
-    pub fn new_life(told_ms: u64, now: Instant) -> Self {
+    /// Creates the state of an instance whose process was observed to restart at `now`. If
+    /// the instance reports no remaining warm-up time, the start is assumed to be `now`.
+    pub fn new_life(reported_ms: u64, now: Instant) -> Self {
         Sight {
-            begun: (told_ms == 0).then_some(now),
-            ..Sight::first(told_ms, now)
+            assumed_start: (reported_ms == 0).then_some(now),
+            ..Sight::first(reported_ms, now)
         }
     }
 
-    /// The record of the same life is read again. One that tells that it stays slow for
-    /// longer than it told before has begun again, though it does not tell its life.
-    pub fn read_again(self, told_ms: u64, now: Instant) -> Self {
-        if told_ms > self.told_ms {
-            return Sight::new_life(told_ms, now);
+    /// Returns the state after another record of the same process was read. A reported time
+    /// longer than before means that the process has restarted, even if the record does not
+    /// identify a new process.
+    pub fn read_again(self, reported_ms: u64, now: Instant) -> Self {
+        if reported_ms > self.reported_ms {
+            return Sight::new_life(reported_ms, now);
         }
         Sight {
-            told_until: self.told_until.min(now.plus_millis(told_ms)),
-            told_ms,
+            reported_until: self.reported_until.min(now.plus_millis(reported_ms)),
+            reported_ms,
             ..self
         }
     }
 
-    /// The instance may be used again after nobody has used it for a while: it is taken
-    /// as cold from `now` on.
+    /// Returns the state of an instance that is used again at `now` after a period without
+    /// use: the instance is treated as cold from `now` on.
     pub fn unused_until(self, now: Instant) -> Self {
         Sight {
-            begun: Some(now),
+            assumed_start: Some(now),
             ..self
         }
     }
 
-    /// The process of the instance seems to have ended at `now`: connections to it were
-    /// refused or lost. One that began anew in its place takes connections before its
-    /// record is read, so the instance counts as cold for as long as a new one would,
-    /// unless later records show that the former process lives on.
+    /// Returns the state after connections to the instance were refused or lost at `now`,
+    /// which suggests that its process terminated. A replacement process accepts
+    /// connections before its record is read, so the instance is treated as cold for the
+    /// full warm-up time, unless later heartbeats show that the old process is still
+    /// running.
     pub fn doubted(self, heartbeat: Option<u64>, now: Instant) -> Self {
-        let doubt = Doubt {
+        let suspicion = SuspectedTermination {
             since: now,
             heartbeat,
-            later: 0,
+            later_heartbeats: 0,
         };
         Sight {
-            doubt: Some(doubt),
+            suspicion: Some(suspicion),
             ..self
         }
     }
 
-    /// Whether its process seemed to end, and that is not settled.
+    /// Returns whether the process is suspected to have terminated.
     pub fn is_doubted(&self) -> bool {
-        self.doubt.is_some()
+        self.suspicion.is_some()
     }
 
-    /// A record of the same life was read, with this heartbeat.
+    /// Returns the state after a record of the same process with this heartbeat was read.
     pub fn heard(self, heartbeat: Option<u64>) -> Self {
-        let Some(doubt) = self.doubt else {
+        let Some(suspicion) = self.suspicion else {
             return self;
         };
-        if heartbeat <= doubt.heartbeat {
+        if heartbeat <= suspicion.heartbeat {
             return self;
         }
-        let later = doubt.later + 1;
-        let renewed = Doubt {
+        let later_heartbeats = suspicion.later_heartbeats + 1;
+        let updated = SuspectedTermination {
             heartbeat,
-            later,
-            ..doubt
+            later_heartbeats,
+            ..suspicion
         };
         Sight {
-            doubt: (later < SETTLING_HEARTBEATS).then_some(renewed),
+            suspicion: (later_heartbeats < CONFIRMING_HEARTBEATS).then_some(updated),
             ..self
         }
     }
 
-    /// Whether an instance of a group with these terms is warm. Without terms all are.
+    /// Returns whether the instance is warm under the warm-up limits of its group. Without
+    /// limits, every instance is warm.
     pub fn warmth(&self, terms: Option<WarmUpTerms>, now: Instant) -> Warmth {
         let Some(terms) = terms else {
             return Warmth::Warm;
         };
-        let taken_to_begin = self.begun.max(self.doubt.map(|doubt| doubt.since));
-        let begun_until = taken_to_begin.map(|begun| begun.plus_millis(terms.duration_ms));
-        let until = begun_until.map_or(self.told_until, |begun| begun.max(self.told_until));
+        let latest_start = self
+            .assumed_start
+            .max(self.suspicion.map(|suspicion| suspicion.since));
+        let assumed_until = latest_start.map(|start| start.plus_millis(terms.duration_ms));
+        let until = assumed_until.map_or(self.reported_until, |assumed| assumed.max(self.reported_until));
         match now < until {
             true => Warmth::ColdUntil(until),
             false => Warmth::Warm,
@@ -179,49 +188,50 @@
     }
 }
 
-/// A place at a cold instance must be used within this time from when it was asked for,
-/// in milliseconds: a few round trips between regions (20 ms one way on the users'
-/// sites). The longer it is, the less can be lent, since places of an earlier second
-/// may still be used in the next.
+/// Lifetime of a permit to send a statement to a cold instance, from the time of the
+/// request, in milliseconds. The lifetime covers a few round trips between regions. A
+/// longer lifetime reduces the lendable rate, because permits of one second may still be
+/// used in the next.
 pub const PLACE_MS: u64 = 150;
-/// The window over which arrivals are summed, in milliseconds.
-const WINDOW_MS: u64 = 1_000;
-/// A node that got no place asks again after this time, in milliseconds: with the terms
-/// on the users' sites (12 a second) the lender has some two places by then.
-const DENIED_PAUSE_MS: u64 = 100;
-/// Part of the places of a window that may be lent at one moment, in percent.
-const SAVED_PERCENT: f64 = 10.0;
-/// Part of the rate that is lent: keeps sums of fractions below the next whole place.
-const ROUNDING: f64 = 0.98;
-
-/// How nodes borrow places to arrive. Nothing is asked for ahead of need: there are few
-/// places, and those that a node does not use are lost for all.
+/// Length of the window over which statements are counted, in milliseconds.
+const COUNTING_WINDOW_MS: u64 = 1_000;
+/// Delay before a node whose request was denied asks again, in milliseconds.
+const DENIED_RETRY_DELAY_MS: u64 = 100;
+/// Permits that may be saved up, in percent of a window's permits.
+const SAVED_PERMITS_PERCENT: f64 = 10.0;
+/// Factor applied to the lending rate so that rounding errors never add up to an extra
+/// permit.
+const ROUNDING_MARGIN: f64 = 0.98;
+
+/// Terms under which nodes borrow permits. Nothing is requested ahead of need, because
+/// permits are scarce and a permit that its borrower does not use is lost.
 pub const BORROWING: BorrowingTerms = BorrowingTerms {
     loan_ms: PLACE_MS,
-    use_window_ms: WINDOW_MS,
+    use_window_ms: COUNTING_WINDOW_MS,
     ahead_percent: 0,
-    denied_pause_ms: DENIED_PAUSE_MS,
+    denied_pause_ms: DENIED_RETRY_DELAY_MS,
 };
 
-/// Statements that all nodes together may send to a cold instance within any second.
+/// Returns the maximum number of statements that all nodes together may send to a cold
+/// instance within any second.
 pub fn most_arrivals(terms: WarmUpTerms, tolerance: WarmUpTolerance) -> u64 {
-    let nominal = terms.statements_per_s * tolerance.overage_percent as f64 / 100.0;
-    (nominal + tolerance.slack as f64) as u64
+    let tolerated = terms.statements_per_s * tolerance.overage_percent as f64 / 100.0;
+    (tolerated + tolerance.slack as f64) as u64
 }
 
-/// What one lender may lend of the places at a cold instance.
+/// Returns the supply of permits that one lender may lend for a cold instance.
 ///
-/// Places that are used within one second were lent within that second or within
-/// [`PLACE_MS`] before it; a budget lends no more in that time than what it had saved
-/// and what the rate brings, which is below one more than [`most_arrivals`]. It begins
-/// empty, so that the sum holds also where one lender follows another.
+/// Permits used within a given second were lent within that second or within [`PLACE_MS`]
+/// before it. In that period, a budget lends at most its saved permits plus those that its
+/// rate adds, which is less than [`most_arrivals`] plus one. A budget starts empty, so that
+/// the bound also holds when the lender changes.
 pub fn supply(terms: WarmUpTerms, tolerance: WarmUpTolerance) -> Supply {
-    let most = most_arrivals(terms, tolerance) as f64;
-    let most_saved = (most * SAVED_PERCENT / 100.0).max(1.0);
-    let lending_s = (WINDOW_MS + PLACE_MS) as f64 / 1_000.0;
-    let rate_per_s = match most < 1.0 {
+    let max_statements = most_arrivals(terms, tolerance) as f64;
+    let most_saved = (max_statements * SAVED_PERMITS_PERCENT / 100.0).max(1.0);
+    let lending_window_s = (COUNTING_WINDOW_MS + PLACE_MS) as f64 / 1_000.0;
+    let rate_per_s = match max_statements < 1.0 {
         true => 0.0,
-        false => (most + 1.0 - most_saved) / lending_s * ROUNDING,
+        false => (max_statements + 1.0 - most_saved) / lending_window_s * ROUNDING_MARGIN,
     };
     Supply {
         rate_per_s,
--- a/crates/millwind-core/tests/tenant_regions.rs
+++ b/crates/millwind-core/tests/tenant_regions.rs
@@ -1,4 +1,4 @@
-//! Allowed regions of templates and tenants as operators configure them.
+//! Tests of the allowed regions that operators configure for templates and tenants.
 
 use millwind_core::config_state::{ConfigState, ResolvedConfig};
 use millwind_core::data_residency::AllowedRegions;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn terms_of_template_and_tenant_bind_together() {
+fn allowed_regions_are_the_intersection_of_template_and_tenant() {
     let north = AllowedRegions::from_list([RegionName::from("north")]);
     assert!(regions_of(&state_of("", "")).is_any());
     assert_eq!(regions_of(&state_of("allowed_regions = [\"north\"]", "")), north);
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn an_unknown_region_is_refused_with_the_known_ones_named() {
+fn an_unknown_region_is_rejected_and_the_known_regions_are_listed() {
     let state = state_of("", "");
-    let refused = refusal(&state, &tenant("allowed_regions = [\"nroth\"]"));
+    let message = refusal(&state, &tenant("allowed_regions = [\"nroth\"]"));
     for part in ["tenant/shop", "nroth", "ledger", "north,south"] {
-        assert!(refused.contains(part), "{refused}");
+        assert!(message.contains(part), "{message}");
     }
-    let refused = refusal(&state, &template("allowed_regions = [\"nroth\"]"));
-    assert!(refused.contains("nroth"), "{refused}");
+    let message = refusal(&state, &template("allowed_regions = [\"nroth\"]"));
+    assert!(message.contains("nroth"), "{message}");
     assert!(
         state
             .check_change(&tenant("allowed_regions = [\"south\"]"))
@@ -99,24 +99,24 @@
 }
 
 #[test]
-fn terms_without_overlap_are_refused() {
+fn allowed_regions_without_overlap_are_rejected() {
     let state = state_of("allowed_regions = [\"north\"]", "");
-    let refused = refusal(&state, &tenant("allowed_regions = [\"south\"]"));
-    assert!(refused.contains("no region in common"), "{refused}");
+    let message = refusal(&state, &tenant("allowed_regions = [\"south\"]"));
+    assert!(message.contains("no region in common"), "{message}");
 }
 
 #[test]
-fn a_group_keeps_an_instance_in_each_region_that_tenants_name() {
+fn removing_the_last_instance_of_an_allowed_region_is_rejected() {
     let state = state_of("", "allowed_regions = [\"south\"]");
     let moved = GROUP.replace("region = \"south\"", "region = \"east\"");
-    let refused = refusal(&state, &document("group/ledger", 4, &moved));
-    assert!(refused.contains("south"), "{refused}");
+    let message = refusal(&state, &document("group/ledger", 4, &moved));
+    assert!(message.contains("south"), "{message}");
 }
 
-/// Terms that are in force in spite of the check let nothing run, and hold up no other
-/// change.
+/// A stored configuration without a common region must not be usable for any statement, and
+/// must not block other changes.
 #[test]
-fn terms_without_overlap_that_are_in_force_allow_nothing() {
+fn stored_allowed_regions_without_overlap_allow_nothing() {
     let state = state_of("allowed_regions = [\"north\"]", "allowed_regions = [\"south\"]");
     assert_eq!(regions_of(&state).to_string(), "none");
     let larger = GROUP.replace("slots = 4", "slots = 8");
