--- a/crates/millwind-engine/src/duty.rs
+++ b/crates/millwind-engine/src/duty.rs
@@ -1,11 +1,12 @@
-//! The duty to replace a group's leader: one record per group in the store.
+//! Failover ownership: which node may replace a group's leader, as one record per
+//! group in the store.
 //!
-//! Whoever writes the record under the condition of its last revision holds
-//! the duty, and the revision of that write is the fencing token: it rises
-//! with each holder and with each order. The record also tells everyone which
-//! replica was chosen, so that nobody else orders another one meanwhile. A
-//! holder keeps its token while the store is out; an order of an earlier
-//! holder that is carried out late is turned away by its token.
+//! A node becomes the holder by a compare-and-swap of the record against its last
+//! revision. The revision of that write is the fencing token, so the token increases
+//! with each new holder and each promotion. The record also names the replica chosen
+//! for promotion, so that no other node promotes a different one at the same time. A
+//! holder keeps its token during a store outage; a delayed promotion by an earlier
+//! holder is rejected because its token is lower.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,61 +26,62 @@
 use crate::directory::Directory;
 use crate::store_watch::Follower;
 
-/// Other nodes' orders are left alone for this long, in milliseconds.
-pub const ORDER_GRACE_MS: u64 = 2_500;
+/// Time for which a node does not interfere with another node's promotion, in
+/// milliseconds.
+pub const PROMOTION_GRACE_MS: u64 = 2_500;
 
-/// The record of a group's duty.
+/// The stored failover ownership of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRecord {
-    /// Node that holds the duty.
+    /// Node that may replace the leader.
     pub holder: String,
-    /// Replica it chose last; none when it only took the duty.
+    /// Replica that the holder chose last; `None` if it has only taken ownership.
     #[serde(default)]
     pub chosen: Option<InstanceName>,
-    /// Terms up to this one are closed: nobody counts on their leaders. Zero
-    /// where promotions fence.
+    /// Highest closed term: answers from leaders of this term and earlier ones are no
+    /// longer accepted. Zero where a promotion itself fences the old leader.
     #[serde(default)]
     pub closed_term: Term,
-    /// The leader of the closed term, where it was known.
+    /// The leader of the closed term, if known.
     #[serde(default)]
     pub retired: Option<InstanceName>,
-    /// An order for `chosen` may have been sent in the closed term.
+    /// Whether a promotion of `chosen` may have been sent in the closed term.
     #[serde(default)]
     pub is_ordered: bool,
 }
 
 impl DutyRecord {
-    /// Whether this record holds all that may follow from `other`: closed terms, and an
-    /// order that may have been sent.
+    /// Returns whether this record includes the closed terms of `other` and the promotion
+    /// that `other` may have caused.
     fn covers(&self, other: &DutyRecord) -> bool {
-        let has_order = self.is_ordered || !other.is_ordered;
-        self.closed_term > other.closed_term || (self.closed_term == other.closed_term && has_order)
+        let covers_promotion = self.is_ordered || !other.is_ordered;
+        self.closed_term > other.closed_term || (self.closed_term == other.closed_term && covers_promotion)
     }
 }
 
-/// What a node writes when it takes a duty.
+/// What a node writes when it takes failover ownership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// Only the duty.
+    /// Ownership without a chosen replica.
     Hold,
-    /// What the store lost when it was restored.
+    /// The record that the store lost when it was restored from a backup.
     Restore,
-    /// The replica that will be ordered to take over, under the new token.
+    /// The replica to promote under the new token.
     Order(InstanceName),
-    /// The same, where the old leader's term must be closed first; the order
-    /// follows under a later token.
+    /// The replica to promote after the old leader's term is closed; the promotion
+    /// uses a later token.
     Close {
-        /// The replica that will be ordered to take over.
+        /// The replica to promote.
         chosen: InstanceName,
         /// The term to close.
         term: Term,
-        /// Its leader, where it is known.
+        /// The leader of that term, if known.
         retired: Option<InstanceName>,
     },
 }
 
 impl Claim {
-    /// The record that `holder` writes in place of `held`: closed terms stay
+    /// Returns the record that `holder` writes in place of `held`. Closed terms stay
     /// closed.
     fn record(self, holder: &str, held: Option<DutyRecord>) -> DutyRecord {
         if let (Claim::Restore, Some(held)) = (&self, &held) {
@@ -118,35 +120,36 @@
     }
 }
 
-/// A duty record as this node last saw it.
+/// A failover ownership record as this node last observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenDuty {
+pub struct ObservedDuty {
     /// The record.
     pub record: DutyRecord,
-    /// Its revision, which the fencing token follows from.
+    /// The store revision of the record, from which the fencing token is derived.
     pub revision: StoreRevision,
-    /// When this node first saw it.
+    /// When this node first observed this revision.
     pub seen: Instant,
 }
 
-/// Why the duty was not taken.
+/// Why failover ownership was not taken.
 #[derive(Debug)]
 pub enum DutyError {
-    /// Another node wrote the record meanwhile.
+    /// Another node changed the record first.
     Taken,
-    /// The store refused or gave no answer.
+    /// The store refused the write or did not answer.
     Store(StoreError),
 }
 
-/// The duty records of all groups.
+/// The failover ownership records of all groups, as stored and as lost by the store.
 pub struct Duties<S> {
     store: Arc<S>,
     prefix: String,
     node: String,
     directory: Arc<Directory>,
-    seen: Mutex<HashMap<GroupName, SeenDuty>>,
-    /// Records that the store lost when it was restored, with the time at which that was
-    /// seen: they are written again before anybody may rest on their absence.
+    observed: Mutex<HashMap<GroupName, ObservedDuty>>,
+    /// Records that the store lost when it was restored from a backup, with the time at
+    /// which this node detected the loss. They are written again before any node may rely
+    /// on their absence.
     lost: Mutex<HashMap<GroupName, (DutyRecord, Instant)>>,
     is_listed: AtomicBool,
 }
@@ -158,30 +161,30 @@
 }
 
 impl<S: Store + 'static> Duties<S> {
-    /// Duties kept under `prefix`, taken in the name of `node`; closed terms are
-    /// told to `directory`.
+    /// Creates a view of the records under `prefix`. Ownership is taken in the name of
+    /// `node`, and closed terms are reported to `directory`.
     pub fn new(store: Arc<S>, prefix: String, node: String, directory: Arc<Directory>) -> Self {
         Duties {
             store,
             prefix,
             node,
             directory,
-            seen: Mutex::new(HashMap::new()),
+            observed: Mutex::new(HashMap::new()),
             lost: Mutex::new(HashMap::new()),
             is_listed: AtomicBool::new(false),
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, HashMap<GroupName, SeenDuty>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn observed(&self) -> MutexGuard<'_, HashMap<GroupName, ObservedDuty>> {
+        self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lost(&self) -> MutexGuard<'_, HashMap<GroupName, (DutyRecord, Instant)>> {
         self.lost.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Groups whose records the store lost when it was restored, and since when that is
-    /// known.
+    /// Returns the groups whose records the store lost when it was restored, each with the
+    /// time at which this node detected the loss.
     pub fn lost_records(&self) -> Vec<(GroupName, Instant)> {
         let lost = self.lost();
         lost.iter()
@@ -189,8 +192,8 @@
             .collect()
     }
 
-    /// Takes in that the store no longer holds `record`, whatever it holds instead.
-    fn note_lost(&self, group: &GroupName, record: &DutyRecord) {
+    /// Records that the store lost `record`, unless a known lost record covers it.
+    fn record_loss(&self, group: &GroupName, record: &DutyRecord) {
         let mut lost = self.lost();
         let is_known = lost.get(group).is_some_and(|(known, _)| known.covers(record));
         if !is_known {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// What is known of a group's duty, in the store or lost with it.
+    /// Returns the latest known record of a group, either from the store or lost by it.
     fn known_record(&self, group: &GroupName) -> Option<DutyRecord> {
         let held = self.get(group).map(|duty| duty.record);
         let lost = self.lost().get(group).map(|(record, _)| record.clone());
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Lists the keys under `prefix` in the store, as of now.
+    /// Lists the current keys under `prefix` in the store; logs a failure.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let listing = self.store.list(prefix, USUAL_SILENCE).await;
         listing.inspect_err(|error| {
@@ -223,16 +226,16 @@
         })
     }
 
-    /// Takes the duty for `group` unless somebody holds it, so that there is a
-    /// token to act with while the store is out.
+    /// Takes ownership of `group` if no node is known to hold it, so that a fencing token
+    /// is available during a store outage.
     pub async fn hold_ahead(&self, group: &GroupName) {
         if self.get(group).is_none() {
-            // Whoever writes first holds it; the others see the record.
+            // A conflict means that another node has become the holder.
             let _ = self.take(group, Claim::Hold).await;
         }
     }
 
-    /// Writes again what the store lost of a group's duty, unless somebody has.
+    /// Rewrites the lost record of a group, unless another node already has.
     pub async fn restore(&self, group: &GroupName) {
         if !self.lost().contains_key(group) {
             return;
@@ -242,12 +245,12 @@
         }
     }
 
-    /// The record of `group` as last seen.
-    pub fn get(&self, group: &GroupName) -> Option<SeenDuty> {
-        self.seen().get(group).cloned()
+    /// Returns the last observed record of `group`.
+    pub fn get(&self, group: &GroupName) -> Option<ObservedDuty> {
+        self.observed().get(group).cloned()
     }
 
-    /// The record of `group` as the store holds it, for other nodes.
+    /// Returns the last observed record of `group` as a document for other nodes.
     pub fn document(&self, group: &GroupName) -> Option<StoredDocument> {
         let duty = self.get(group)?;
         Some(StoredDocument {
@@ -258,33 +261,35 @@
         })
     }
 
-    /// Whether the store has told of all records once.
+    /// Returns whether all records have been read from the store at least once.
     pub fn is_listed(&self) -> bool {
         self.is_listed.load(Ordering::Relaxed)
     }
 
-    /// Whether another node's recent order should be left to take effect.
+    /// Returns whether another node has recently chosen a replica, whose promotion should
+    /// be given time to take effect.
     pub fn is_ordered_by_other(&self, group: &GroupName) -> bool {
         self.get(group).is_some_and(|duty| {
             duty.record.holder != self.node
                 && duty.record.chosen.is_some()
-                && clock::now().millis_since(duty.seen) < ORDER_GRACE_MS
+                && clock::now().millis_since(duty.seen) < PROMOTION_GRACE_MS
         })
     }
 
-    /// The token this node may use without asking the store, if it holds the
-    /// duty as far as it knows.
+    /// Returns the fencing token that this node may use without a store access, or `None`
+    /// if the last observed holder is another node.
     pub fn held_token(&self, group: &GroupName) -> Option<u64> {
         let duty = self.get(group)?;
         (duty.record.holder == self.node).then_some(duty.revision.fencing_token())
     }
 
-    /// The key of a group's record.
+    /// Returns the store key of a group's record.
     pub fn key(&self, group: &GroupName) -> String {
         format!("{}{}", self.prefix, group)
     }
 
-    /// Writes the record with a claim; returns the new fencing token.
+    /// Writes `claim` to the record of `group` and returns the new fencing token. Fails if
+    /// another node changed the record first or the store did not confirm the write.
     pub async fn take(&self, group: &GroupName, claim: Claim) -> Result<u64, DutyError> {
         let key = self.key(group);
         let held = self.get(group);
@@ -299,12 +304,12 @@
             Ok(Swap::Done { revision }) => {
                 let token = revision.fencing_token();
                 info!("event=duty_taken group={group} token={token} revision={revision} previous={known}");
-                self.note(group.clone(), record, revision);
+                self.observe(group.clone(), record, revision);
                 Ok(token)
             }
             Ok(Swap::Conflict { current }) => {
                 info!("event=duty_conflict group={group} expected={known}");
-                self.apply(current);
+                self.apply_entries(current);
                 Err(DutyError::Taken)
             }
             Err(error) => {
@@ -314,59 +319,59 @@
         }
     }
 
-    fn note(&self, group: GroupName, record: DutyRecord, revision: StoreRevision) {
+    fn observe(&self, group: GroupName, record: DutyRecord, revision: StoreRevision) {
         if record.closed_term > Term::default() {
             self.directory
                 .close_term(&group, record.closed_term, record.retired.as_ref());
         }
         self.lost()
             .retain(|lost, (known, _)| *lost != group || !record.covers(known));
-        let mut seen = self.seen();
-        if let Some(held) = seen.get(&group) {
+        let mut observed = self.observed();
+        if let Some(held) = observed.get(&group) {
             if held.revision >= revision {
                 return;
             }
             if held.revision.era < revision.era && !record.covers(&held.record) {
-                self.note_lost(&group, &held.record);
+                self.record_loss(&group, &held.record);
             }
         }
-        let duty = SeenDuty {
+        let duty = ObservedDuty {
             record,
             revision,
             seen: clock::now(),
         };
-        seen.insert(group, duty);
+        observed.insert(group, duty);
     }
 
-    /// Forgets records that the store no longer holds. Nobody removes any: they are lost
-    /// with what it held before it was restored, and a claim in their place must expect
-    /// that there is none.
-    fn forget_unlisted(&self, listing: &Listing) {
+    /// Moves records that the store no longer holds to the lost records. No node deletes
+    /// records, so a missing record was lost when the store was restored; the next claim
+    /// must then be conditional on the absence of the key.
+    fn detect_lost_records(&self, listing: &Listing) {
         let keys = listing.entries.iter().map(|entry| entry.key.as_str());
         let present: HashSet<GroupName> = keys
             .filter_map(|key| key.strip_prefix(&self.prefix))
             .map(GroupName::from)
             .collect();
-        let is_gone = |group: &GroupName, duty: &SeenDuty| {
+        let is_gone = |group: &GroupName, duty: &ObservedDuty| {
             duty.revision.era < listing.revision.era && !present.contains(group)
         };
         let gone: Vec<_> = {
-            let mut seen = self.seen();
-            seen.extract_if(|group, duty| is_gone(group, duty)).collect()
+            let mut observed = self.observed();
+            observed.extract_if(|group, duty| is_gone(group, duty)).collect()
         };
         for (group, duty) in gone {
-            self.note_lost(&group, &duty.record);
+            self.record_loss(&group, &duty.record);
         }
     }
 
-    fn apply(&self, entries: Vec<Entry>) {
+    fn apply_entries(&self, entries: Vec<Entry>) {
         for entry in entries {
             let Some(group) = entry.key.strip_prefix(&self.prefix) else {
                 continue;
             };
             let Some(value) = entry.value else { continue };
             match serde_json::from_slice(&value) {
-                Ok(record) => self.note(GroupName::from(group), record, entry.revision),
+                Ok(record) => self.observe(GroupName::from(group), record, entry.revision),
                 Err(error) => {
                     warn!(
                         "event=duty_unreadable group={group} error={:?}",
@@ -378,9 +383,9 @@
     }
 }
 
-/// The bytes of a record in the store.
+/// Encodes a record for the store.
 fn encode(record: &DutyRecord) -> Vec<u8> {
-    // A record of texts and numbers always has a form.
+    // Serialization cannot fail: the record has only strings, numbers and booleans.
     serde_json::to_vec(record).unwrap_or_default()
 }
 
@@ -390,13 +395,13 @@
     }
 
     fn listed(&self, listing: Listing) {
-        self.forget_unlisted(&listing);
-        self.apply(listing.entries);
+        self.detect_lost_records(&listing);
+        self.apply_entries(listing.entries);
         self.is_listed.store(true, Ordering::Relaxed);
     }
 
     fn changed(&self, entries: Vec<Entry>) {
-        self.apply(entries);
+        self.apply_entries(entries);
     }
 
     fn complete(&self, asked: Instant) {
