--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/cold_places.rs
@@ -1,9 +1,10 @@
-//! Places to arrive at instances that are cold: owners of an instance lend them, and
-//! every statement takes one right before it is sent.
+//! Warm-up credits: admission control for instances that have just started ("cold").
 //!
-//! What all nodes together send within any second stays within the group's terms,
-//! whatever is cut off or starts anew: one owner lends at a time, by the word of most
-//! owners, and who reaches no lender sends nothing.
+//! Each statement sent to a cold instance consumes one credit. One of the instance's
+//! owners, the lender, lends credits to the other nodes. An owner becomes the lender with
+//! the votes of a majority of owners, so that at most one lends at a time and the total
+//! rate of all nodes stays within the group's warm-up terms despite partitions and
+//! restarts. A node that cannot reach a lender sends nothing to the instance.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -30,68 +31,75 @@
 use crate::node::Engine;
 use crate::registry::Owner;
 
-/// An owner answers a question for places, or for its word, within this time: a few
-/// round trips between regions (20 ms one way on the users' sites).
-const ANSWER_LIMIT: Duration = Duration::from_millis(120);
-/// One who waits for a place tries again after a time between these, in milliseconds:
-/// with the terms on the users' sites two places come within it, and those who wait
-/// don't all ask at the same moment.
-const PAUSE_MS: std::ops::Range<u64> = 60..140;
-/// Longest time after which a caller is told to come back, in milliseconds.
-const MOST_RETRY_AFTER_MS: f64 = 5_000.0;
-
-/// What a statement may do that finds no place at a cold instance.
+/// Timeout of a request to an owner for credits or a vote: a few round trips between
+/// regions.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(120);
+/// Range of the random pause between two attempts to acquire a credit, in milliseconds;
+/// the jitter spreads the requests of waiting statements.
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 60..140;
+/// Upper bound of the retry delay reported to callers, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 5_000.0;
+
+/// How long a statement may wait for a credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceNeed {
-    /// Another instance may serve it: it does not wait.
-    Elsewhere,
-    /// Only this instance can serve it: it waits while its answer can be in time.
-    ByAim,
-    /// It belongs to an open transaction: it waits until its deadline.
-    ByDeadline,
+pub enum CreditWaitPolicy {
+    /// The statement does not wait, because another instance can serve it.
+    NoWait,
+    /// The statement can run only on this instance and waits until its target time.
+    UntilAim,
+    /// The statement belongs to an open transaction and waits until its deadline.
+    UntilDeadline,
 }
 
-/// A statement found no place.
+/// No credit is available for a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PlaceRefused {
-    /// When its caller may come back, in milliseconds.
+pub struct CreditRefused {
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// A statement on its way to an instance, while it looks for a place.
-pub struct PlaceWait<'a> {
+/// The attempts of one statement to acquire a credit; counts the statement among the
+/// waiting ones until dropped.
+pub struct CreditWait<'a> {
     engine: &'a Engine,
     record: &'a InstanceRecord,
-    need: PlaceNeed,
-    /// Zero for a transaction, else one more than the priority.
+    policy: CreditWaitPolicy,
+    /// Order among waiting statements: zero for an open transaction, otherwise the
+    /// priority plus one.
     rank: u16,
     is_waiting: bool,
 }
 
-impl<'a> PlaceWait<'a> {
-    /// It has not looked yet.
-    pub fn new(engine: &'a Engine, record: &'a InstanceRecord, need: PlaceNeed, urgency: Urgency) -> Self {
+impl<'a> CreditWait<'a> {
+    /// Creates the state of a statement that has made no attempt yet.
+    pub fn new(
+        engine: &'a Engine,
+        record: &'a InstanceRecord,
+        policy: CreditWaitPolicy,
+        urgency: Urgency,
+    ) -> Self {
         let rank = match urgency {
             Urgency::InTransaction => 0,
             Urgency::Priority(priority) => u16::from(priority) + 1,
             Urgency::Late => u16::MAX,
         };
-        PlaceWait {
+        CreditWait {
             engine,
             record,
-            need,
+            policy,
             rank,
             is_waiting: false,
         }
     }
 
-    /// Waits before it tries again; false where waiting on is of no use: the answer
-    /// would come after `until`, or those who wait already take all places until then.
+    /// Waits before the next attempt. Returns false at once if the statement may not wait,
+    /// the pause would end after `until`, or the statements already waiting will use all
+    /// credits until then.
     pub async fn pause(&mut self, until: Instant) -> bool {
-        if self.need == PlaceNeed::Elsewhere {
+        if self.policy == CreditWaitPolicy::NoWait {
             return false;
         }
-        let pause_ms = rand::rng().random_range(PAUSE_MS);
+        let pause_ms = rand::rng().random_range(RETRY_PAUSE_MS);
         if clock::now().plus_millis(pause_ms) >= until || !self.join(until) {
             return false;
         }
@@ -99,9 +107,9 @@
         true
     }
 
-    /// Counts it among those who wait, if there will be a place for it until then. A
-    /// transaction is let in always: it holds its connection, and what it has done is
-    /// lost otherwise.
+    /// Counts the statement among the waiting ones. Returns false if no credit is expected
+    /// for it before `until`. An open transaction always joins, because it holds a
+    /// connection and its work would be lost otherwise.
     fn join(&mut self, until: Instant) -> bool {
         if self.is_waiting {
             return true;
@@ -110,11 +118,11 @@
             return true;
         };
         let rate_per_s = supply(terms, self.engine.settings.warm_up_tolerance).rate_per_s;
-        let places = rate_per_s * clock::until(until).as_secs_f64() / OWNERS as f64;
+        let credits = rate_per_s * clock::until(until).as_secs_f64() / OWNERS as f64;
         let mut waiting = self.engine.cold_places.waiting();
         let ranks = waiting.entry(self.record.name.clone()).or_default();
         let ahead: usize = ranks.range(..=self.rank).map(|(_, count)| *count).sum();
-        if self.need != PlaceNeed::ByDeadline && ahead as f64 >= places {
+        if self.policy != CreditWaitPolicy::UntilDeadline && ahead as f64 >= credits {
             return false;
         }
         *ranks.entry(self.rank).or_default() += 1;
@@ -122,7 +130,7 @@
         true
     }
 
-    /// Those at this node that wait and are more urgent.
+    /// Returns the number of more urgent statements that wait at this node.
     fn ahead(&self) -> usize {
         let waiting = self.engine.cold_places.waiting();
         let ranks = waiting.get(&self.record.name);
@@ -130,7 +138,7 @@
     }
 }
 
-impl Drop for PlaceWait<'_> {
+impl Drop for CreditWait<'_> {
     fn drop(&mut self) {
         if !self.is_waiting {
             return;
@@ -149,56 +157,57 @@
     }
 }
 
-/// This node's part in lending places at one instance.
+/// This node's state as a possible lender of credits for one instance.
 #[derive(Debug, Default)]
-struct Lender {
-    /// To whom it has given its word.
-    word: Word,
+struct LenderState {
+    /// The vote that this node has cast.
+    vote: Word,
     lease: LenderLease,
     budget: Option<Budget>,
-    /// The owners as this node knows them, and since when.
+    /// The owners of the instance as this node knows them.
     owners: Vec<SocketAddr>,
+    /// Time since which `owners` is unchanged.
     owners_since: Option<Instant>,
-    /// Held while the owners are asked.
-    asking: Arc<tokio::sync::Mutex<()>>,
-    /// It is asking the owners for their word.
+    /// Held during a round of vote requests, so that only one runs at a time.
+    vote_round: Arc<tokio::sync::Mutex<()>>,
+    /// Whether this node is requesting votes.
     is_candidate: bool,
 }
 
-/// This node asks the owners of an instance for their word, until this is dropped.
+/// Guard that marks this node as a candidate for lender until it is dropped.
 struct Candidacy<'a> {
-    places: &'a ColdPlaces,
+    credits: &'a ColdPlaces,
     instance: &'a InstanceName,
 }
 
 impl<'a> Candidacy<'a> {
-    fn begin(places: &'a ColdPlaces, instance: &'a InstanceName) -> Self {
-        let mut lenders = locked(&places.lenders);
+    fn begin(credits: &'a ColdPlaces, instance: &'a InstanceName) -> Self {
+        let mut lenders = locked(&credits.lenders);
         lenders.entry(instance.clone()).or_default().is_candidate = true;
-        Candidacy { places, instance }
+        Candidacy { credits, instance }
     }
 }
 
 impl Drop for Candidacy<'_> {
     fn drop(&mut self) {
-        if let Some(lender) = locked(&self.places.lenders).get_mut(self.instance) {
+        if let Some(lender) = locked(&self.credits.lenders).get_mut(self.instance) {
             lender.is_candidate = false;
         }
     }
 }
 
-/// Those who wait for a place, by instance and rank.
-type Waiting = HashMap<InstanceName, BTreeMap<u16, usize>>;
+/// Numbers of statements that wait for a credit, by instance and rank.
+type WaiterCounts = HashMap<InstanceName, BTreeMap<u16, usize>>;
 
-/// Places at cold instances, as this node lends and borrows them.
+/// The warm-up credits that this node lends and borrows.
 #[derive(Debug, Default)]
 pub struct ColdPlaces {
     borrowers: Mutex<HashMap<InstanceName, Arc<Borrower>>>,
-    /// Who lent last, by instance: it is asked first.
+    /// The last known lender of each instance, which is asked first.
     last_lenders: Mutex<HashMap<InstanceName, SocketAddr>>,
-    lenders: Mutex<HashMap<InstanceName, Lender>>,
-    waiting: Mutex<Waiting>,
-    /// Instances that were cold at the last look.
+    lenders: Mutex<HashMap<InstanceName, LenderState>>,
+    waiting: Mutex<WaiterCounts>,
+    /// Instances that were cold at the last update.
     cold: Mutex<Vec<InstanceName>>,
 }
 
@@ -213,35 +222,35 @@
         borrowers.entry(instance.clone()).or_insert_with(new).clone()
     }
 
-    /// Forgets instances that are not known any more.
-    fn forget_others(&self, known: &HashSet<&InstanceName>) {
+    /// Removes the state of instances that are not in `known`.
+    fn retain_known(&self, known: &HashSet<&InstanceName>) {
         locked(&self.borrowers).retain(|instance, _| known.contains(instance));
         locked(&self.last_lenders).retain(|instance, _| known.contains(instance));
         locked(&self.lenders).retain(|instance, _| known.contains(instance));
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
+    fn waiting(&self) -> MutexGuard<'_, WaiterCounts> {
         locked(&self.waiting)
     }
 }
 
 impl Engine {
-    /// Takes a place for a statement that is about to be sent to `record`. It waits only
-    /// for the answer of the lender, and not beyond `deadline`: a place that comes later
-    /// would be used by a statement that its caller has given up. A warm instance needs
-    /// none.
-    pub async fn take_place(
+    /// Acquires a credit for a statement that is about to be sent to `record`; succeeds at
+    /// once if the instance is warm. Waits only for the lender's answer and at most until
+    /// `deadline`. Fails if no credit is available, or if more urgent statements wait for
+    /// one.
+    pub async fn acquire_credit(
         self: &Arc<Self>,
         record: &InstanceRecord,
-        wait: &PlaceWait<'_>,
+        wait: &CreditWait<'_>,
         deadline: Instant,
-    ) -> Result<(), PlaceRefused> {
+    ) -> Result<(), CreditRefused> {
         let Some(terms) = self.directory.cold_terms(&record.name) else {
             return Ok(());
         };
         let ahead = wait.ahead();
         if ahead > 0 {
-            return Err(self.refused_behind(ahead, terms));
+            return Err(self.refuse_behind_urgent(ahead, terms));
         }
         let borrower = self.cold_places.borrower(&record.name);
         borrower.arrived(clock::now());
@@ -249,37 +258,37 @@
             let answered = borrower.answered.notified();
             let (admission, must_ask) = borrower.try_admit(clock::now());
             if must_ask {
-                tokio::spawn(self.clone().borrow_places(record.clone(), borrower.clone()));
+                tokio::spawn(self.clone().borrow_credits(record.clone(), borrower.clone()));
             }
             match admission {
                 Admission::Admitted => {
                     self.metrics.cold_arrivals.count(&record.name);
                     return Ok(());
                 }
-                Admission::Refused { retry_after_ms } => return Err(PlaceRefused { retry_after_ms }),
+                Admission::Refused { retry_after_ms } => return Err(CreditRefused { retry_after_ms }),
                 Admission::AskFirst => {}
             }
             let _waiting = borrower.wait();
             if timeout_at(clock::deadline(deadline), answered).await.is_err() {
-                return Err(PlaceRefused {
+                return Err(CreditRefused {
                     retry_after_ms: WORD_MS as u32,
                 });
             }
         }
     }
 
-    /// A statement leaves the places to `ahead` others that are more urgent: its caller
-    /// may come back when they have theirs.
-    fn refused_behind(&self, ahead: usize, terms: WarmUpTerms) -> PlaceRefused {
+    /// Returns the refusal for a statement that yields to `ahead` more urgent ones. The
+    /// retry delay is the expected time until those have their credits.
+    fn refuse_behind_urgent(&self, ahead: usize, terms: WarmUpTerms) -> CreditRefused {
         let rate_per_s = supply(terms, self.settings.warm_up_tolerance).rate_per_s;
         let wait_ms = (ahead + 1) as f64 * OWNERS as f64 * 1_000.0 / rate_per_s.max(0.001);
-        PlaceRefused {
-            retry_after_ms: wait_ms.min(MOST_RETRY_AFTER_MS) as u32,
+        CreditRefused {
+            retry_after_ms: wait_ms.min(MAX_RETRY_AFTER_MS) as u32,
         }
     }
 
-    /// A statement is told that it found no place.
-    pub fn note_place_refused(&self, record: &InstanceRecord, refused: PlaceRefused) {
+    /// Counts and logs a refused credit, and steers reads away from the instance.
+    pub fn record_credit_refusal(&self, record: &InstanceRecord, refused: CreditRefused) {
         self.metrics.cold_refusals.count(&record.name);
         self.directory.avoid_while_full(&record.name);
         if self.request_log.admit() {
@@ -290,18 +299,19 @@
         }
     }
 
-    /// Asks for places and takes in the answer.
-    async fn borrow_places(self: Arc<Self>, record: InstanceRecord, borrower: Arc<Borrower>) {
-        // Statements that have arrived meanwhile ask for theirs.
+    /// Requests a loan of credits and hands the answer to `borrower`.
+    async fn borrow_credits(self: Arc<Self>, record: InstanceRecord, borrower: Arc<Borrower>) {
+        // Lets concurrent statements register first, so that one loan covers them all.
         tokio::task::yield_now().await;
         let wanted = borrower.wanted(clock::now());
-        let (loan, asked) = self.ask_for_places(&record, wanted).await;
+        let (loan, asked) = self.request_loan(&record, wanted).await;
         borrower.lent(loan, asked, clock::now());
     }
 
-    /// What an owner lends, and when it was asked.
-    async fn ask_for_places(self: &Arc<Self>, record: &InstanceRecord, wanted: u32) -> (Loan, Instant) {
-        let mut owners = self.place_owners(record);
+    /// Requests `wanted` credits from the owners in turn. Returns the first loan, or an
+    /// empty one if no owner lends, with the time at which it was requested.
+    async fn request_loan(self: &Arc<Self>, record: &InstanceRecord, wanted: u32) -> (Loan, Instant) {
+        let mut owners = self.eligible_lenders(record);
         let last = locked(&self.cold_places.last_lenders).get(&record.name).copied();
         owners.sort_by_key(|owner| Some(owner.address) != last);
         for owner in owners {
@@ -310,7 +320,7 @@
                 true => self.lend_places(&record.name, wanted).await,
                 false => {
                     let name = record.name.0.clone();
-                    self.ask_owner(owner.address, ForwardedSubject::Instance { name }, wanted)
+                    self.query_owner(owner.address, ForwardedSubject::Instance { name }, wanted)
                         .await
                 }
             };
@@ -326,20 +336,21 @@
         (none, clock::now())
     }
 
-    async fn ask_owner(&self, owner: SocketAddr, subject: ForwardedSubject, wanted: u32) -> Option<Loan> {
-        let asking = async {
+    async fn query_owner(&self, owner: SocketAddr, subject: ForwardedSubject, wanted: u32) -> Option<Loan> {
+        let request = async {
             let link = self.owners.link_to(owner).await?;
             link.ask_loan(subject, wanted).await
         };
-        let answer = tokio::time::timeout(ANSWER_LIMIT, asking).await.ok()??;
+        let answer = tokio::time::timeout(OWNER_TIMEOUT, request).await.ok()??;
         (answer.counts == 1).then_some(Loan {
             operations: answer.operations,
             retry_after_ms: answer.retry_after_ms,
         })
     }
 
-    /// The nodes that may lend places at an instance.
-    fn place_owners(&self, record: &InstanceRecord) -> Vec<Owner> {
+    /// Returns the nodes that may become lender for an instance; none until the registry
+    /// is listed.
+    fn eligible_lenders(&self, record: &InstanceRecord) -> Vec<Owner> {
         if !self.registry.is_listed() {
             return Vec::new();
         }
@@ -347,19 +358,19 @@
         ranked.iter().take(OWNERS).cloned().collect()
     }
 
-    /// Lends places at an instance, if this node holds the word of most of its owners. A
-    /// node that takes the instance for warm already lends no more than one that does
-    /// not: the one that asks may know better.
+    /// Lends credits for an instance, or returns `None` if this node does not hold the
+    /// lender lease. The warm-up terms apply even if this node considers the instance
+    /// warm, because the borrower may have newer information.
     pub(crate) async fn lend_places(self: &Arc<Self>, instance: &InstanceName, wanted: u32) -> Option<Loan> {
         let known = self.directory.instance(instance)?;
         let terms = self.directory.group_limits(&known.record.group)?.warm_up?;
-        if !self.holds_lease(&known.record).await {
+        if !self.ensure_lender_lease(&known.record).await {
             return None;
         }
-        Some(self.lend_of(instance, terms, wanted))
+        Some(self.lend_from_budget(instance, terms, wanted))
     }
 
-    fn lend_of(&self, instance: &InstanceName, terms: WarmUpTerms, wanted: u32) -> Loan {
+    fn lend_from_budget(&self, instance: &InstanceName, terms: WarmUpTerms, wanted: u32) -> Loan {
         let now = clock::now();
         let supply = supply(terms, self.settings.warm_up_tolerance);
         let mut lenders = locked(&self.cold_places.lenders);
@@ -368,146 +379,146 @@
         lender.budget.get_or_insert_with(new).lend(supply, wanted, now)
     }
 
-    async fn holds_lease(self: &Arc<Self>, record: &Arc<InstanceRecord>) -> bool {
-        match self.lease_state(&record.name) {
+    async fn ensure_lender_lease(self: &Arc<Self>, record: &Arc<InstanceRecord>) -> bool {
+        match self.lender_lease_state(&record.name) {
             LeaseState::Held => true,
             LeaseState::Renewing => {
                 let engine = self.clone();
                 let record = record.clone();
-                tokio::spawn(async move { engine.ask_for_word(&record).await });
+                tokio::spawn(async move { engine.request_votes(&record).await });
                 true
             }
             LeaseState::NotHeld => {
-                self.ask_for_word(record).await;
-                self.lease_state(&record.name) != LeaseState::NotHeld
+                self.request_votes(record).await;
+                self.lender_lease_state(&record.name) != LeaseState::NotHeld
             }
         }
     }
 
-    fn lease_state(&self, instance: &InstanceName) -> LeaseState {
+    fn lender_lease_state(&self, instance: &InstanceName) -> LeaseState {
         let lenders = locked(&self.cold_places.lenders);
         let lender = lenders.get(instance);
         lender.map_or(LeaseState::NotHeld, |lender| lender.lease.state(clock::now()))
     }
 
-    fn may_ask_for_word(&self, instance: &InstanceName) -> bool {
+    fn may_request_votes(&self, instance: &InstanceName) -> bool {
         let lenders = locked(&self.cold_places.lenders);
         let lender = lenders.get(instance);
         lender.is_none_or(|lender| lender.lease.may_ask(clock::now()))
     }
 
-    /// Asks the owners of an instance for their word, unless that was in vain a moment ago.
-    async fn ask_for_word(&self, record: &InstanceRecord) {
-        let asking = {
+    /// Requests the votes of the instance's owners and acquires the lender lease with a
+    /// majority. Does nothing while the lease is held, or shortly after a failed round.
+    async fn request_votes(&self, record: &InstanceRecord) {
+        let vote_round = {
             let mut lenders = locked(&self.cold_places.lenders);
-            lenders.entry(record.name.clone()).or_default().asking.clone()
+            lenders.entry(record.name.clone()).or_default().vote_round.clone()
         };
-        let _asking = asking.lock().await;
-        let is_needed = self.lease_state(&record.name) != LeaseState::Held;
-        if !is_needed || !self.may_ask_for_word(&record.name) {
+        let _vote_round = vote_round.lock().await;
+        let is_needed = self.lender_lease_state(&record.name) != LeaseState::Held;
+        if !is_needed || !self.may_request_votes(&record.name) {
             return;
         }
         let _candidacy = Candidacy::begin(&self.cold_places, &record.name);
         let asked = clock::now();
         let lender = self.settings.peer_address;
-        let owners = self.place_owners(record);
+        let owners = self.eligible_lenders(record);
         if !owners.iter().any(|owner| owner.is_self) {
             return;
         }
         let others = owners.iter().filter(|owner| !owner.is_self);
-        let questions = others.map(|owner| {
+        let requests = others.map(|owner| {
             let subject = ForwardedSubject::Word {
                 instance: record.name.0.clone(),
                 lender: lender.to_string(),
             };
-            self.ask_owner(owner.address, subject, 0)
+            self.query_owner(owner.address, subject, 0)
         });
-        // Those that are silent are not waited for once there are enough with its own.
-        let mut answers: FuturesUnordered<_> = questions.collect();
-        let mut of_others = 0;
-        while !is_most(of_others + 1, owners.len()) {
+        // Stops waiting once the votes form a majority together with this node's own.
+        let mut answers: FuturesUnordered<_> = requests.collect();
+        let mut votes_of_others = 0;
+        while !is_most(votes_of_others + 1, owners.len()) {
             let Some(answer) = answers.next().await else {
                 break;
             };
-            of_others += usize::from(answer.is_some());
+            votes_of_others += usize::from(answer.is_some());
         }
-        // Its own word comes last: it may have gone to another meanwhile.
-        let words = of_others + usize::from(self.give_word(&record.name, lender));
+        // This node votes last, since it may have voted for another owner in the meantime.
+        let votes = votes_of_others + usize::from(self.give_word(&record.name, lender));
         let mut lenders = locked(&self.cold_places.lenders);
         let entry = lenders.entry(record.name.clone()).or_default();
         let rank = owners.iter().position(|owner| owner.is_self).unwrap_or_default();
-        let is_new = entry
+        let is_acquired = entry
             .lease
-            .answered(words, owners.len(), rank, asked, clock::now());
-        if is_new {
-            // Another may have lent meanwhile.
+            .answered(votes, owners.len(), rank, asked, clock::now());
+        if is_acquired {
+            // Another owner may have lent credits since this node last held the lease.
             entry.budget = None;
             info!(
-                "event=cold_places_lender instance={} words={words} owners={}",
+                "event=cold_places_lender instance={} words={votes} owners={}",
                 record.name,
                 owners.len()
             );
         }
     }
 
-    /// Whether this node gives its word that it lets nobody but `lender` lend places at
-    /// an instance for a while.
+    /// Casts this node's vote for `lender` and returns whether it was given. The vote
+    /// excludes other lenders for [`WORD_MS`].
     ///
-    /// While it asks for that itself it leaves it to those that come before it among the
-    /// owners alone: owners that ask each other at the same time would else refuse each
-    /// other for good.
+    /// While this node is a candidate, it votes only for owners ranked before itself;
+    /// otherwise concurrent candidates could refuse each other indefinitely.
     pub(crate) fn give_word(&self, instance: &InstanceName, lender: SocketAddr) -> bool {
         let Some(known) = self.directory.instance(instance) else {
             return false;
         };
-        let owners = self.place_owners(&known.record);
+        let owners = self.eligible_lenders(&known.record);
         let Some(own_rank) = owners.iter().position(|owner| owner.is_self) else {
             return false;
         };
-        // One that is no owner here may ask among others: two of them would each hold the
-        // word of most.
+        // A node that is not among these owners may use a different owner list; voting for
+        // it could give two lenders a majority.
         let Some(rank) = owners.iter().position(|owner| owner.address == lender) else {
             return false;
         };
-        let comes_after = rank > own_rank;
+        let ranks_after_self = rank > own_rank;
         let now = clock::now();
         let mut lenders = locked(&self.cold_places.lenders);
         let entry = lenders.entry(instance.clone()).or_default();
-        // Nodes that have not changed since before this node first looked at the instance.
+        // If the registry has been stable for long enough, so has the owner list.
         let since = match self.registry.unchanged_ms() >= WORD_MS {
             true => clock::minus_millis(now, WORD_MS),
             false => now,
         };
-        entry.note_owners(&owners, since, now);
+        entry.update_owners(&owners, since, now);
         let may_give = entry.owners_since.is_some_and(|since| may_give(since, now));
-        let is_rival = entry.is_candidate && comes_after;
-        may_give && !is_rival && entry.word.give(&lender.to_string(), now)
+        let is_rival = entry.is_candidate && ranks_after_self;
+        may_give && !is_rival && entry.vote.give(&lender.to_string(), now)
     }
 
-    /// Looks which instances are cold, and who owns those.
+    /// Updates the set of cold instances and the owners of each.
     pub(crate) fn follow_cold_instances(&self) {
         let config = self.directory.config();
         let warms_up =
             config.is_some_and(|config| config.groups.values().any(|limits| limits.warm_up.is_some()));
         if !warms_up {
-            return self.log_changes(Vec::new());
+            return self.log_warmth_changes(Vec::new());
         }
         let now = clock::now();
         let instances = self.directory.instances();
         let mut cold = Vec::new();
         for known in instances.iter().filter(|known| known.warmth.is_cold(now)) {
-            let owners = self.place_owners(&known.record);
+            let owners = self.eligible_lenders(&known.record);
             let mut lenders = locked(&self.cold_places.lenders);
             let lender = lenders.entry(known.record.name.clone()).or_default();
-            lender.note_owners(&owners, now, now);
+            lender.update_owners(&owners, now, now);
             cold.push(known.record.name.clone());
         }
         let known: HashSet<_> = instances.iter().map(|known| &known.record.name).collect();
-        self.cold_places.forget_others(&known);
-        self.log_changes(cold);
+        self.cold_places.retain_known(&known);
+        self.log_warmth_changes(cold);
     }
 
-    fn log_changes(&self, cold: Vec<InstanceName>) {
+    fn log_warmth_changes(&self, cold: Vec<InstanceName>) {
         let before = std::mem::replace(&mut *locked(&self.cold_places.cold), cold.clone());
         for instance in cold.iter().filter(|instance| !before.contains(instance)) {
             info!("event=instance_cold instance={instance}");
@@ -519,10 +530,10 @@
     }
 }
 
-impl Lender {
-    /// Takes in who owns connections to the instance: since `first_since` at the first
-    /// look, since now after a change.
-    fn note_owners(&mut self, owners: &[Owner], first_since: Instant, now: Instant) {
+impl LenderState {
+    /// Updates the owners of the instance and the time since which they are unchanged:
+    /// `first_since` on the first call, `now` after a change.
+    fn update_owners(&mut self, owners: &[Owner], first_since: Instant, now: Instant) {
         let addresses: Vec<_> = owners.iter().map(|owner| owner.address).collect();
         if self.owners_since.is_none() {
             self.owners_since = Some(first_since);
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -1,5 +1,5 @@
-//! Runs statements on this node's own connections, and notes what each answer
-//! tells of the instance that gave it.
+//! Runs statements on this node's own connections and updates the directory with what
+//! each outcome shows about the health and role of the instance.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use crate::backend::{ConnectionUser, LinkError, Pool, Purpose, Urgency};
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::cold_places::{PlaceNeed, PlaceWait};
+use crate::cold_places::{CreditWait, CreditWaitPolicy};
 use crate::directory::Directory;
 use crate::node::Engine;
 use crate::statement::{BackEndError, BackEndErrorKind, Command, Envelope, Reply, TransactionState};
 
-/// Why an attempt gave no answer.
+/// Why an attempt to run a statement did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptError {
-    /// The exchange failed.
+    /// The connection or the exchange on it failed.
     Link(LinkError),
     /// The instance answered with an error.
     BackEnd(BackEndError),
 }
 
 impl AttemptError {
-    /// Whether the statement has certainly not run.
+    /// Returns whether the statement is certain not to have run.
     pub fn is_not_run(&self) -> bool {
         match self {
             AttemptError::Link(error) => !error.may_have_run(),
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Whether the statement would have waited beyond its deadline where it was
-    /// sent: the instance has more to do than it can serve in time, or is still cold.
+    /// Returns whether the instance could not take the statement before its deadline,
+    /// because it is overloaded or still warming up.
     pub fn is_overload(&self) -> bool {
         matches!(
             self,
@@ -49,8 +49,8 @@
         )
     }
 
-    /// Why the statement may not use the instance, or the way to it, where that is what
-    /// the attempt failed by.
+    /// Returns why the statement may not use the instance or the route to it, if the
+    /// attempt failed for that reason.
     pub const fn ineligible(&self) -> Option<Ineligible> {
         match self {
             AttemptError::Link(LinkError::Ineligible(reason)) => Some(*reason),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What the caller is told when nothing was kept.
+    /// Converts the error into the failure reported to a caller.
     pub fn into_failure(self) -> Failure {
         match self {
             AttemptError::Link(error) => Refusal::of_link(error.kind(), error).into(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The name in logs.
+    /// Returns the name used in logs.
     pub fn name(&self) -> &'static str {
         match self {
             AttemptError::Link(error) => error.name(),
@@ -75,17 +75,18 @@
     }
 }
 
-/// Counts a question to an instance from its sending to its end.
+/// Tracks one request to an instance from its sending to its completion and reports the
+/// outcome to the directory.
 pub struct Inquiry {
     directory: Arc<Directory>,
     instance: InstanceName,
-    /// When the question was sent.
+    /// When the request was sent.
     pub asked: Instant,
     was_answered: Cell<bool>,
 }
 
 impl Inquiry {
-    /// A question that is sent now.
+    /// Starts tracking a request that is sent now.
     pub fn new(directory: &Arc<Directory>, instance: &InstanceName) -> Self {
         directory.asked(instance);
         Inquiry {
@@ -96,29 +97,29 @@
         }
     }
 
-    /// The instance gave an answer.
+    /// Records an answer and its response time.
     pub fn answered(&self) {
         let elapsed = clock::now().0 - self.asked.0;
         self.was_answered.set(true);
         self.directory.answered(&self.instance, Some(elapsed));
     }
 
-    /// The instance took a question that says nothing of its statements.
+    /// Records an answer whose response time is not representative of statements.
     pub fn taken(&self) {
         self.was_answered.set(true);
         self.directory.answered(&self.instance, None);
     }
 
-    /// Another node answered in the instance's place: that tells nothing of the
-    /// instance.
+    /// Records an answer given by another node on behalf of the instance, which is no
+    /// evidence about the instance itself.
     pub fn passed(&self) {
         self.was_answered.set(true);
     }
 
-    /// The exchange failed.
+    /// Records a failed exchange.
     pub fn failed(&self, error: &LinkError) {
         match error {
-            // A statement may be slow; only a health check's silence tells.
+            // A slow statement is no evidence of a fault; a timed-out health check is.
             LinkError::Silent | LinkError::Protocol => self.directory.avoid(&self.instance),
             _ if error.is_evidence() => {
                 self.directory
@@ -135,24 +136,25 @@
     }
 }
 
-/// What a connection is wanted for.
+/// Requirements of a statement for its connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// Priority; zero comes first.
+    /// Priority of the statement; zero is the most urgent.
     pub priority: u8,
-    /// When its caller should have the answer.
+    /// Time by which the caller should have the answer.
     pub aim: Instant,
-    /// On whose behalf.
+    /// User that the connection must belong to.
     pub user: &'a ConnectionUser,
-    /// State that the connection will be brought to.
+    /// Session state that will be set on the connection.
     pub session: &'a SessionState,
-    /// Prepared statement that it will execute.
+    /// Prepared statement that the connection will execute.
     pub needed: Option<&'a PreparedStatement>,
-    /// Wait at most until then.
+    /// Time at which waiting for a connection ends.
     pub deadline: Instant,
 }
 
-/// Gets one of this node's own connections to `record`.
+/// Acquires one of this node's own connections to `record`. Fails when none is available
+/// by the deadline or a new one cannot be opened.
 pub async fn connect(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
@@ -175,12 +177,12 @@
             )
             .await
         }
-        ConnectionUser::Tenant(_) => connect_in_turn(&pool, purpose, wanted).await,
+        ConnectionUser::Tenant(_) => connect_within_turn(&pool, purpose, wanted).await,
     };
     note_lost_connections(engine, &pool, asked);
     connected.map_err(|error| {
         note_process_end(engine, &pool, asked, &error);
-        note_connect_error(engine, record, asked, &error);
+        record_connect_error(engine, record, asked, &error);
         match error {
             LinkError::StartupRefused(error) => AttemptError::BackEnd(error),
             error => AttemptError::Link(error),
@@ -188,10 +190,10 @@
     })
 }
 
-/// Takes the statement's turn first and its connection within it. Opening one takes as
-/// much of a slot as a statement: without turns all connections of a node would be
-/// held by statements that wait, and none would rest for its tenant's next one.
-async fn connect_in_turn(
+/// Acquires the statement's turn under the concurrency limit, then a connection. Waiting
+/// for the turn without a connection keeps idle connections free for other statements of
+/// their tenants, and opening a connection loads the instance like a statement does.
+async fn connect_within_turn(
     pool: &Arc<Pool>,
     purpose: Purpose,
     wanted: Wanted<'_>,
@@ -205,32 +207,34 @@
     } = wanted;
     let urgency = Urgency::Priority(wanted.priority);
     let turn = pool.turns().take_for(user, urgency, wanted.aim, deadline).await?;
-    let at_once = pool.acquire_at_once(purpose, user, session, needed, deadline);
-    if let Some(mut connection) = at_once.await? {
+    let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
+    if let Some(mut connection) = immediate.await? {
         connection.keep_turn(turn);
         return Ok(connection);
     }
-    // Transactions that rest hold all connections: others may have the turn.
+    // Idle transactions hold all connections: release the turn while waiting for one.
     drop(turn);
     pool.acquire(purpose, user, session, needed, deadline).await
 }
 
-/// Takes in that all connections of a pool that rested were closed by the instance.
+/// Marks the instance's process as possibly restarted if the instance has closed all idle
+/// connections of `pool`.
 pub fn note_lost_connections(engine: &Engine, pool: &Pool, asked: Instant) {
     if pool.has_lost_all() {
         engine.directory.doubt_process(&pool.record().name, asked);
     }
 }
 
-/// Takes in what the failure of a question asked at `asked` tells of the instance's
-/// process: one connection may break alone, but not while others live.
+/// Marks the instance's process as possibly restarted if a request sent at `asked` was
+/// refused and no connection of `pool` is alive. A single broken connection is no evidence
+/// while others are alive.
 pub fn note_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &LinkError) {
     if error.is_refusing() && !pool.has_live_connection() {
         engine.directory.doubt_process(&pool.record().name, asked);
     }
 }
 
-fn note_connect_error(engine: &Arc<Engine>, record: &InstanceRecord, asked: Instant, error: &LinkError) {
+fn record_connect_error(engine: &Arc<Engine>, record: &InstanceRecord, asked: Instant, error: &LinkError) {
     if error.is_evidence() || error.is_wrong_instance() {
         let directory = &engine.directory;
         directory.failed(&record.name, asked, error.is_refusing());
@@ -239,8 +243,8 @@
     }
 }
 
-/// Begins a transaction; where it is not read-only, a success proves that the
-/// instance leads.
+/// Begins a transaction. A success confirms the instance as leader unless the transaction
+/// is read-only.
 pub async fn begin(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
@@ -270,14 +274,13 @@
         note_error(engine, record, &error);
         return Err(AttemptError::BackEnd(error));
     }
-    if !read_only && !prove_leader_by(engine, &pool, inquiry.asked, reply.position) {
+    if !read_only && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
         return Err(AttemptError::Link(LinkError::NoPermit));
     }
     Ok(())
 }
 
-/// Runs a statement; where `proves_leader`, a success proves that the instance
-/// leads.
+/// Runs a statement. If `proves_leader` is set, a success confirms the instance as leader.
 pub async fn run(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
@@ -288,21 +291,21 @@
 ) -> Result<Reply, AttemptError> {
     let pool = connection.pool().clone();
     let record = pool.record();
-    let need = match (connection.transaction(), proves_leader) {
-        (TransactionState::Idle, false) => PlaceNeed::Elsewhere,
-        (TransactionState::Idle, true) => PlaceNeed::ByAim,
-        _ if connection.urgency() == Urgency::InTransaction => PlaceNeed::ByDeadline,
-        _ => PlaceNeed::ByAim,
+    let wait_policy = match (connection.transaction(), proves_leader) {
+        (TransactionState::Idle, false) => CreditWaitPolicy::NoWait,
+        (TransactionState::Idle, true) => CreditWaitPolicy::UntilAim,
+        _ if connection.urgency() == Urgency::InTransaction => CreditWaitPolicy::UntilDeadline,
+        _ => CreditWaitPolicy::UntilAim,
     };
-    let turn = turn_and_place(engine, connection, need, deadline).await?;
-    // The evacuation of its zone may have begun while the statement waited.
+    let turn = acquire_turn_and_credit(engine, connection, wait_policy, deadline).await?;
+    // The evacuation of the zone may have begun while the statement waited.
     let is_single_read = !proves_leader && connection.transaction() == TransactionState::Idle;
     engine.check_evacuation(record, is_single_read)?;
     let inquiry = Inquiry::new(&engine.directory, &record.name);
-    let exchanged = connection.run(session, envelope, deadline).await;
-    turn.end(turn_end(&exchanged));
+    let outcome = connection.run(session, envelope, deadline).await;
+    turn.end(classify_turn_end(&outcome));
     connection.note_run();
-    let reply = match exchanged {
+    let reply = match outcome {
         Ok(reply) => reply,
         Err(error) => {
             inquiry.failed(&error);
@@ -314,32 +317,32 @@
         }
     };
     inquiry.answered();
-    if let Some(succeeded) = tells_health(&reply) {
+    if let Some(succeeded) = health_outcome(&reply) {
         engine.directory.statement_ended(&record.name, succeeded);
     }
     if let Err(error) = &reply.result {
         note_error(engine, record, error);
         return Err(AttemptError::BackEnd(error.clone()));
     }
-    if proves_leader && !prove_leader_by(engine, &pool, inquiry.asked, reply.position) {
+    if proves_leader && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
         return Err(AttemptError::Link(LinkError::NoPermit));
     }
     Ok(reply)
 }
 
-/// Waits for the statement's turn, and for its place where the instance is cold. The
-/// place is taken last, so that the statement is sent right after it. Who waits for a
-/// place leaves the turn to others.
-async fn turn_and_place(
+/// Acquires the statement's turn and, if the instance is warming up, a warm-up credit.
+/// The credit is acquired last because it is valid only for immediate use. The turn is
+/// released while the statement waits for a credit.
+async fn acquire_turn_and_credit(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
-    need: PlaceNeed,
+    wait_policy: CreditWaitPolicy,
     deadline: Instant,
 ) -> Result<Turn, AttemptError> {
     let pool = connection.pool().clone();
-    let mut wait = PlaceWait::new(engine, pool.record(), need, connection.urgency());
-    let until = match need {
-        PlaceNeed::ByDeadline => deadline,
+    let mut wait = CreditWait::new(engine, pool.record(), wait_policy, connection.urgency());
+    let until = match wait_policy {
+        CreditWaitPolicy::UntilDeadline => deadline,
         _ => connection.aim().min(deadline),
     };
     loop {
@@ -347,12 +350,12 @@
             Some(turn) => turn,
             None => take_turn(&pool, connection, deadline).await?,
         };
-        let Err(refused) = engine.take_place(pool.record(), &wait, deadline).await else {
+        let Err(refused) = engine.acquire_credit(pool.record(), &wait, deadline).await else {
             return Ok(turn);
         };
         drop(turn);
         if !wait.pause(until).await {
-            engine.note_place_refused(pool.record(), refused);
+            engine.record_credit_refusal(pool.record(), refused);
             let retry_after_ms = refused.retry_after_ms;
             return Err(AttemptError::Link(LinkError::WarmingUp { retry_after_ms }));
         }
@@ -369,9 +372,9 @@
     turn.map_err(AttemptError::Link)
 }
 
-/// What the end of an exchange tells of the load of its instance.
-fn turn_end(exchanged: &Result<Reply, LinkError>) -> TurnEnd {
-    let Ok(reply) = exchanged else {
+/// Classifies the outcome of an exchange for the concurrency limit.
+fn classify_turn_end(outcome: &Result<Reply, LinkError>) -> TurnEnd {
+    let Ok(reply) = outcome else {
         return TurnEnd::Unknown;
     };
     match &reply.result {
@@ -379,15 +382,15 @@
         Err(error) => match error.kind {
             BackEndErrorKind::Busy => TurnEnd::TurnedAway,
             BackEndErrorKind::Failed | BackEndErrorKind::TimedOut | BackEndErrorKind::Other => TurnEnd::Ran,
-            // Answered without a slot.
+            // The instance answered without using an execution slot.
             _ => TurnEnd::Unknown,
         },
     }
 }
 
-/// Whether an answer speaks for or against the health of its instance; none
-/// where it does neither.
-fn tells_health(reply: &Reply) -> Option<bool> {
+/// Returns whether an answer counts as a success or a failure of the instance's health, or
+/// `None` if it counts as neither.
+fn health_outcome(reply: &Reply) -> Option<bool> {
     match &reply.result {
         Ok(_) => Some(true),
         Err(error) => match error.kind {
@@ -397,18 +400,19 @@
     }
 }
 
-/// Takes in that an instance answered on a connection of `pool` as a leader. The answer
-/// of a former life proves nothing for the one that lives now; where promotions fence it
-/// is delivered all the same, since it is true of what that life has run.
-fn prove_leader_by(engine: &Engine, pool: &Pool, asked: Instant, position: Option<Position>) -> bool {
+/// Records that an instance answered as leader on a connection of `pool`, and returns
+/// whether the answer may be delivered. An answer from before a restart of the instance
+/// does not confirm the current process as leader; it may still be delivered where
+/// promotions fence the old leader.
+fn confirm_leader_on_pool(engine: &Engine, pool: &Pool, asked: Instant, position: Option<Position>) -> bool {
     if pool.is_retired() {
         return engine.directory.is_fenced();
     }
     prove_leader(engine, pool.record(), asked, position)
 }
 
-/// Takes in that `record` answered a question sent at `asked` as a leader; false
-/// if the answer does not count, since another may lead by now.
+/// Records that `record` answered a request sent at `asked` as leader. Returns false if
+/// the answer must not be delivered because another instance may have been promoted.
 pub fn prove_leader(
     engine: &Engine,
     record: &InstanceRecord,
@@ -428,7 +432,7 @@
     counts
 }
 
-/// Takes in what an instance's error tells of it.
+/// Updates the directory with what an error of an instance shows about its role and load.
 pub fn note_error(engine: &Engine, record: &InstanceRecord, error: &BackEndError) {
     match error.kind {
         BackEndErrorKind::ReadOnly => {
--- a/crates/millwind-engine/src/lending.rs
+++ b/crates/millwind-engine/src/lending.rs
@@ -1,4 +1,4 @@
-//! What a node borrows of one lender, and those of its callers who wait for that.
+//! The loans that a node has from one lender, and the callers that wait for the next one.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -6,11 +6,11 @@
 use millwind_core::lending::{Admission, Allowance, Loan};
 use tokio::sync::Notify;
 
-/// Loans at this node, and those who wait for one.
+/// The loans of this node for one resource and the callers that wait for more.
 #[derive(Debug)]
 pub(crate) struct Borrower {
     state: Mutex<BorrowerState>,
-    /// A question for a loan was answered.
+    /// Notified when a loan request is answered.
     pub(crate) answered: Notify,
 }
 
@@ -18,25 +18,25 @@
 struct BorrowerState {
     allowance: Allowance,
     waiting: u32,
-    is_asking: bool,
+    is_request_pending: bool,
 }
 
-/// Somebody waits for a loan, until this is dropped.
-pub(crate) struct Waiting<'a>(&'a Borrower);
+/// Guard that counts one caller as waiting for a loan until it is dropped.
+pub(crate) struct WaiterGuard<'a>(&'a Borrower);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.state().waiting -= 1;
     }
 }
 
 impl Borrower {
-    /// Nothing is lent yet.
+    /// Creates a borrower without loans.
     pub(crate) fn new(allowance: Allowance) -> Self {
         let state = BorrowerState {
             allowance,
             waiting: 0,
-            is_asking: false,
+            is_request_pending: false,
         };
         Borrower {
             state: Mutex::new(state),
@@ -48,41 +48,41 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that a caller asks for an operation.
+    /// Counts a caller that requests an operation.
     pub(crate) fn arrived(&self, now: Instant) {
         self.state().allowance.arrived(now);
     }
 
-    /// Counts one who waits for the next answer.
-    pub(crate) fn wait(&self) -> Waiting<'_> {
+    /// Counts a caller that waits for the next answer, until the guard is dropped.
+    pub(crate) fn wait(&self) -> WaiterGuard<'_> {
         self.state().waiting += 1;
-        Waiting(self)
+        WaiterGuard(self)
     }
 
-    /// Admits one operation if there is a loan for it; true where the caller must ask
-    /// for another loan, which it alone does.
+    /// Admits one operation if a loan covers it. The returned flag is true if the caller
+    /// must request another loan; only one request is in flight at a time.
     pub(crate) fn try_admit(&self, now: Instant) -> (Admission, bool) {
         let mut state = self.state();
         let admission = state.allowance.admit(now);
         let is_needed = admission == Admission::AskFirst
             || (admission == Admission::Admitted && state.allowance.is_low(now));
-        let must_ask = is_needed && !state.is_asking;
-        state.is_asking |= must_ask;
+        let must_ask = is_needed && !state.is_request_pending;
+        state.is_request_pending |= must_ask;
         (admission, must_ask)
     }
 
-    /// How much to ask for at `now`.
+    /// Returns the number of operations to request at `now`.
     pub(crate) fn wanted(&self, now: Instant) -> u32 {
         let mut state = self.state();
         let waiting = state.waiting;
         state.allowance.wanted(waiting, now)
     }
 
-    /// Takes in the answer to a question that was sent at `asked`.
+    /// Applies the answer to a request sent at `asked` and wakes the waiting callers.
     pub(crate) fn lent(&self, loan: Loan, asked: Instant, now: Instant) {
         let mut state = self.state();
         state.allowance.lent(loan, asked, now);
-        state.is_asking = false;
+        state.is_request_pending = false;
         drop(state);
         self.answered.notify_waiters();
     }
