--- a/crates/millwind-engine/src/eligibility.rs
+++ b/crates/millwind-engine/src/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether a statement may use an instance now, from what this node believes.
+//! Checks whether a statement may use an instance, based on this node's current knowledge.
 
 use millwind_core::data_residency::AllowedRegions;
 use millwind_core::eligibility::{Ineligible, InstanceFacts, judge_instance};
@@ -8,18 +8,19 @@
 use crate::execution::AttemptError;
 use crate::node::Engine;
 
-/// What a statement uses an instance as.
+/// The role in which a statement uses an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceUse {
-    /// Any instance that holds what the read needs.
+    /// Any instance that is sufficiently up to date for a read.
     Replica,
-    /// The group's leader. One that will end, or whose zone is being evacuated, still
-    /// serves for a while, until another takes over.
+    /// The group's leader. A leader that is shutting down or whose zone is being evacuated
+    /// still serves for a limited time, until another instance takes over.
     Leader,
 }
 
 impl Engine {
-    /// Whether statements of a customer that allows `regions` may use an instance now.
+    /// Checks whether statements restricted to `regions` may use an instance now; returns
+    /// the reason if not.
     pub fn judge_instance(
         &self,
         known: &Known,
@@ -37,9 +38,9 @@
         judge_instance(regions, &facts)
     }
 
-    /// Whether a statement whose try failed so can run nowhere, so that trying on is in
-    /// vain. Where only the zone of the instance that was tried is being evacuated,
-    /// another instance may serve, or lead soon.
+    /// Returns whether retries are pointless after an attempt failed with `error`, because
+    /// no instance may run the statement. If only the zone of the tried instance is being
+    /// evacuated, another instance may serve the statement or become leader soon.
     pub fn is_in_vain(&self, error: &AttemptError, group: &GroupName, regions: &AllowedRegions) -> bool {
         match error.ineligible() {
             None => false,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Whether the evacuation of an instance's zone forbids this use of it.
+    /// Returns whether the evacuation of the instance's zone forbids this use.
     fn is_evacuated_for(&self, known: &Known, usage: InstanceUse) -> bool {
         let Some(since) = self.directory.evacuated_since(&known.record.zone) else {
             return false;
--- a/crates/millwind-engine/src/floor.rs
+++ b/crates/millwind-engine/src/floor.rs
@@ -1,4 +1,4 @@
-//! What a read must see, and the log position that guarantees it.
+//! The minimum log position of a read, and how it follows from the read's consistency.
 
 use std::sync::Arc;
 
@@ -10,39 +10,40 @@
 use crate::node::Engine;
 use crate::{clock, peers};
 
-/// Between two rounds of questions to those who watch a group, in
+/// Interval between two rounds of requests to the nodes that watch a group, in
 /// milliseconds.
-const OBSERVE_PAUSE_MS: u64 = 60;
+const OBSERVATION_RETRY_MS: u64 = 60;
 
-/// What a read must see.
+/// The minimum log position that an instance must have applied to serve a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadFloor {
-    /// Nothing in particular.
+    /// Any position.
     Any,
-    /// The log must hold this position.
+    /// At least this position.
     Position(Position),
-    /// Whoever runs it works the position out of the leader's positions that
-    /// it has observed.
+    /// A position that the executing node derives from the leader positions it has
+    /// observed.
     Staleness(StalenessTerms),
 }
 
-/// Terms from which a read's position follows.
+/// The parameters from which the minimum position of a read is derived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessTerms {
-    /// A time no earlier than the arrival of the read.
+    /// A time at or after the arrival of the read.
     pub arrived: Instant,
-    /// Staleness that it accepts, in milliseconds.
+    /// Staleness that the read accepts, in milliseconds.
     pub staleness_ms: u64,
-    /// The session's last commit.
+    /// The last commit of the session.
     pub written: Option<Written>,
 }
 
-/// No leader's position became known in time.
+/// No sufficiently recent position of the leader was observed before the deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoObservation;
 
 impl ReadFloor {
-    /// The position, waiting for an observation until `deadline` if need be.
+    /// Returns the minimum position, or `None` if any position is sufficient. Waits for an
+    /// observation of the leader until `deadline` if necessary, and fails without one.
     pub async fn resolve(
         &self,
         engine: &Arc<Engine>,
@@ -60,14 +61,15 @@
 }
 
 impl StalenessTerms {
-    /// The position, if it follows from what has been observed.
+    /// Returns the minimum position if it follows from the observations so far.
     pub fn known_position(&self, engine: &Engine, group: &GroupName) -> Option<Position> {
         engine
             .directory
             .floor(group, self.arrived, self.staleness_ms, self.written)
     }
 
-    /// The position, waiting for an observation until `deadline`.
+    /// Returns the minimum position, waiting for an observation until `deadline`, or `None`
+    /// if no observation is made in time.
     pub async fn await_position(
         &self,
         engine: &Arc<Engine>,
@@ -83,10 +85,10 @@
                 engine.wake_monitor();
                 return self.await_observation(engine, group, deadline).await;
             }
-            // Those who watch the group have asked its leader, or will.
+            // The nodes that watch the group query its leader regularly.
             peers::observe_leader(engine, group).await;
-            let step = clock::now().plus_millis(OBSERVE_PAUSE_MS).min(deadline);
-            let observed = self.await_observation(engine, group, step).await;
+            let retry_at = clock::now().plus_millis(OBSERVATION_RETRY_MS).min(deadline);
+            let observed = self.await_observation(engine, group, retry_at).await;
             if observed.is_some() || clock::now() >= deadline {
                 return observed;
             }
--- a/crates/millwind-engine/src/lead_terms.rs
+++ b/crates/millwind-engine/src/lead_terms.rs
@@ -1,4 +1,4 @@
-//! The terms on regions that bear on the lead of each group.
+//! The region restrictions that apply to the leader of each group.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,45 +7,42 @@
 
 use crate::catalog::ConfigSnapshot;
 
-/// Terms of all who may use each group, under one configuration.
-///
-/// Gathered in one walk of the databases: before 1,000 groups with 3,000 databases that
-/// takes 0.5 ms of processor time, and 22 ms where all databases are walked for each group
-/// (best of five runs).
+/// Region restrictions of the databases and tenants of each group, indexed by group for
+/// one version of the configuration.
 #[derive(Debug)]
 pub struct LeadTerms<'a> {
-    /// Version of the configuration that they follow from.
+    /// Version of the configuration that the restrictions come from.
     pub config_version: u64,
-    /// Any tenant may use any database.
-    of_tenants: BTreeSet<&'a AllowedRegions>,
-    of_groups: HashMap<&'a GroupName, BTreeSet<&'a AllowedRegions>>,
+    /// Apply to all groups, since any tenant may use any database.
+    tenant_regions: BTreeSet<&'a AllowedRegions>,
+    group_regions: HashMap<&'a GroupName, BTreeSet<&'a AllowedRegions>>,
 }
 
 impl<'a> LeadTerms<'a> {
-    /// The terms that `config` holds.
+    /// Collects the region restrictions in `config`.
     pub fn of_config(config: &'a ConfigSnapshot) -> Self {
-        let mut of_groups: HashMap<_, BTreeSet<_>> = HashMap::new();
+        let mut group_regions: HashMap<_, BTreeSet<_>> = HashMap::new();
         for database in config.databases.values() {
-            let of_group = of_groups.entry(&database.settings.group).or_default();
-            of_group.insert(&database.allowed_regions);
+            let entry = group_regions.entry(&database.settings.group).or_default();
+            entry.insert(&database.allowed_regions);
         }
         let tenants = config.tenants.iter();
         LeadTerms {
             config_version: config.version,
-            of_tenants: tenants
+            tenant_regions: tenants
                 .flat_map(|tenants| tenants.allowed_regions.values())
                 .collect(),
-            of_groups,
+            group_regions,
         }
     }
 
-    /// The terms of all who may use `group`.
+    /// Returns the region restrictions that apply to `group`.
     pub fn of(&self, group: &GroupName) -> impl Iterator<Item = &'a AllowedRegions> {
-        let of_group = self.of_groups.get(group).into_iter().flatten();
-        of_group.chain(&self.of_tenants).copied()
+        let group_regions = self.group_regions.get(group).into_iter().flatten();
+        group_regions.chain(&self.tenant_regions).copied()
     }
 
-    /// Whether some of them exclude a leader of `group` in `region`.
+    /// Returns whether any restriction excludes a leader of `group` in `region`.
     pub fn exclude(&self, group: &GroupName, region: Option<&RegionName>) -> bool {
         self.of(group).any(|regions| !regions.allows(region))
     }
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -1,5 +1,5 @@
-//! What needs the leaders of groups lately: statements of this node's own callers, and
-//! what other nodes report of theirs.
+//! Recent demand for the leaders of groups by the regions that the statements allow, as
+//! counted on this node and reported by other nodes.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,94 +13,92 @@
 
 use crate::clock;
 
-/// Statements are counted over so long, and over the part of the next such time that
-/// has passed, in milliseconds: long enough for a few statements of each customer, short
-/// enough to follow a change of the terms.
-const WINDOW_MS: u64 = 5_000;
-/// A report counts for so long, in milliseconds: the next one comes within a third of
-/// it.
-const REPORT_MS: u64 = 6_000;
+/// Length of a counting window, in milliseconds. The demand covers the current window and
+/// the one before.
+const WINDOW_LENGTH_MS: u64 = 5_000;
+/// Lifetime of a report from another node, in milliseconds: three report intervals.
+const REPORT_TTL_MS: u64 = 6_000;
 
-/// The demand of one group in the present window and the one before.
+/// The demand for one group's leader in the current window and the one before.
 #[derive(Debug, Default)]
-struct Window {
-    began: Instant,
-    present: LeaderDemand,
-    former: LeaderDemand,
+struct DemandWindow {
+    started: Instant,
+    current: LeaderDemand,
+    previous: LeaderDemand,
 }
 
-impl Window {
+impl DemandWindow {
     fn advance(&mut self, now: Instant) {
-        let age_ms = now.millis_since(self.began);
-        if age_ms < WINDOW_MS {
+        let age_ms = now.millis_since(self.started);
+        if age_ms < WINDOW_LENGTH_MS {
             return;
         }
-        let ended = std::mem::take(&mut self.present);
-        self.former = if age_ms < 2 * WINDOW_MS {
+        let ended = std::mem::take(&mut self.current);
+        self.previous = if age_ms < 2 * WINDOW_LENGTH_MS {
             ended
         } else {
             LeaderDemand::default()
         };
-        self.began = now;
+        self.started = now;
     }
 
     fn total(&self) -> LeaderDemand {
-        let mut total = self.former.clone();
-        total.merge(&self.present);
+        let mut total = self.previous.clone();
+        total.merge(&self.current);
         total
     }
 }
 
-/// Another node's report.
+/// The demand that another node reported.
 #[derive(Debug)]
-struct Reported {
-    heard: Instant,
+struct NodeReport {
+    received_at: Instant,
     demand: LeaderDemand,
 }
 
-/// The demand for all groups' leaders.
+/// The recent demand for the leaders of all groups.
 #[derive(Debug, Default)]
 pub struct LeaderDemands {
-    /// Whether the configuration in force restricts anybody to some regions.
+    /// Whether the active configuration restricts any statements to regions.
     is_counted: AtomicBool,
-    own: Mutex<HashMap<GroupName, Window>>,
-    reported: Mutex<HashMap<GroupName, HashMap<String, Reported>>>,
+    own: Mutex<HashMap<GroupName, DemandWindow>>,
+    reported: Mutex<HashMap<GroupName, HashMap<String, NodeReport>>>,
 }
 
 impl LeaderDemands {
-    fn own(&self) -> MutexGuard<'_, HashMap<GroupName, Window>> {
+    fn own(&self) -> MutexGuard<'_, HashMap<GroupName, DemandWindow>> {
         self.own.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn reported(&self) -> MutexGuard<'_, HashMap<GroupName, HashMap<String, Reported>>> {
+    fn reported(&self) -> MutexGuard<'_, HashMap<GroupName, HashMap<String, NodeReport>>> {
         self.reported.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether statements are counted from now on: where nobody's terms exclude a region
-    /// no lead is moved for them, and no statement need wait for its turn to be counted.
+    /// Turns counting on or off. Without region restrictions the demand never moves a
+    /// leader, so that counting would only cost lock contention.
     pub fn count(&self, is_counted: bool) {
         self.is_counted.store(is_counted, Ordering::Relaxed);
     }
 
-    /// Whether statements are counted.
+    /// Returns whether statements are counted.
     pub fn is_counted(&self) -> bool {
         self.is_counted.load(Ordering::Relaxed)
     }
 
-    /// A statement worth `worth` that may run in `regions` needs the leader of `group`,
-    /// whether it is served or not.
+    /// Counts a statement of weight `worth`, restricted to `regions`, that needs the leader
+    /// of `group`, whether or not the statement succeeds.
     pub fn note(&self, group: &GroupName, regions: &AllowedRegions, worth: u64) {
         let mut own = self.own();
         if !own.contains_key(group) {
-            own.insert(group.clone(), Window::default());
+            own.insert(group.clone(), DemandWindow::default());
         }
         if let Some(window) = own.get_mut(group) {
             window.advance(clock::now());
-            window.present.add(regions, worth);
+            window.current.add(regions, worth);
         }
     }
 
-    /// What this node's own callers needed of a group's leader lately.
+    /// Returns the recent demand of this node's callers for a group's leader.
     pub fn own_of(&self, group: &GroupName) -> LeaderDemand {
         let mut own = self.own();
         let Some(window) = own.get_mut(group) else {
@@ -110,7 +108,8 @@
         window.total()
     }
 
-    /// What all callers needed of it, as far as it was reported.
+    /// Returns the recent demand of this node's callers and of the nodes that reported
+    /// theirs.
     pub fn total_of(&self, group: &GroupName) -> LeaderDemand {
         let mut total = self.own_of(group);
         let now = clock::now();
@@ -118,34 +117,34 @@
         let Some(reports) = reported.get_mut(group) else {
             return total;
         };
-        reports.retain(|_, report| now.millis_since(report.heard) < REPORT_MS);
+        reports.retain(|_, report| now.millis_since(report.received_at) < REPORT_TTL_MS);
         for report in reports.values() {
             total.merge(&report.demand);
         }
         total
     }
 
-    /// Takes in another node's report.
+    /// Replaces the last report of another node.
     pub fn take(&self, report: &DemandReport) {
         let mut demand = LeaderDemand::default();
         for part in &report.parts {
-            demand.add(&read_regions(part), part.worth);
+            demand.add(&decode_regions(part), part.worth);
         }
-        let heard = clock::now();
+        let received_at = clock::now();
         let group = GroupName(report.group.clone());
         let mut reported = self.reported();
         let reports = reported.entry(group).or_default();
-        reports.insert(report.node.clone(), Reported { heard, demand });
+        reports.insert(report.node.clone(), NodeReport { received_at, demand });
     }
 }
 
-/// The report of `node` on its own callers.
+/// Encodes the demand of `node`'s own callers as a report.
 pub fn write_report(node: &str, group: &GroupName, demand: &LeaderDemand) -> DemandReport {
     let part = |(regions, worth): (&AllowedRegions, u64)| DemandPart {
         is_any: u8::from(regions.is_any()),
         regions: match regions {
             AllowedRegions::Any => Vec::new(),
-            AllowedRegions::Only(names) => names.iter().map(region_text).collect(),
+            AllowedRegions::Only(names) => names.iter().map(encode_region).collect(),
         },
         worth,
     };
@@ -156,13 +155,13 @@
     }
 }
 
-fn region_text(region: &RegionName) -> RegionText {
+fn encode_region(region: &RegionName) -> RegionText {
     RegionText {
         name: region.0.clone(),
     }
 }
 
-fn read_regions(part: &DemandPart) -> AllowedRegions {
+fn decode_regions(part: &DemandPart) -> AllowedRegions {
     match part.is_any {
         1 => AllowedRegions::Any,
         _ => AllowedRegions::Only(
