--- a/crates/millwind-engine/src/catalog_cache.rs
+++ b/crates/millwind-engine/src/catalog_cache.rs
@@ -1,5 +1,5 @@
-//! The catalog's documents as they were read, for peers that cannot read them
-//! from the store.
+//! A cache of the catalog's documents in their stored form, for nodes that receive the
+//! catalog from other nodes instead of the store.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,28 +14,29 @@
 use crate::kept_documents::KeptDocuments;
 use crate::node::Engine;
 
-/// The configuration's document.
+/// The cached document of the configuration.
 #[derive(Debug)]
-struct KeptConfig {
+struct CachedConfig {
     version: u64,
-    document: KeptDocument,
-    /// When some node first read it from the store.
+    document: CachedDocument,
+    /// When any node first read the document from the store.
     known_since: Instant,
 }
 
-/// A document that is compressed once, when a peer first lacks it.
+/// A document that is compressed when a peer first requests it.
 #[derive(Debug)]
-enum KeptDocument {
-    Whole(Vec<u8>),
+enum CachedDocument {
+    Plain(Vec<u8>),
     Compressed(Compressed),
 }
 
-impl KeptConfig {
-    /// The document as it travels; none if it cannot be compressed.
-    fn travelling(&mut self) -> Option<ConfigDocument> {
-        if let KeptDocument::Whole(whole) = &self.document {
-            match Compressed::pack(whole) {
-                Ok(compressed) => self.document = KeptDocument::Compressed(compressed),
+impl CachedConfig {
+    /// Returns the document for a peer, compressing it on first use, or `None` if
+    /// compression fails.
+    fn wire_document(&mut self) -> Option<ConfigDocument> {
+        if let CachedDocument::Plain(plain) = &self.document {
+            match Compressed::pack(plain) {
+                Ok(compressed) => self.document = CachedDocument::Compressed(compressed),
                 Err(error) => {
                     let version = self.version;
                     warn!(
@@ -45,13 +46,13 @@
                 }
             }
         }
-        let KeptDocument::Compressed(document) = &self.document else {
+        let CachedDocument::Compressed(document) = &self.document else {
             return None;
         };
         let age_ms = clock::now().millis_since(self.known_since);
         Some(ConfigDocument {
             version: self.version,
-            age_ms: write_age(Some(age_ms)),
+            age_ms: encode_age_ms(Some(age_ms)),
             document: document.clone(),
         })
     }
@@ -59,22 +60,22 @@
 
 #[derive(Debug, Default)]
 struct State {
-    config: Option<KeptConfig>,
+    config: Option<CachedConfig>,
     instances: KeptDocuments,
-    /// By instance, the newest revision of its record that was taken in; a
-    /// heartbeat alone changes nothing else.
-    seen: BTreeMap<String, StoreRevision>,
-    /// Store revision up to which all instances are known; none where they are not.
+    /// Newest applied revision of each instance's record, including revisions that changed
+    /// only the heartbeat.
+    applied: BTreeMap<String, StoreRevision>,
+    /// Store revision up to which all instances are known; `NONE` before the first listing.
     instances_revision: StoreRevision,
 }
 
-/// An age as it travels; the greatest value for never.
-pub fn write_age(age_ms: Option<u64>) -> u32 {
+/// Encodes an age for the wire; an unknown or too large age becomes `u32::MAX`.
+pub fn encode_age_ms(age_ms: Option<u64>) -> u32 {
     age_ms.and_then(|age| u32::try_from(age).ok()).unwrap_or(u32::MAX)
 }
 
-/// Documents with the revision of their last change that matters: an
-/// instance's heartbeat alone is none.
+/// The catalog's documents, each with the revision of its last change. A change of only
+/// the heartbeat in an instance's record does not count.
 #[derive(Debug, Default)]
 pub struct CatalogCache {
     state: Mutex<State>,
@@ -85,21 +86,22 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps the configuration of `version`, which some node first read from the
-    /// store at `known_since`.
-    pub fn keep_config(&self, version: u64, value: &[u8], known_since: Instant) {
-        self.state().config = Some(KeptConfig {
+    /// Stores the configuration of `version`, which any node first read from the store at
+    /// `known_since`.
+    pub fn store_config(&self, version: u64, value: &[u8], known_since: Instant) {
+        self.state().config = Some(CachedConfig {
             version,
-            document: KeptDocument::Whole(value.to_vec()),
+            document: CachedDocument::Plain(value.to_vec()),
             known_since,
         });
     }
 
-    /// Keeps an instance's document, or that it was removed, unless a newer one is kept.
-    pub fn keep_instance(&self, key: &str, value: Option<&[u8]>, revision: StoreRevision) {
+    /// Stores an instance's document, or its removal if `value` is `None`, unless a newer
+    /// revision is cached.
+    pub fn store_instance(&self, key: &str, value: Option<&[u8]>, revision: StoreRevision) {
         let mut state = self.state();
-        let kept = state.instances.get(key);
-        if kept.is_some_and(|kept| kept.revision > revision) {
+        let cached = state.instances.get(key);
+        if cached.is_some_and(|cached| cached.revision > revision) {
             return;
         }
         let document = StoredDocument {
@@ -111,44 +113,45 @@
         state.instances.insert(document);
     }
 
-    /// Notes that an instance's record of `revision` is taken in; false if a
-    /// newer one was.
-    pub fn see_instance(&self, key: &str, revision: StoreRevision) -> bool {
+    /// Records that `revision` of an instance's record is applied. Returns false if a newer
+    /// revision already was.
+    pub fn mark_applied(&self, key: &str, revision: StoreRevision) -> bool {
         let mut state = self.state();
-        match state.seen.get_mut(key) {
-            Some(seen) if *seen > revision => false,
-            Some(seen) => {
-                *seen = revision;
+        match state.applied.get_mut(key) {
+            Some(applied) if *applied > revision => false,
+            Some(applied) => {
+                *applied = revision;
                 true
             }
             None => {
-                state.seen.insert(key.to_owned(), revision);
+                state.applied.insert(key.to_owned(), revision);
                 true
             }
         }
     }
 
-    /// Keys of the instances of which something newer than `revision` was taken in.
-    pub fn seen_after(&self, revision: StoreRevision) -> Vec<String> {
+    /// Returns the keys of the instances with an applied revision newer than `revision`.
+    pub fn applied_after(&self, revision: StoreRevision) -> Vec<String> {
         let state = self.state();
-        let newer = state.seen.iter().filter(|(_, seen)| **seen > revision);
+        let newer = state.applied.iter().filter(|(_, applied)| **applied > revision);
         newer.map(|(key, _)| key.clone()).collect()
     }
 
-    /// All instances are known up to this store revision. Comparing by the
-    /// newest document instead would send a record again and again whose
-    /// heartbeat another node has seen later.
+    /// Records that all instances are known up to `revision`. Nodes compare this revision
+    /// rather than that of the newest document, which would cause a record to be resent
+    /// whenever only its heartbeat differs.
     pub fn instances_known_to(&self, revision: StoreRevision) {
         let mut state = self.state();
         state.instances_revision = state.instances_revision.max(revision);
     }
 
-    /// Store revision up to which all instances are known; none where they are not.
+    /// Returns the store revision up to which all instances are known, or `NONE` before the
+    /// first listing.
     pub fn instances_revision(&self) -> StoreRevision {
         self.state().instances_revision
     }
 
-    /// What a peer with these versions lacks.
+    /// Returns the catalog documents that a peer with the given versions lacks.
     pub fn newer_than(
         &self,
         config_version: u64,
@@ -157,11 +160,14 @@
         evacuations_revision: StoreRevision,
         engine: &Engine,
     ) -> ExchangeReply {
-        // Before anything is read: what changes meanwhile is not covered by it.
-        let store_age_ms = write_age(engine.relays.store_age_ms());
+        // Taken before the documents are read, since it does not cover later changes.
+        let store_age_ms = encode_age_ms(engine.relays.store_age_ms());
         let mut state = self.state();
-        let newer_config = state.config.as_mut().filter(|kept| kept.version > config_version);
-        let config = newer_config.and_then(KeptConfig::travelling);
+        let missing_config = state
+            .config
+            .as_mut()
+            .filter(|cached| cached.version > config_version);
+        let config = missing_config.and_then(CachedConfig::wire_document);
         let instances = state.instances.after(instances_revision);
         ExchangeReply::Catalog {
             config: config.into_iter().collect(),
@@ -172,7 +178,7 @@
             own_revision: engine.own_keys.known_revision(),
             complete: u8::from(engine.directory.is_complete()),
             store_age_ms,
-            own_age_ms: write_age(engine.directory.terms_age_ms()),
+            own_age_ms: encode_age_ms(engine.directory.terms_age_ms()),
         }
     }
 }
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -1,4 +1,4 @@
-//! Takes the catalog in, from the store or from other nodes.
+//! Applies catalog documents received from the store or from other nodes.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -15,14 +15,14 @@
 use crate::passed_over::shortened;
 use crate::ports::{CatalogCodec, CatalogError};
 
-/// Connections opened ahead of need to a new instance.
-const AHEAD_CONNECTIONS: usize = 1;
+/// Number of connections opened in advance to a new instance.
+const ADVANCE_CONNECTIONS: usize = 1;
 
-/// What peers are told in place of a record that cannot be read: no document of any
-/// form is empty.
+/// Document sent to peers in place of an unreadable record. Every valid document is
+/// non-empty.
 const UNREADABLE: &[u8] = &[];
 
-/// Who told this node of a configuration.
+/// Where this node received a configuration from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigSource {
     /// The store.
@@ -40,42 +40,42 @@
     }
 }
 
-/// Where a configuration came from, for the line that tells of it.
+/// The origin of a configuration, for the log.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigOrigin {
-    /// Who told of it.
+    /// Where this node received the configuration from.
     pub source: ConfigSource,
-    /// When some node first read it from the store, as far as is known.
+    /// When any node first read the configuration from the store, as far as known.
     pub known_since: Instant,
-    /// Size of its document.
+    /// Size of the document in bytes.
     pub bytes: usize,
 }
 
 impl Engine {
-    /// The store told this node of its instances.
+    /// Records that this node has current instance data from the store.
     pub fn store_heard(&self) {
         self.directory.store_heard();
         self.relays.instances_heard();
     }
 
-    /// A peer knows what the store held at `heard`. After an outage that this
-    /// node did not notice itself, its own watches may have been lost.
+    /// Records that a peer had current data from the store at `heard`. If that ends an
+    /// outage, all followers read again, since this node's watches may have been lost.
     pub fn store_heard_by_peer(&self, heard: Instant) {
-        let is_regained = self.relays.told(heard);
-        if is_regained && !self.relays.is_reading_store() {
+        let ends_outage = self.relays.told(heard);
+        if ends_outage && !self.relays.is_reading_store() {
             self.store_contact.note_regained();
         }
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Activates a configuration unless a newer one is active.
     fn apply_config(&self, config: ConfigSnapshot, origin: &ConfigOrigin) {
         if self.directory.apply_config(config, origin) {
             let age_ms = clock::now().millis_since(origin.known_since);
             self.metrics.config_age.observe(age_ms as f64 / 1_000.0);
             let config = self.directory.config();
-            let has_terms =
+            let has_restrictions =
                 config.is_some_and(|config| config.allowed_regions().any(|regions| !regions.is_any()));
-            self.leader_demands.count(has_terms);
+            self.leader_demands.count(has_restrictions);
             self.tell_of_regions();
             self.pools.set_shares(|record| self.share_of(record));
             for known in self.directory.instances() {
@@ -85,11 +85,9 @@
         }
     }
 
-    /// Opens connections to an instance of a configured group ahead of need, where this
-    /// node runs statements on it. Those that stand in for owners open theirs when they
-    /// are needed: ahead of need it would be five more for each of 3,000 instances, 12 ms
-    /// of a slot each, and each node would rank the nodes for all instances (54 us of
-    /// processor time each) at every configuration.
+    /// Opens connections in advance to an instance of a configured group if this node runs
+    /// statements on it. Stand-ins for owners connect on demand, which limits the number of
+    /// connections and the cost of ranking nodes at each configuration change.
     fn open_ahead(&self, record: &InstanceRecord) {
         let is_configured = self.directory.group_limits(&record.group).is_some();
         if !is_configured || record.is_leaving || !self.registry.is_listed() {
@@ -100,12 +98,12 @@
             return;
         }
         if self.share_of(record) >= AMPLE_SHARE {
-            self.pools.open_ahead(self.pool(record), AHEAD_CONNECTIONS);
+            self.pools.open_ahead(self.pool(record), ADVANCE_CONNECTIONS);
         }
     }
 
-    /// Takes in a configuration's document, which some node first read from the
-    /// store at `known_since`.
+    /// Decodes and applies a configuration document, which any node first read from the
+    /// store at `known_since`. An unreadable document is logged and ignored.
     pub fn take_config(
         &self,
         codec: &dyn CatalogCodec,
@@ -123,7 +121,7 @@
                 self.passed_over.forget_config();
                 let version = config.version;
                 if version > self.config_version() {
-                    self.catalog_cache.keep_config(version, value, known_since);
+                    self.catalog_cache.store_config(version, value, known_since);
                     self.apply_config(config, &origin);
                 }
             }
@@ -136,13 +134,12 @@
         }
     }
 
-    /// Takes in an instance's document of `revision`, or that it was removed,
-    /// unless a newer one is known; true if the document names an instance, or is older
-    /// than what is known of one.
+    /// Applies an instance's document of `revision`, or its removal if `value` is `None`,
+    /// unless a newer revision is known. Returns true if the document describes an instance
+    /// or is older than the known revision.
     ///
-    /// A document that cannot be read names none: an instance that was known under its
-    /// key is gone, as if the record had been removed, since nobody can tell what the
-    /// writer meant by it; all others hold.
+    /// An unreadable document has the effect of a removal: an instance known under its key
+    /// is dropped. Other instances are not affected.
     pub fn take_instance(
         &self,
         codec: &dyn CatalogCodec,
@@ -150,14 +147,14 @@
         value: Option<&[u8]>,
         revision: StoreRevision,
     ) -> bool {
-        if self.is_older(codec, key, revision) {
+        if self.is_outdated(codec, key, revision) {
             return true;
         }
         let record = match value.map(|value| codec.read_instance(key, value)) {
             Some(Ok(record)) => record,
             Some(Err(error)) => {
-                self.pass_over(key, revision, &error);
-                // Peers need not read it to know that it cannot be read.
+                self.report_unreadable(key, revision, &error);
+                // Peers receive a marker instead of the unreadable document.
                 self.drop_record(codec, key, Some(UNREADABLE), revision);
                 return false;
             }
@@ -169,12 +166,12 @@
         };
         self.passed_over.forget(key);
         if self.apply_record(record) {
-            self.catalog_cache.keep_instance(key, value, revision);
+            self.catalog_cache.store_instance(key, value, revision);
         }
         true
     }
 
-    /// All instances at `revision` are `present`: the others are gone.
+    /// Drops the instances that a complete listing of `revision` does not include.
     pub fn drop_unlisted(
         &self,
         codec: &dyn CatalogCodec,
@@ -183,20 +180,21 @@
     ) {
         for missing in self.directory.listing_applied(present) {
             let key = format!("{}{missing}", codec.instances_prefix());
-            // A record of before this listing that a peer still sends is old.
-            self.catalog_cache.see_instance(&key, revision);
-            self.catalog_cache.keep_instance(&key, None, revision);
+            // Rejects older records of the instance that a peer may still send.
+            self.catalog_cache.mark_applied(&key, revision);
+            self.catalog_cache.store_instance(&key, None, revision);
         }
     }
 
-    /// Whether something newer than `revision` is known of the instance under `key`. Only
-    /// names are remembered: no record can ever be read under another key.
-    fn is_older(&self, codec: &dyn CatalogCodec, key: &str, revision: StoreRevision) -> bool {
-        codec.instance_name(key).is_some() && !self.catalog_cache.see_instance(key, revision)
+    /// Returns whether a newer revision than `revision` is known for the instance under
+    /// `key`, and otherwise marks `revision` as applied. Revisions are tracked only for
+    /// keys that name an instance.
+    fn is_outdated(&self, codec: &dyn CatalogCodec, key: &str, revision: StoreRevision) -> bool {
+        codec.instance_name(key).is_some() && !self.catalog_cache.mark_applied(key, revision)
     }
 
-    /// Tells of a document that cannot be read.
-    fn pass_over(&self, key: &str, revision: StoreRevision, error: &CatalogError) {
+    /// Counts and logs a document that cannot be read.
+    fn report_unreadable(&self, key: &str, revision: StoreRevision, error: &CatalogError) {
         let reason = shortened(&error.to_string());
         if self.passed_over.note(key, &reason) {
             self.metrics.records_passed_over.inc();
@@ -205,8 +203,8 @@
         }
     }
 
-    /// The record under `key` names no instance since `revision`: it was removed, or
-    /// something lies there that cannot be read, for which peers are told `document`.
+    /// Drops the instance under `key` as of `revision`, because its record was removed or
+    /// has become unreadable. Peers receive `document`, or a removal if it is `None`.
     fn drop_record(
         &self,
         codec: &dyn CatalogCodec,
@@ -217,20 +215,20 @@
         let Some(name) = codec.instance_name(key) else {
             return;
         };
-        let is_news = match document {
+        let has_changed_state = match document {
             Some(_) => self.directory.disown(&name),
             None => self.directory.remove_record(&name),
         };
-        if is_news {
-            self.catalog_cache.keep_instance(key, document, revision);
+        if has_changed_state {
+            self.catalog_cache.store_instance(key, document, revision);
         }
     }
 
-    /// Takes in an instance's record; true if more than its heartbeat changed.
+    /// Applies an instance's record; returns whether anything except the heartbeat changed.
     fn apply_record(&self, record: InstanceRecord) -> bool {
         let change = self.directory.apply_record(record.clone());
         if change.has_begun_anew {
-            self.begin_life(&record);
+            self.handle_restart(&record);
         }
         if change.is_new || change.has_begun_anew {
             self.open_ahead(&record);
@@ -238,9 +236,10 @@
         change.has_changed || change.has_begun_anew
     }
 
-    /// An instance began anew: connections to its former life are closed, with what was
-    /// set and prepared on them, and its group's leader is looked for at once.
-    fn begin_life(&self, record: &InstanceRecord) {
+    /// Handles a restart of an instance: discards the connections to the old process, with
+    /// their session state and prepared statements, and triggers the search for the group's
+    /// leader.
+    fn handle_restart(&self, record: &InstanceRecord) {
         self.metrics.lives_begun.inc();
         self.pools
             .begin_life(record, self.registry.version(), self.share_of(record));
--- a/crates/millwind-engine/src/catalog_watch.rs
+++ b/crates/millwind-engine/src/catalog_watch.rs
@@ -1,5 +1,5 @@
-//! Takes the operators' configuration and the instances' records from the
-//! store into the directory.
+//! Store followers that apply the operators' configuration and the instance records to the
+//! directory.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,24 +17,24 @@
 use crate::ports::CatalogCodec;
 use crate::store_watch::{Follower, MOST_PAUSE, MOST_PAUSE_BEHIND_RELAYS, StoreReading};
 
-/// Longest pause of a node between two tries of a store that does not answer.
-fn most_pause(engine: &Engine) -> Duration {
+/// Returns the longest pause of this node between two retries while the store is
+/// unavailable.
+fn max_retry_pause(engine: &Engine) -> Duration {
     match engine.relays.is_relay(&engine.registry) {
         true => MOST_PAUSE,
         false => MOST_PAUSE_BEHIND_RELAYS,
     }
 }
 
-/// Follows what operators write: the configuration and the requests to evacuate zones,
-/// with one watch, so that the requests cost no calls of their own and are as fresh as
-/// the configuration.
+/// Follows the operators' keys: the configuration and the evacuation requests. Both share
+/// one watch, so that evacuation requests need no store calls of their own.
 pub struct ConfigFollower {
     engine: Arc<Engine>,
     codec: Arc<dyn CatalogCodec>,
 }
 
 impl ConfigFollower {
-    /// Reads documents with `codec` into the engine's directory.
+    /// Creates a follower that decodes documents with `codec` and applies them to `engine`.
     pub fn new(engine: Arc<Engine>, codec: Arc<dyn CatalogCodec>) -> Self {
         ConfigFollower { engine, codec }
     }
@@ -57,7 +57,7 @@
     }
 
     fn listed(&self, listing: Listing) {
-        // First the requests: with a configuration the node may serve.
+        // Evacuations come first, since the node may start to serve with a configuration.
         self.engine.take_evacuation_listing(&*self.codec, &listing);
         self.apply(listing.entries);
     }
@@ -80,29 +80,31 @@
     }
 
     fn most_pause(&self) -> Duration {
-        most_pause(&self.engine)
+        max_retry_pause(&self.engine)
     }
 }
 
-/// Follows the instances' records.
+/// Follows the instance records.
 pub struct InstanceFollower {
     engine: Arc<Engine>,
     codec: Arc<dyn CatalogCodec>,
 }
 
 impl InstanceFollower {
-    /// Reads records with `codec` into the engine's directory.
+    /// Creates a follower that decodes records with `codec` and applies them to `engine`.
     pub fn new(engine: Arc<Engine>, codec: Arc<dyn CatalogCodec>) -> Self {
         InstanceFollower { engine, codec }
     }
 
-    /// Takes in what lies under one key; the instance that it names, if any.
+    /// Applies the entry of one key; returns the instance that it describes, if any.
     fn apply(&self, entry: &Entry) -> Option<InstanceName> {
         let value = entry.value.as_deref();
-        let names_one = self
+        let is_instance = self
             .engine
             .take_instance(&*self.codec, &entry.key, value, entry.revision);
-        names_one.then(|| self.codec.instance_name(&entry.key)).flatten()
+        is_instance
+            .then(|| self.codec.instance_name(&entry.key))
+            .flatten()
     }
 }
 
@@ -115,8 +117,8 @@
         let revision = listing.revision;
         let listed = listing.entries.iter().filter_map(|entry| self.apply(entry));
         let mut present: HashSet<_> = listed.collect();
-        // A peer may have told of something that this listing is too old to hold.
-        let newer = self.engine.catalog_cache.seen_after(revision);
+        // Peers may have reported instances that are newer than this listing.
+        let newer = self.engine.catalog_cache.applied_after(revision);
         present.extend(newer.iter().filter_map(|key| self.codec.instance_name(key)));
         self.engine.drop_unlisted(&*self.codec, &present, revision);
         let keys: HashSet<&str> = listing.entries.iter().map(|entry| entry.key.as_str()).collect();
@@ -150,7 +152,7 @@
     }
 
     fn most_pause(&self) -> Duration {
-        most_pause(&self.engine)
+        max_retry_pause(&self.engine)
     }
 
     fn is_sentinel(&self) -> bool {
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -1,9 +1,10 @@
-//! Zones that operators have asked to be emptied: hearing of the requests, and leaving
-//! the zones' instances.
+//! Zone evacuation: applies the operators' evacuation requests and stops using the
+//! instances of evacuated zones.
 //!
-//! Replicas of such a zone get nothing new from the moment at which a node hears of the
-//! request. A leader there is used for a part of the bound, in which it is handed over;
-//! after it nothing at all is sent there, whoever chose the instance and when.
+//! Replicas in an evacuated zone get no new statements as soon as a node learns of the
+//! request. A leader there is used for a part of the evacuation bound, during which the
+//! lead moves to another zone. After that, nothing is sent to the zone, not even
+//! statements that were assigned to one of its instances earlier.
 
 use millwind_core::Instant;
 use millwind_core::data_residency::AllowedRegions;
@@ -15,7 +16,7 @@
 
 use crate::backend::LinkError;
 use crate::catalog::InstanceRecord;
-use crate::catalog_cache::write_age;
+use crate::catalog_cache::encode_age_ms;
 use crate::clock;
 use crate::directory::Known;
 use crate::eligibility::InstanceUse;
@@ -23,18 +24,17 @@
 use crate::node::Engine;
 use crate::ports::CatalogCodec;
 
-/// Part of the evacuation bound in which a leader of the zone is still used, in
-/// percent: 2 s of 5 s, twice what a promotion takes where it takes a second. The rest is
-/// for nodes that hear late and for statements under way.
+/// Part of the evacuation bound in which a leader in the zone is still used, in percent.
+/// The rest allows for nodes that learn of the request late and for running statements.
 const EVACUATED_LEADER_PERCENT: u64 = 40;
-/// Connections that rest to an instance of such a zone where this node checks the
-/// leader's health: a check needs one.
-const CHECKING_CONNECTIONS: usize = 1;
+/// Idle connections kept to an instance in an evacuated zone if this node checks the
+/// health of the group's leader.
+const HEALTH_CHECK_CONNECTIONS: usize = 1;
 
 impl Engine {
-    /// Takes in all of the operators' keys. A request that is new here may be as old as
-    /// what was known before, since no watch told of it; a node that knew nothing must
-    /// count it as over its time.
+    /// Applies a complete listing of the operators' keys. A newly found request is dated
+    /// back to the last time at which this node knew the store's contents; a node without
+    /// such knowledge assumes that the evacuation bound has passed.
     pub fn take_evacuation_listing(&self, codec: &dyn CatalogCodec, listing: &Listing) {
         let now = clock::now();
         let oldest_ms = self.settings.evacuation_bound_ms;
@@ -46,38 +46,39 @@
             .map(|zone| DatedEvacuation { zone, since })
             .collect();
         let change = self.directory.apply_evacuations(&requests, listing.revision);
-        self.follow_evacuations(&change);
+        self.handle_evacuation_change(&change);
     }
 
-    /// Takes in changes of the operators' keys, as a watch told them.
+    /// Applies changes of the operators' keys reported by a store watch.
     pub fn take_evacuation_events(&self, codec: &dyn CatalogCodec, entries: &[Entry]) {
-        let read = |entry: &Entry| {
+        let decode = |entry: &Entry| {
             Some(EvacuationEvent {
                 zone: codec.read_evacuation(&entry.key)?,
                 is_requested: entry.value.is_some(),
                 revision: entry.revision,
             })
         };
-        let events: Vec<_> = entries.iter().filter_map(read).collect();
+        let events: Vec<_> = entries.iter().filter_map(decode).collect();
         if !events.is_empty() {
             let change = self.directory.apply_evacuation_events(&events);
-            self.follow_evacuations(&change);
+            self.handle_evacuation_change(&change);
         }
     }
 
-    /// Takes in what another node answered to a question sent at `sent`.
+    /// Applies the evacuations that another node reported in answer to a request sent at
+    /// `sent`.
     pub fn take_evacuations_of_peer(&self, listing: &EvacuationListing, sent: Instant) {
-        let read = |request: &EvacuatedZone| DatedEvacuation {
+        let decode = |request: &EvacuatedZone| DatedEvacuation {
             zone: ZoneName::from(request.zone.as_str()),
             since: clock::minus_millis(sent, u64::from(request.age_ms)),
         };
-        let requests: Vec<_> = listing.zones.iter().map(read).collect();
+        let requests: Vec<_> = listing.zones.iter().map(decode).collect();
         let change = self.directory.apply_evacuations(&requests, listing.revision);
-        self.follow_evacuations(&change);
+        self.handle_evacuation_change(&change);
     }
 
-    /// The requests as another node is told them which knows them up to `revision`;
-    /// empty where it knows as much.
+    /// Returns the evacuation requests for a node that knows them up to `revision`; empty
+    /// if that node is up to date.
     pub fn evacuations_after(&self, revision: StoreRevision) -> Vec<EvacuationListing> {
         let known = self.directory.evacuations();
         if known.revision() <= revision {
@@ -86,7 +87,7 @@
         let now = clock::now();
         let zones = known.zones().map(|(zone, since)| EvacuatedZone {
             zone: zone.as_str().to_owned(),
-            age_ms: write_age(Some(now.millis_since(since))),
+            age_ms: encode_age_ms(Some(now.millis_since(since))),
         });
         vec![EvacuationListing {
             revision: known.revision(),
@@ -94,29 +95,30 @@
         }]
     }
 
-    fn follow_evacuations(&self, change: &EvacuationChange) {
+    fn handle_evacuation_change(&self, change: &EvacuationChange) {
         if !change.is_empty() {
             self.leave_evacuated_zones();
             self.wake_monitor();
         }
     }
 
-    /// Closes connections that rest to instances of evacuated zones, and counts what is
-    /// still in use there.
+    /// Closes idle connections to instances in evacuated zones and updates the evacuation
+    /// metrics.
     pub fn leave_evacuated_zones(&self) {
         let evacuations = self.directory.evacuations();
         let zones = evacuations.zones().count() as i64;
         let (in_use, leaders) = match zones {
             0 => (0, 0),
-            _ => (self.leave_pools(&evacuations), self.evacuated_leaders()),
+            _ => (self.drain_pools(&evacuations), self.count_evacuated_leaders()),
         };
         self.metrics.evacuated_zones.set(zones);
         self.metrics.evacuated_instances_in_use.set(in_use);
         self.metrics.evacuated_leaders.set(leaders);
     }
 
-    /// Closes what rests in the pools of evacuated zones; how many pools are in use.
-    fn leave_pools(&self, evacuations: &Evacuations) -> i64 {
+    /// Closes idle connections in the pools of evacuated zones and returns the number of
+    /// those pools that are still in use.
+    fn drain_pools(&self, evacuations: &Evacuations) -> i64 {
         let mut in_use = 0;
         for pool in self.pools.all() {
             let record = pool.record();
@@ -124,7 +126,7 @@
                 continue;
             }
             let kept = match self.watches(&record.group) {
-                true => CHECKING_CONNECTIONS,
+                true => HEALTH_CHECK_CONNECTIONS,
                 false => 0,
             };
             if !self.is_believed_leader(record) || self.is_closed_by_evacuation(record) {
@@ -135,9 +137,9 @@
         in_use
     }
 
-    /// Groups whose leader stands in an evacuated zone, of those that this node watches:
-    /// of the others it may believe what is long over.
-    fn evacuated_leaders(&self) -> i64 {
+    /// Counts the watched groups whose leader is in an evacuated zone. Other groups are
+    /// excluded because this node's knowledge of their leaders may be outdated.
+    fn count_evacuated_leaders(&self) -> i64 {
         let Some(config) = self.directory.config() else {
             return 0;
         };
@@ -155,28 +157,28 @@
         leader.is_some_and(|leader| leader.instance == record.name)
     }
 
-    /// Whether the leader of a zone whose evacuation may have been asked for at `since`
-    /// must get nothing new any more.
+    /// Returns whether leaders get no new statements any more in a zone whose evacuation
+    /// may have been requested at `since`.
     pub fn is_evacuation_due(&self, since: Instant) -> bool {
-        clock::now() >= self.evacuation_due(since)
+        clock::now() >= self.leader_use_deadline(since)
     }
 
-    fn evacuation_due(&self, since: Instant) -> Instant {
+    fn leader_use_deadline(&self, since: Instant) -> Instant {
         let bound = self.settings.evacuation_bound_ms;
         since.plus_millis(bound * EVACUATED_LEADER_PERCENT / 100)
     }
 
-    /// Whether nothing at all may be sent to an instance any more, since its zone is
-    /// being evacuated.
+    /// Returns whether nothing may be sent to an instance any more because of the
+    /// evacuation of its zone.
     pub fn is_closed_by_evacuation(&self, record: &InstanceRecord) -> bool {
         let since = self.directory.evacuated_since(&record.zone);
         since.is_some_and(|since| self.is_evacuation_due(since))
     }
 
-    /// Refuses what is about to be sent to an instance whose zone is being evacuated: it
-    /// may have waited long for its turn since the instance was chosen, or be part of a
-    /// transaction that was open before. What begins on a replica (`begins_on_replica`)
-    /// goes elsewhere at once; the rest has a leader's time.
+    /// Checks, right before a statement is sent, that the evacuation of the instance's zone
+    /// does not forbid it; the evacuation may have begun after the instance was chosen.
+    /// New work on a replica (`begins_on_replica`) is refused at once, all other statements
+    /// after the time allowed for leaders.
     pub fn check_evacuation(
         &self,
         record: &InstanceRecord,
@@ -193,29 +195,29 @@
         }
     }
 
-    /// Waits until nothing may be sent any more to the instances of a zone.
+    /// Waits until nothing may be sent to the instances of a zone any more.
     pub async fn closed_by_evacuation(&self, zone: &ZoneName) {
         let mut changes = self.directory.evacuation_changes();
         loop {
             let Some(since) = self.directory.evacuated_since(zone) else {
-                // The sender lives as long as the node.
+                // Fails only if the sender is gone, which lives as long as the node.
                 let _ = changes.changed().await;
                 continue;
             };
-            let due = self.evacuation_due(since);
-            if clock::now() >= due {
+            let deadline = self.leader_use_deadline(since);
+            if clock::now() >= deadline {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep(clock::until(due)) => {}
+                () = tokio::time::sleep(clock::until(deadline)) => {}
                 _ = changes.changed() => {}
             }
         }
     }
 
-    /// Whether an instance of the group may be used by a statement of a customer that
-    /// allows `regions`, though not all can: it may lead soon where the leader's zone is
-    /// being evacuated.
+    /// Returns whether any instance of the group is reachable and may run statements
+    /// restricted to `regions`. Such an instance may become leader soon if the zone of the
+    /// present leader is being evacuated.
     pub fn has_instance_elsewhere(&self, group: &GroupName, regions: &AllowedRegions) -> bool {
         let is_usable = |known: &Known| {
             !known.is_gone
--- a/crates/millwind-engine/src/kept_documents.rs
+++ b/crates/millwind-engine/src/kept_documents.rs
@@ -1,4 +1,4 @@
-//! Documents of the store as they are kept for other nodes.
+//! A cache of store documents for other nodes, with compressed answers.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,34 @@
 use millwind_store::StoreRevision;
 use millwind_wire::exchange::{DocumentList, StoredDocument, pack_documents};
 
-/// Fewer documents travel as they are: compressing gains little.
-const LEAST_PACKED: usize = 32;
-/// All documents are packed anew once this part of them, in percent, changed since they
-/// were packed: the rest of an answer is small then, and packing is rare.
-const REPACK_PERCENT: usize = 10;
+/// Minimum number of documents that are compressed; smaller sets are sent as they are.
+const MIN_COMPRESSED: usize = 32;
+/// Share of documents, in percent, that must change before the complete set is compressed
+/// again. Until then, answers consist of the last compressed set and the later changes.
+const RECOMPRESS_PERCENT: usize = 10;
 
-/// All documents as they were at one time, compressed once for all nodes that know none.
+/// A compressed set of all documents at one revision, for nodes that have none.
 #[derive(Debug)]
-struct Packed {
-    /// Store revision of the newest of them.
+struct CompressedSet {
+    /// Revision of the newest document in the set.
     newest: StoreRevision,
     documents: DocumentList,
 }
 
-/// Documents by key, with the revision of their last change that matters; removed ones
-/// too, so that other nodes hear of the removal.
+/// The cached documents by key, each with the revision of its last relevant change. Removed
+/// documents stay as markers, so that other nodes learn of the removal.
 #[derive(Debug, Default)]
 pub struct KeptDocuments {
     by_key: BTreeMap<String, StoredDocument>,
-    /// Store revision of the newest document.
+    /// Revision of the newest document.
     newest: StoreRevision,
-    packed: Option<Packed>,
-    /// What changed between two revisions, packed for those that know the first.
+    complete_set: Option<CompressedSet>,
+    /// The last compressed difference between two revisions.
     difference: Option<Difference>,
 }
 
-/// What changed after one revision up to another, compressed once: nodes that heard the
-/// same news before ask for the same ones next.
+/// The compressed changes from one revision to another. Nodes usually request the same
+/// difference, because they are up to date with the same earlier revision.
 #[derive(Debug)]
 struct Difference {
     after: StoreRevision,
@@ -42,36 +42,35 @@
 }
 
 impl KeptDocuments {
-    /// The document under `key`.
+    /// Returns the document under `key`.
     pub fn get(&self, key: &str) -> Option<&StoredDocument> {
         self.by_key.get(key)
     }
 
-    /// All documents.
+    /// Iterates over all documents.
     pub fn iter(&self) -> impl Iterator<Item = &StoredDocument> {
         self.by_key.values()
     }
 
-    /// Keeps a document in place of what was kept under its key. One that is no newer than
-    /// what was packed is not found among what changed since: it was heard late, or removed
-    /// as of the newest revision.
+    /// Inserts or replaces the document under its key. Discards a compressed set whose
+    /// newest revision is not older than the document, since the set lacks the document and
+    /// later changes would not include it either.
     pub fn insert(&mut self, document: StoredDocument) {
         let revision = document.revision;
-        self.packed.take_if(|packed| revision <= packed.newest);
+        self.complete_set.take_if(|set| revision <= set.newest);
         self.difference
             .take_if(|difference| revision <= difference.newest);
         self.newest = self.newest.max(document.revision);
         self.by_key.insert(document.key.clone(), document);
     }
 
-    /// What changed after `revision`, for another node. In calm times nothing did, which
-    /// is seen without a look at the documents: a relay answers some 45 such questions a
-    /// second (36 nodes every 0.8 s) about some 5,000 documents.
+    /// Returns the documents that changed after `revision`, for another node. Returns early
+    /// in the common case that nothing changed.
     pub fn after(&mut self, revision: StoreRevision) -> DocumentList {
         if revision >= self.newest {
             return DocumentList::default();
         }
-        // A node that knows nothing of this era lacks all: the store was restored.
+        // An older era precedes a restore of the store, so that node needs all documents.
         match revision.is_none() || revision.era < self.newest.era {
             true => self.all(),
             false => self.difference(revision),
@@ -80,16 +79,16 @@
 
     fn difference(&mut self, after: StoreRevision) -> DocumentList {
         let newest = self.newest;
-        if let Some(held) = &self.difference
-            && (held.after, held.newest) == (after, newest)
+        if let Some(cached) = &self.difference
+            && (cached.after, cached.newest) == (after, newest)
         {
-            return held.documents.clone();
+            return cached.documents.clone();
         }
-        let changed = self.plain_after(after);
-        if changed.len() < LEAST_PACKED {
+        let changed = self.changed_after(after);
+        if changed.len() < MIN_COMPRESSED {
             return DocumentList::new(None, changed);
         }
-        let documents = packed_list(changed);
+        let documents = compressed_list(changed);
         self.difference = Some(Difference {
             after,
             newest,
@@ -98,7 +97,7 @@
         documents
     }
 
-    fn plain_after(&self, revision: StoreRevision) -> Vec<StoredDocument> {
+    fn changed_after(&self, revision: StoreRevision) -> Vec<StoredDocument> {
         let newer = self
             .by_key
             .values()
@@ -106,24 +105,24 @@
         newer.cloned().collect()
     }
 
-    /// All documents. After a common start every node asks for them: 3,000 instances'
-    /// records are compressed once, from 900 kB to some 150 kB.
+    /// Returns all documents. The compressed set is shared between requests, since all
+    /// nodes need it when they start together.
     fn all(&mut self) -> DocumentList {
         let count = self.by_key.len();
-        if count < LEAST_PACKED {
-            return DocumentList::new(None, self.plain_after(StoreRevision::NONE));
+        if count < MIN_COMPRESSED {
+            return DocumentList::new(None, self.changed_after(StoreRevision::NONE));
         }
-        let changed = match &self.packed {
-            Some(packed) => self.plain_after(packed.newest),
-            None => self.plain_after(StoreRevision::NONE),
+        let changed = match &self.complete_set {
+            Some(set) => self.changed_after(set.newest),
+            None => self.changed_after(StoreRevision::NONE),
         };
-        if let Some(packed) = &self.packed
-            && changed.len() * 100 < count * REPACK_PERCENT
+        if let Some(set) = &self.complete_set
+            && changed.len() * 100 < count * RECOMPRESS_PERCENT
         {
-            return packed.documents.clone().followed_by(changed);
+            return set.documents.clone().followed_by(changed);
         }
-        let documents = packed_list(self.plain_after(StoreRevision::NONE));
-        self.packed = Some(Packed {
+        let documents = compressed_list(self.changed_after(StoreRevision::NONE));
+        self.complete_set = Some(CompressedSet {
             newest: self.newest,
             documents: documents.clone(),
         });
@@ -131,11 +130,11 @@
     }
 }
 
-/// Documents compressed, or as they are where that fails.
-fn packed_list(documents: Vec<StoredDocument>) -> DocumentList {
+/// Returns the documents as a compressed list, or uncompressed if compression fails.
+fn compressed_list(documents: Vec<StoredDocument>) -> DocumentList {
     let count = documents.len();
     match pack_documents(documents.clone()) {
-        Ok(packed) => DocumentList::new(Some(packed), Vec::new()),
+        Ok(compressed) => DocumentList::new(Some(compressed), Vec::new()),
         Err(error) => {
             warn!(
                 "event=documents_not_packed documents={count} error={:?}",
