--- a/crates/millwind-engine/src/answer.rs
+++ b/crates/millwind-engine/src/answer.rs
@@ -1,24 +1,24 @@
-//! What a caller is told.
+//! The answer to a caller's statement: success, back-end error or refusal.
 
 use millwind_core::error_kind::ErrorKind;
 
 use crate::backend::LinkError;
 use crate::statement::BackEndError;
 
-/// A statement that the engine gives up, with the truth about it.
+/// The engine's refusal of a statement, as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Kind from the closed list.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// Detail for people.
+    /// Human-readable detail.
     pub detail: String,
-    /// When the caller may come back, in milliseconds; none for what the table says
-    /// of the kind.
+    /// Time after which the caller may retry, in milliseconds; `None` for the default of
+    /// the error kind.
     pub retry_after_ms: Option<u32>,
 }
 
 impl Refusal {
-    /// A refusal of `kind`.
+    /// Creates a refusal of `kind` with the default retry delay.
     pub fn new(kind: ErrorKind, detail: impl ToString) -> Self {
         Refusal {
             kind,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A refusal of `kind` since an exchange with an instance came to nothing.
+    /// Creates a refusal of `kind` caused by a failed exchange with an instance.
     pub fn of_link(kind: ErrorKind, error: LinkError) -> Self {
         Refusal {
             retry_after_ms: error.retry_after_ms(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The same with the time after which the caller may come back.
+    /// Sets the time after which the caller may retry.
     pub fn after_ms(self, retry_after_ms: u32) -> Self {
         Refusal {
             retry_after_ms: Some(retry_after_ms),
@@ -44,12 +44,12 @@
     }
 }
 
-/// Why a statement got no success.
+/// Why a statement did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// The engine gave it up.
+    /// The engine refused the statement.
     Refused(Refusal),
-    /// The back end's own error, passed on unchanged.
+    /// The back end returned an error, which is passed on unchanged.
     BackEnd(BackEndError),
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Failure {
-    /// The name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Failure::Refused(refusal) => refusal.kind.name(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Detail for people.
+    /// Returns the human-readable detail.
     pub fn detail(&self) -> &str {
         match self {
             Failure::Refused(refusal) => &refusal.detail,
@@ -77,12 +77,12 @@
     }
 }
 
-/// A statement's success.
+/// The result of a successful statement.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Success {
-    /// Rows, unchanged.
+    /// Rows, passed on unchanged.
     pub rows: Vec<String>,
-    /// The back end's signature; none where the engine answered itself.
+    /// The back end's signature; `None` if the engine answered the statement itself.
     pub signature: Option<String>,
 }
 
--- a/crates/millwind-engine/src/catalog.rs
+++ b/crates/millwind-engine/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the instances that are known.
+//! The data model of the catalog: the configuration and the instance records.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use millwind_core::tenant::TenantSettings;
 use millwind_core::warm_up::WarmUpTerms;
 
-/// What the sessions of a database are promised about reads.
+/// The read consistency of a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Consistency {
     /// Every read sees every acknowledged commit.
@@ -23,101 +23,102 @@
     ReadYourWrites,
 }
 
-/// A database as callers name it, with the terms that its sessions are served on.
+/// The configuration of a database under the name that callers use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Database {
-    /// Settings that follow from its template.
+    /// Settings derived from the template of the database.
     pub settings: TenantSettings,
-    /// What its reads are promised.
+    /// Consistency of reads.
     pub consistency: Consistency,
-    /// Time within which an operation should be answered, in milliseconds.
+    /// Target response time of an operation, in milliseconds.
     pub target_latency_ms: u64,
-    /// Zero is served first.
+    /// Priority; zero is the most urgent.
     pub priority: u8,
-    /// Its callers need no key.
+    /// Whether callers need no key.
     pub is_public: bool,
-    /// Regions in which its statements may run.
+    /// Regions in which statements may run.
     pub allowed_regions: AllowedRegions,
 }
 
-/// The tenants whose callers are told apart.
+/// The configured tenants.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tenants {
-    /// Whose a key is.
+    /// Tenant that each key belongs to.
     pub by_key: HashMap<KeyDigest, TenantName>,
-    /// What each may ask for; a tenant without a quota is not limited.
+    /// Quota of each tenant; a tenant without a quota is not limited.
     pub quotas: HashMap<TenantName, Quota>,
-    /// Regions in which the statements of each may run; one that is not listed
-    /// allows all.
+    /// Regions in which the statements of each tenant may run; a tenant that is not listed
+    /// allows all regions.
     pub allowed_regions: HashMap<TenantName, AllowedRegions>,
 }
 
-/// What is configured for a database group.
+/// The configuration of a database group.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GroupLimits {
-    /// Connections an instance accepts from all nodes together.
+    /// Number of connections that an instance accepts from all nodes together.
     pub connections: u32,
-    /// Replicas that have received a commit before it is acknowledged.
+    /// Number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// How its instances warm up; none where they may be loaded at once.
+    /// Rate limit for instances that have just started; `None` if they may be fully loaded
+    /// at once.
     pub warm_up: Option<WarmUpTerms>,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigSnapshot {
-    /// Rises with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
     /// Databases by name.
     pub databases: HashMap<DatabaseName, Arc<Database>>,
-    /// Tenants; none where callers are not told apart.
+    /// Tenants; `None` if callers are not authenticated as tenants.
     pub tenants: Option<Tenants>,
     /// Groups by name.
     pub groups: HashMap<GroupName, GroupLimits>,
-    /// A transaction that rests for so long may be ended, in milliseconds.
+    /// Idle time after which a transaction may be aborted, in milliseconds.
     pub transaction_idle_ms: u64,
 }
 
 impl ConfigSnapshot {
-    /// The terms of all databases and tenants on where statements may run.
+    /// Returns the region restrictions of all databases and tenants.
     pub fn allowed_regions(&self) -> impl Iterator<Item = &AllowedRegions> {
-        let of_databases = self.databases.values().map(|database| &database.allowed_regions);
-        let of_tenants = self
+        let database_regions = self.databases.values().map(|database| &database.allowed_regions);
+        let tenant_regions = self
             .tenants
             .iter()
             .flat_map(|tenants| tenants.allowed_regions.values());
-        of_databases.chain(of_tenants)
+        database_regions.chain(tenant_regions)
     }
 }
 
-/// An instance as it describes itself.
+/// The record that an instance publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceRecord {
-    /// Its id.
+    /// Unique name of the instance.
     pub name: InstanceName,
-    /// Group it belongs to.
+    /// Group that the instance belongs to.
     pub group: GroupName,
-    /// Where it listens.
+    /// Address on which the instance listens.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone in which the instance runs.
     pub zone: ZoneName,
-    /// Statements it runs at the same time.
+    /// Maximum number of statements that run concurrently.
     pub slots: u32,
-    /// It has announced that it will end.
+    /// Whether the instance has announced its shutdown.
     pub is_leaving: bool,
-    /// It sees itself as the leader.
+    /// Whether the instance considers itself the leader.
     pub claims_lead: bool,
-    /// It is slow for so much longer, by its own word, in milliseconds.
+    /// Remaining warm-up time that the instance reports, in milliseconds.
     pub warm_up_left_ms: u64,
-    /// Which life of the instance wrote it; none where it does not tell.
+    /// Incarnation of the process that wrote the record, if reported.
     pub incarnation: Option<Incarnation>,
-    /// How often this life has written its record, if it tells: begins anew with each
-    /// life, so that it orders nothing across lives.
+    /// Number of writes of the record by this incarnation, if reported. The counter restarts
+    /// with the process, so it does not order records of different incarnations.
     pub heartbeat: Option<u64>,
 }
 
 impl InstanceRecord {
-    /// What tells lives of the instance apart.
+    /// Returns the fields that distinguish incarnations of the instance.
     pub fn life_signs(&self) -> LifeSigns {
         LifeSigns {
             incarnation: self.incarnation,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Whether `later` says the same but for its heartbeat.
+    /// Returns whether `later` is equal to this record except for the heartbeat.
     pub fn says_but_for_heartbeat(&self, later: &InstanceRecord) -> bool {
         let InstanceRecord {
             name,
--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -1,5 +1,5 @@
-//! How many connections to an instance this node may hold, which way its
-//! statements go, and which groups it watches.
+//! The share of each instance's connections that this node may hold, the route of its
+//! statements, and the groups that it watches.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 use crate::forward::{Carriers, OWNERS, Route, Standing, Way};
 use crate::node::Engine;
 
-/// Connections to an instance per node from which on none is scarce.
+/// Even share of connections per node at which every node holds its own share.
 pub(crate) const AMPLE_SHARE: usize = 3;
-/// Connections that a node may hold that stands in for owners, in percent of
-/// those that the instance accepts.
+/// Share of an instance's connections that each stand-in for its owners may hold, in
+/// percent.
 const STAND_IN_PERCENT: usize = 10;
-/// Nodes that watch a group whether they use it or not.
+/// Number of nodes that watch a group whether or not they use it.
 pub(crate) const WATCHERS: usize = 3;
-/// A group counts as used for this time, in milliseconds.
-const USED_MS: u64 = 1_500;
+/// Time for which a group counts as used after a direct use, in milliseconds.
+const RECENT_USE_MS: u64 = 1_500;
 
 impl Engine {
     pub(crate) fn connection_limit(&self, group: &GroupName) -> usize {
@@ -30,26 +30,27 @@
         limits.map_or(1, |limits| limits.connections as usize)
     }
 
-    /// An even part of an instance's connections, less the one kept for health
-    /// checks.
+    /// Returns the number of connections if all nodes share equally, less one that is
+    /// reserved for health checks.
     pub(crate) fn even_share(&self, group: &GroupName) -> usize {
         (self.connection_limit(group) / self.registry.count()).saturating_sub(1)
     }
 
-    /// Whether connections are so plenty that each node holds its share of
-    /// them; else a few nodes own them.
+    /// Returns whether each node holds its own share of the connections to the instances
+    /// of a group. Otherwise a few nodes own them.
     pub fn is_ample(&self, group: &GroupName) -> bool {
         self.registry.is_listed() && self.even_share(group) >= AMPLE_SHARE
     }
 
-    /// An owner's share of an instance's connections: what is left when each
-    /// watcher of the group has one for health checks.
+    /// Returns an owner's share of an instance's connections, after reserving one health
+    /// check connection for each watcher of the group.
     pub(crate) fn owner_share(&self, group: &GroupName) -> usize {
         let limit = self.connection_limit(group);
         limit.saturating_sub(OWNERS + WATCHERS) / OWNERS
     }
 
-    /// How many connections to an instance this node may hold.
+    /// Returns the number of connections to an instance that this node may hold; at least
+    /// one.
     pub(crate) fn share_of(&self, record: &InstanceRecord) -> usize {
         if self.is_ample(&record.group) {
             return self.even_share(&record.group);
@@ -63,8 +64,8 @@
         share.max(1)
     }
 
-    /// The way of a statement of `user` to an instance; its text travels only to nodes
-    /// in `regions`.
+    /// Selects the route of a statement of `user` to an instance. The statement is forwarded
+    /// only through nodes in `regions`.
     pub async fn route(
         &self,
         record: &InstanceRecord,
@@ -74,7 +75,7 @@
         if self.is_ample(&record.group) {
             return Route::Own;
         }
-        let is_reached = self
+        let is_reachable = self
             .directory
             .instance(&record.name)
             .is_none_or(|known| known.contact.failing_since.is_none());
@@ -85,22 +86,22 @@
                 regions,
                 topology: &self.settings.topology,
             },
-            prefers_own: is_reached,
+            prefers_own: is_reachable,
         };
         let route = match user.tenant() {
             Some(tenant) => self.owners.route_of_tenant(&way, tenant).await,
             None => self.owners.route(&way).await,
         };
         if matches!(route, Route::Own) && !self.runs_statements_on(record) {
-            self.note_direct_use(record);
+            self.record_direct_use(record);
         }
         route
     }
 
-    /// No owner was reached: this node uses a connection of its own.
-    pub(crate) fn note_direct_use(&self, record: &InstanceRecord) {
+    /// Records that this node uses its own connection because no owner is reachable.
+    pub(crate) fn record_direct_use(&self, record: &InstanceRecord) {
         let last = self.directory.last_direct_use(&record.group);
-        if last.is_none_or(|used| clock::now().millis_since(used) > USED_MS) {
+        if last.is_none_or(|used| clock::now().millis_since(used) > RECENT_USE_MS) {
             info!(
                 "event=owners_unreached group={} instance={}",
                 record.group, record.name
@@ -109,13 +110,13 @@
         self.directory.used_directly(&record.group);
     }
 
-    /// Whether this node runs statements on an instance itself, so that it can
-    /// tell an instance that hangs from an owner that is busy.
+    /// Returns whether this node runs statements on an instance itself, so that it can
+    /// distinguish an unresponsive instance from a busy owner.
     pub fn runs_statements_on(&self, record: &InstanceRecord) -> bool {
         self.is_ample(&record.group) || self.owns(record)
     }
 
-    /// Nodes that watch a group, this one apart.
+    /// Returns the addresses of the other nodes that watch a group.
     pub fn watcher_addresses(&self, group: &GroupName) -> Vec<SocketAddr> {
         let mut watchers = self.registry.first_for(group.as_str(), WATCHERS);
         for record in self.watched_instances(group) {
@@ -129,8 +130,8 @@
         addresses
     }
 
-    /// The instances of a group whose owners watch it: its leader, or all while
-    /// none is known.
+    /// Returns the instances whose owners watch the group: its leader, or all instances
+    /// while no leader is known.
     pub(crate) fn watched_instances(&self, group: &GroupName) -> Vec<Arc<InstanceRecord>> {
         let leader = self.directory.leader(group);
         let known = leader.and_then(|leader| self.directory.instance(&leader.instance));
@@ -149,23 +150,22 @@
         self.owners.owns(&self.registry, record)
     }
 
-    /// Whether this node owns connections to an instance of a group.
+    /// Returns whether this node owns connections to any instance of a group.
     pub fn owns_any_of(&self, group: &GroupName) -> bool {
         let instances = self.directory.instances_of(group);
         instances.iter().any(|known| self.owns(&known.record))
     }
 
-    /// Whether connections belong to tenants: one that is opened ahead of need, or
-    /// without a tenant, then serves nobody.
+    /// Returns whether connections are authenticated per tenant. A connection opened in
+    /// advance, without a tenant, then cannot serve any statement.
     pub(crate) fn tells_tenants_apart(&self) -> bool {
         let config = self.directory.config();
         config.is_some_and(|config| config.tenants.is_some())
     }
 
-    /// Idle connections that this node keeps to an instance beyond those that were
-    /// needed lately. Where they belong to tenants it keeps all: the next statement
-    /// of the same tenant then needs no handshake, which takes as much of a slot as
-    /// one or two statements (12 ms on the users' sites).
+    /// Returns the number of idle connections that this node keeps to an instance beyond
+    /// the recent demand. Connections that belong to tenants are all kept, because a new
+    /// handshake costs the instance as much as a statement.
     pub(crate) fn spare_connections(&self, record: &InstanceRecord) -> usize {
         if !self.runs_statements_on(record) {
             return 0;
@@ -176,7 +176,7 @@
         1
     }
 
-    /// Nodes that may tell whether an instance is reached.
+    /// Returns the addresses of nodes that may know whether an instance is reachable.
     pub fn witness_addresses(&self, instance: &InstanceName) -> Vec<SocketAddr> {
         match self.directory.instance(instance) {
             Some(known) if !self.is_ample(&known.record.group) => self.watcher_addresses(&known.record.group),
@@ -184,11 +184,11 @@
         }
     }
 
-    /// Whether this node keeps an eye on a group: every group while
-    /// connections are plenty; else one whose leader's connections it owns, one
-    /// that it uses itself, and one that it is among the first to replace the
-    /// leader of. Each of these keeps a connection to the leader, which is not
-    /// there for statements.
+    /// Returns whether this node monitors a group. With an ample share of connections, it
+    /// monitors every group. Otherwise it monitors the groups whose leader's connections it
+    /// owns, the groups it has recently used directly, and the groups for which it is among
+    /// the first candidates to replace the leader. Monitoring takes one connection to the
+    /// leader, which is not used for statements.
     pub fn watches(&self, group: &GroupName) -> bool {
         if !self.registry.is_listed() {
             return false;
@@ -197,7 +197,7 @@
             return true;
         }
         let last_use = self.directory.last_direct_use(group);
-        if last_use.is_some_and(|used| clock::now().millis_since(used) < USED_MS) {
+        if last_use.is_some_and(|used| clock::now().millis_since(used) < RECENT_USE_MS) {
             return true;
         }
         self.registry.is_among_first(group.as_str(), WATCHERS)
--- a/crates/millwind-engine/src/counted_store.rs
+++ b/crates/millwind-engine/src/counted_store.rs
@@ -1,4 +1,4 @@
-//! Counts the calls to the store, each of which is paid for.
+//! A store wrapper that counts calls by type and outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::metrics::CallCounts;
 
-/// A store whose calls are counted.
+/// Wraps a store and counts its calls.
 #[derive(Debug)]
 pub struct CountedStore<S> {
     store: Arc<S>,
@@ -15,7 +15,7 @@
 }
 
 impl<S> CountedStore<S> {
-    /// Counts the calls to `store` in `counts`.
+    /// Creates a wrapper that counts the calls to `store` in `counts`.
     pub fn new(store: Arc<S>, counts: CallCounts) -> Self {
         CountedStore { store, counts }
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// The outcome of a call, as a label.
+/// Returns the metric label for the outcome of a call.
 fn outcome<T>(result: &Result<T, StoreError>) -> &'static str {
     match result {
         Ok(_) => "ok",
@@ -37,14 +37,14 @@
     }
 }
 
-/// A watch whose questions are counted.
+/// Wraps a watch and counts its reports.
 #[derive(Debug)]
-pub struct CountedWatch<W> {
+pub struct CountingWatch<W> {
     watch: W,
     counts: CallCounts,
 }
 
-impl<W: Watch> Watch for CountedWatch<W> {
+impl<W: Watch> Watch for CountingWatch<W> {
     async fn next(&mut self) -> Result<WatchReport, StoreError> {
         let report = self.watch.next().await;
         self.counts.count("watch", outcome(&report));
@@ -53,7 +53,7 @@
 }
 
 impl<S: Store> Store for CountedStore<S> {
-    type Watch = CountedWatch<S::Watch>;
+    type Watch = CountingWatch<S::Watch>;
 
     async fn list(&self, prefix: &str, silence: Duration) -> Result<Listing, StoreError> {
         self.count("list", self.store.list(prefix, silence).await)
@@ -68,7 +68,7 @@
 
     async fn watch(&self, prefix: &str, revision: StoreRevision) -> Result<Self::Watch, StoreError> {
         let watch = self.store.watch(prefix, revision).await?;
-        Ok(CountedWatch {
+        Ok(CountingWatch {
             watch,
             counts: self.counts.clone(),
         })
--- a/crates/millwind-engine/src/group_marks.rs
+++ b/crates/millwind-engine/src/group_marks.rs
@@ -1,17 +1,17 @@
-//! Groups that something is being done for, so that it is done once at a time.
+//! Per-group guards that allow one run of an operation at a time for each group.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use millwind_core::ids::GroupName;
 
-/// Marked groups.
+/// The groups for which an operation is in progress.
 #[derive(Debug, Default)]
 pub struct GroupMarks(Mutex<HashSet<GroupName>>);
 
-/// The mark of one group; gone when dropped.
+/// Guard that marks one group as in progress until it is dropped.
 #[derive(Debug)]
-pub struct GroupMark {
+pub struct GroupGuard {
     marks: Arc<GroupMarks>,
     group: GroupName,
 }
@@ -21,24 +21,24 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Marks a group; none if it is marked already.
-    pub fn enter(self: &Arc<Self>, group: &GroupName) -> Option<GroupMark> {
+    /// Marks a group as in progress; returns `None` if it already is.
+    pub fn enter(self: &Arc<Self>, group: &GroupName) -> Option<GroupGuard> {
         let is_new = self.groups().insert(group.clone());
-        is_new.then(|| GroupMark {
+        is_new.then(|| GroupGuard {
             marks: self.clone(),
             group: group.clone(),
         })
     }
 }
 
-impl GroupMark {
-    /// The marked group.
+impl GroupGuard {
+    /// Returns the marked group.
     pub fn group(&self) -> &GroupName {
         &self.group
     }
 }
 
-impl Drop for GroupMark {
+impl Drop for GroupGuard {
     fn drop(&mut self) {
         self.marks.groups().remove(&self.group);
     }
--- a/crates/millwind-engine/src/lib.rs
+++ b/crates/millwind-engine/src/lib.rs
@@ -1,10 +1,10 @@
 //! The statement engine of millwind.
 //!
-//! It keeps callers' sessions, the pools of back-end connections, what is
-//! believed about database groups, and the replacement of lost leaders. It
-//! knows no wire protocol, no store and no promotion service of its own: those
-//! are the ports in [`ports`], implemented by an adapter. Decisions come from
-//! `millwind-core`; this crate does the input and output.
+//! The engine manages callers' sessions, pools of back-end connections, the directory of
+//! database groups and instances, and the failover of lost leaders. Wire protocols and the
+//! promotion service are the traits in [`ports`], and the store is the trait in
+//! `millwind-store`; adapters implement both. The decision logic is in `millwind-core`; this
+//! crate performs the input and output.
 
 pub mod answer;
 pub mod backend;
