--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/cold_places.rs
@@ -46,7 +46,7 @@
     /// The statement does not wait, because another instance can serve it.
     NoWait,
     /// The statement can run only on this instance and waits until its target time.
-    UntilAim,
+    UntilTargetTime,
     /// The statement belongs to an open transaction and waits until its deadline.
     UntilDeadline,
 }
--- a/crates/millwind-engine/src/duty.rs
+++ b/crates/millwind-engine/src/duty.rs
@@ -122,7 +122,7 @@
 
 /// A failover ownership record as this node last observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ObservedDuty {
+pub struct ObservedOwnership {
     /// The record.
     pub record: DutyRecord,
     /// The store revision of the record, from which the fencing token is derived.
@@ -146,7 +146,7 @@
     prefix: String,
     node: String,
     directory: Arc<Directory>,
-    observed: Mutex<HashMap<GroupName, ObservedDuty>>,
+    observed: Mutex<HashMap<GroupName, ObservedOwnership>>,
     /// Records that the store lost when it was restored from a backup, with the time at
     /// which this node detected the loss. They are written again before any node may rely
     /// on their absence.
@@ -175,7 +175,7 @@
         }
     }
 
-    fn observed(&self) -> MutexGuard<'_, HashMap<GroupName, ObservedDuty>> {
+    fn observed(&self) -> MutexGuard<'_, HashMap<GroupName, ObservedOwnership>> {
         self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Returns the last observed record of `group`.
-    pub fn get(&self, group: &GroupName) -> Option<ObservedDuty> {
+    pub fn get(&self, group: &GroupName) -> Option<ObservedOwnership> {
         self.observed().get(group).cloned()
     }
 
@@ -335,7 +335,7 @@
                 self.record_loss(&group, &held.record);
             }
         }
-        let duty = ObservedDuty {
+        let duty = ObservedOwnership {
             record,
             revision,
             seen: clock::now(),
@@ -352,7 +352,7 @@
             .filter_map(|key| key.strip_prefix(&self.prefix))
             .map(GroupName::from)
             .collect();
-        let is_gone = |group: &GroupName, duty: &ObservedDuty| {
+        let is_gone = |group: &GroupName, duty: &ObservedOwnership| {
             duty.revision.era < listing.revision.era && !present.contains(group)
         };
         let gone: Vec<_> = {
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -225,9 +225,9 @@
     }
 }
 
-/// Marks the instance's process as possibly restarted if a request sent at `asked` was
-/// refused and no connection of `pool` is alive. A single broken connection is no evidence
-/// while others are alive.
+/// Marks the instance's process as possibly restarted if the failure of a request sent at
+/// `asked` suggests that the process is gone and no connection of `pool` is alive. A single
+/// broken connection is no evidence while others are alive.
 pub fn note_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &LinkError) {
     if error.is_refusing() && !pool.has_live_connection() {
         engine.directory.doubt_process(&pool.record().name, asked);
@@ -293,9 +293,9 @@
     let record = pool.record();
     let wait_policy = match (connection.transaction(), proves_leader) {
         (TransactionState::Idle, false) => CreditWaitPolicy::NoWait,
-        (TransactionState::Idle, true) => CreditWaitPolicy::UntilAim,
+        (TransactionState::Idle, true) => CreditWaitPolicy::UntilTargetTime,
         _ if connection.urgency() == Urgency::InTransaction => CreditWaitPolicy::UntilDeadline,
-        _ => CreditWaitPolicy::UntilAim,
+        _ => CreditWaitPolicy::UntilTargetTime,
     };
     let turn = acquire_turn_and_credit(engine, connection, wait_policy, deadline).await?;
     // The evacuation of the zone may have begun while the statement waited.
