--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/cold_places.rs
@@ -64,8 +64,8 @@
     engine: &'a Engine,
     record: &'a InstanceRecord,
     policy: CreditWaitPolicy,
-    /// Order among waiting statements: zero for an open transaction, otherwise the
-    /// priority plus one.
+    /// Order among waiting statements, lowest first: zero for an open transaction, the
+    /// priority plus one for others, and the maximum for a statement that is already late.
     rank: u16,
     is_waiting: bool,
 }
