--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts an engine node together, runs it, and stops it as planned.
+//! Assembles, runs and stops an engine node.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -40,105 +40,105 @@
 use crate::store_watch::{Follower, StoreContact};
 use crate::{clock, listener, readiness, relays, store_watch};
 
-/// Hedged reads per hundred reads.
+/// Hedged reads allowed per hundred reads.
 const HEDGE_PERCENT: u32 = 10;
-/// Saved hedged reads at most.
+/// Maximum number of hedged reads saved in the budget.
 const HEDGE_CEILING: u32 = 20;
-/// Between two batches of changes of instances' records.
+/// Interval between two batches of changed instance records.
 const INSTANCES_PACE: Duration = Duration::from_millis(1_000);
-/// The same with many nodes, which tell each other what they read: this part of
-/// the time after which a leaving instance gets nothing new, in percent, and
-/// never more than the most.
+/// Interval between batches when many nodes share what they read, in percent of the time
+/// after which a draining instance must receive nothing new. [`MAX_SHARED_INTERVAL_MS`]
+/// limits the result.
 const SHARED_PACE_PERCENT: u64 = 40;
 const MOST_SHARED_PACE_MS: u64 = 4_000;
-/// The same while a leader is in doubt.
+/// Interval between batches while a group's leader is uncertain.
 const URGENT_PACE: Duration = Duration::from_millis(300);
-/// Between two looks at instances that are gone, and at the shares.
+/// Interval between two housekeeping runs.
 const HOUSEKEEPING: Duration = Duration::from_millis(500);
-/// Share of the grace period after which open transactions are ended.
+/// Percentage of the grace period after which open transactions are ended.
 const TRANSACTION_GRACE_PERCENT: u64 = 45;
-/// Share of the grace period after which sessions that never rest are closed.
+/// Percentage of the grace period after which sessions that are never idle are closed.
 const BUSY_GRACE_PERCENT: u64 = 60;
-/// Share of the grace period after which the process ends in any case.
+/// Percentage of the grace period after which the process exits in any case.
 const LAST_GRACE_PERCENT: u64 = 85;
-/// Statements that a stopping node has taken are answered so long before the process
-/// ends, in milliseconds: the answer must have left it.
+/// Time before the exit of a stopping node by which statements must be answered, in
+/// milliseconds, so that the answers can still be sent.
 const LAST_ANSWER_MARGIN_MS: u64 = 150;
-/// Probes must have failed twice before sessions are closed.
+/// Minimum time before sessions are closed, so that load balancers see two failed probes
+/// first.
 const PROBES_NOTICE: Duration = Duration::from_millis(2_200);
-/// A node that stops waits so long for the store to take that, in milliseconds:
-/// a few times an answer's usual time between regions.
+/// Maximum time that a stopping node waits for the store to accept its departure, in
+/// milliseconds.
 const SIGN_OFF_MS: u64 = 300;
-/// Between two looks at whether it has.
+/// Interval between two checks for the accepted departure.
 const SIGN_OFF_PAUSE: Duration = Duration::from_millis(10);
-/// At the first start of a deployment all nodes register at once: each reads the
-/// store only after this time, so that it finds the others. A few times the time
-/// within which the platform starts its machines (0.3 s).
+/// Delay before the first read of the store when a deployment starts for the first time,
+/// so that each node finds the records of the others.
 const FIRST_START_SETTLE: Duration = Duration::from_millis(1_000);
-/// After it the nodes are listed within this time, so that most know by then that
-/// relays read the rest: a few times an answer's usual time between regions.
+/// Time after [`FIRST_START_DELAY`] for listing the nodes before the catalog is read, so
+/// that most nodes know the relays by then.
 const FIRST_START_LISTING: Duration = Duration::from_millis(300);
-/// Taken off the time in which a leaving leader is still used.
+/// Safety margin subtracted from the time in which a draining leader is still used.
 const LEAVING_MARGIN_MS: u64 = 1_500;
 
-/// Where the life of the process stands.
+/// Life-cycle phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Serving.
+    /// The node serves callers.
     Running,
-    /// Stopping as planned, since this time.
+    /// A planned stop began at this time.
     Stopping(Instant),
 }
 
-/// What all sessions of a node share.
+/// State shared by all sessions of a node.
 pub struct Engine {
     /// Settings of the node.
     pub settings: EngineSettings,
-    /// What the node believes.
+    /// The node's view of the groups and their instances.
     pub directory: Arc<Directory>,
-    /// Protocol towards callers.
+    /// Protocol spoken with callers.
     pub caller_codec: Arc<dyn CallerCodec>,
     /// Metrics of the node.
     pub metrics: Metrics,
-    /// Limits lines about single requests.
+    /// Rate limit for log lines about single requests.
     pub request_log: RequestLog,
-    /// Reads that may be tried twice.
+    /// Budget for hedged reads.
     pub retry_budget: SharedBudget,
-    /// Life of the process.
+    /// Life-cycle phase of the process.
     pub phase: watch::Sender<Phase>,
-    /// The other nodes.
+    /// Registered nodes of the deployment.
     pub registry: Arc<Registry>,
-    /// Connections to the other nodes.
+    /// Client for requests to other nodes.
     pub peers: PeerClient,
-    /// Documents for peers that cannot read the store.
+    /// Catalog documents to share with peers.
     pub catalog_cache: CatalogCache,
     /// Documents in the store that cannot be read.
     pub passed_over: PassedOver,
-    /// The system's own keys in the store.
+    /// Documents under the system's own prefix in the store.
     pub own_keys: Arc<OwnKeys>,
     /// The nodes that read the store on behalf of others.
     pub relays: Relays,
-    /// Whether the store is heard.
+    /// Connectivity of the store.
     pub store_contact: Arc<StoreContact>,
-    /// Groups whose watchers this node is asking for the leader.
+    /// Groups for which this node is asking the watchers about the leader.
     pub leader_inquiries: Arc<GroupMarks>,
-    /// How this node goes, once it does.
+    /// How this node leaves the deployment, once a stop has begun.
     pub departure: watch::Sender<Option<Departure>>,
-    /// Nodes that comparisons of the catalog did not reach.
+    /// Peers that did not answer catalog comparisons.
     pub unreached: Unreached,
-    /// Groups whose old leader this node is telling to step down.
+    /// Groups whose old leader this node is asking to step down.
     pub stepping_down: Arc<GroupMarks>,
     /// The nodes that own connections to instances.
     pub owners: Owners,
-    /// What needs the leaders of groups.
+    /// Pending demand for the leaders of groups.
     pub leader_demands: LeaderDemands,
     /// Quotas of tenants.
     pub quotas: Quotas,
-    /// Places to arrive at cold instances.
+    /// Limits on statements sent to cold instances.
     pub cold_places: ColdPlaces,
-    /// Which of the other nodes this one reaches.
+    /// Reachability of the other nodes.
     pub peer_reach: PeerReach,
-    /// Connections leased to other nodes.
+    /// Number of connections leased to other nodes.
     pub forwarded_leases: AtomicUsize,
     pub(crate) pools: Pools,
     monitor_wake: Notify,
@@ -151,12 +151,12 @@
 pub struct SharedBudget(Mutex<RetryBudget>);
 
 impl SharedBudget {
-    /// Records a first attempt.
+    /// Adds a first attempt to the budget.
     pub fn deposit(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).deposit();
     }
 
-    /// Takes one retry if the budget holds one.
+    /// Takes one retry from the budget; returns false if the budget is empty.
     pub fn withdraw(&self) -> bool {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).withdraw()
     }
@@ -172,17 +172,17 @@
 }
 
 impl Engine {
-    /// Version of the configuration in force, zero before the first.
+    /// Returns the version of the active configuration, or zero if there is none yet.
     pub fn config_version(&self) -> u64 {
         self.directory.config().map_or(0, |config| config.version)
     }
 
-    /// Whether the node takes new callers.
+    /// Returns whether the node accepts new callers.
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Running && self.directory.is_complete() && self.registry.is_listed()
     }
 
-    /// Counts a new session; none when the limit is reached.
+    /// Registers a new session, or returns `None` if the limit on sessions is reached.
     pub fn count_session(self: &Arc<Self>) -> Option<SessionCount> {
         if self.sessions.load(Ordering::Relaxed) >= self.settings.maximum_clients {
             return None;
@@ -192,23 +192,24 @@
         Some(SessionCount(self.clone()))
     }
 
-    /// Open sessions.
+    /// Returns the number of open sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.load(Ordering::Relaxed)
     }
 
-    /// The pool of an instance.
+    /// Returns the connection pool of an instance.
     pub fn pool(&self, record: &InstanceRecord) -> Arc<Pool> {
         self.pools
             .pool(record, self.registry.version(), || self.share_of(record))
     }
 
-    /// The protocol towards back ends.
+    /// Returns the protocol spoken with back ends.
     pub fn backend_codec(&self) -> &Arc<dyn BackEndCodec> {
         self.pools.codec()
     }
 
-    /// Addresses of the other nodes, or of seeds while none is known.
+    /// Returns the addresses of the other nodes, or of the seeds while no other node is
+    /// known.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let own = self.settings.peer_address;
         let known = self
@@ -224,7 +225,8 @@
         seeds.filter(|address| *address != own).collect()
     }
 
-    /// Waits until enough is known to serve callers, for `limit` at most.
+    /// Waits until the directory is complete enough to serve callers, or until `limit`
+    /// has elapsed.
     pub async fn await_complete(&self, limit: Duration) {
         let deadline = clock::now().plus_millis(limit.as_millis() as u64);
         while !self.directory.is_complete() && clock::now() < deadline {
@@ -232,8 +234,8 @@
         }
     }
 
-    /// Whether a leader still takes new work: one that will end does for a
-    /// while, until another takes over.
+    /// Returns whether a leader accepts new work. A draining leader does until shortly
+    /// before its drain bound, so that another can take over.
     pub fn takes_new_work(&self, known: &Known) -> bool {
         let bound = self.settings.drain_bound_ms.saturating_sub(LEAVING_MARGIN_MS);
         known
@@ -241,9 +243,8 @@
             .is_none_or(|since| clock::now().millis_since(since) < bound)
     }
 
-    /// Waits before the next report of instances' records. With many nodes
-    /// each waits longer, since what one reads the others hear from it; but not
-    /// while a leader is in doubt.
+    /// Waits before the next batch of changed instance records. Nodes that share what
+    /// they read wait longer, unless a group's leader is uncertain.
     pub async fn rest_from_instances(&self) {
         let is_shared = self.directory.config().is_some_and(|config| {
             let mut groups = config.groups.keys();
@@ -272,24 +273,25 @@
         Duration::from_millis(part.min(MOST_SHARED_PACE_MS))
     }
 
-    /// A leader is in doubt: its record should be read soon.
+    /// Shortens the current wait of [`Engine::rest_from_instances`], because a group's
+    /// leader is uncertain.
     pub fn doubt_leader(&self) {
         self.leader_doubted.notify_waiters();
     }
 
-    /// Asks the monitor to look at the groups now.
+    /// Asks the failover monitor to check the groups now.
     pub fn wake_monitor(&self) {
         self.monitor_wake.notify_one();
     }
 
-    /// Waits until the monitor is asked to look.
+    /// Waits until the monitor is asked to check the groups.
     pub async fn monitor_woken(&self) {
         self.monitor_wake.notified().await;
     }
 
-    /// The deadline of a statement that has time until `deadline`. In a planned stop
-    /// it ends before the process does: a connection that closes in place of an
-    /// answer tells its caller nothing.
+    /// Returns the effective deadline of a statement. During a planned stop it lies
+    /// before the exit of the process, so that the caller gets an answer instead of a
+    /// closed connection.
     pub fn statement_deadline(&self, deadline: Instant) -> Instant {
         let Phase::Stopping(since) = *self.phase.borrow() else {
             return deadline;
@@ -298,7 +300,8 @@
         deadline.min(since.plus_millis(process_ms.saturating_sub(LAST_ANSWER_MARGIN_MS)))
     }
 
-    /// During a planned stop: waits until a resting session may be closed.
+    /// Waits until an idle session may be closed by a planned stop; never returns while
+    /// no stop is in progress.
     pub async fn may_close_session(&self, is_in_transaction: bool, resting: Duration) {
         let Phase::Stopping(since) = *self.phase.borrow() else {
             return std::future::pending().await;
@@ -309,47 +312,47 @@
             PROBES_NOTICE.min(Duration::from_millis(self.settings.grace_ms / 2))
         };
         let start = since.plus_millis(notice.as_millis() as u64);
-        // A session that never rests is closed between two statements.
+        // A session that is never idle is closed between two statements.
         let latest = since.plus_millis(self.settings.grace_ms * BUSY_GRACE_PERCENT / 100);
         let rest = resting.min(clock::until(latest));
         tokio::time::sleep(clock::until(start).max(rest)).await;
     }
 }
 
-/// Why a node did not start.
+/// Errors that prevent a node from starting.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// The settings are not usable.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A listener's address cannot be used.
+    /// A listener cannot be bound to its address.
     #[error("{field} {address}: {source}")]
     Listen {
-        /// Field of the settings.
+        /// Name of the setting.
         field: &'static str,
-        /// The address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
 }
 
-/// The adapter's side of the ports.
+/// Port implementations provided by the adapter.
 pub struct Ports<S> {
-    /// Protocol towards callers.
+    /// Protocol spoken with callers.
     pub caller_codec: Arc<dyn CallerCodec>,
-    /// Protocol towards back ends.
+    /// Protocol spoken with back ends.
     pub backend_codec: Arc<dyn BackEndCodec>,
-    /// Documents in the store.
+    /// Decoder for the documents in the store.
     pub catalog_codec: Arc<dyn CatalogCodec>,
-    /// The promotion service.
+    /// Client of the promotion service.
     pub promoter: Arc<dyn Promoter>,
-    /// The store.
+    /// Client of the store.
     pub store: Arc<S>,
 }
 
 impl<S> Ports<S> {
-    /// The same with the calls to the store counted in `metrics`.
+    /// Wraps the store so that its calls are counted in `metrics`.
     fn counted(self, metrics: &Metrics) -> Ports<CountedStore<S>> {
         Ports {
             caller_codec: self.caller_codec,
@@ -363,7 +366,7 @@
 
 /// A running node.
 pub struct Node {
-    /// What its sessions share.
+    /// State shared by the node's sessions.
     pub engine: Arc<Engine>,
 }
 
@@ -378,7 +381,8 @@
 }
 
 impl Node {
-    /// Starts a node; returns once its listeners accept.
+    /// Starts a node and returns once its listeners are bound. Fails if the settings are
+    /// invalid or a listener cannot be bound.
     pub async fn start<S: Store + 'static>(
         settings: EngineSettings,
         ports: Ports<S>,
@@ -422,8 +426,8 @@
         Ok(Node { engine })
     }
 
-    /// Gives up all permits and says so in the store, so that no promoter waits
-    /// for this node.
+    /// Gives up all lead permits and records the departure in the store, so that no
+    /// promotion waits for this node.
     async fn sign_off(&self) {
         if self.engine.settings.promotion_fences {
             return;
@@ -440,8 +444,8 @@
         }
     }
 
-    /// Stops as planned: takes no new callers, lets open work end, closes
-    /// resting sessions; true when all had ended in time.
+    /// Performs a planned stop: rejects new callers, lets open work finish and closes
+    /// idle sessions. Returns whether all sessions and leases ended in time.
     pub async fn stop(&self) -> bool {
         let since = clock::now();
         info!("event=stop_started sessions={}", self.engine.sessions());
@@ -453,7 +457,7 @@
             let leases = self.engine.forwarded_leases.load(Ordering::Relaxed);
             let is_idle = self.engine.sessions() == 0 && leases == 0;
             if clock::now() >= first && is_idle && !has_signed_off {
-                // A session may come meanwhile.
+                // A session may start while the departure is announced.
                 self.sign_off().await;
                 has_signed_off = true;
                 continue;
@@ -473,8 +477,8 @@
     }
 }
 
-/// Two missed heartbeats, but a third of the time in which an instance that
-/// left must get nothing new at most.
+/// Returns the time after which an instance without a record counts as gone: two
+/// heartbeats, limited to a third of the drain bound.
 fn gone_grace_ms(settings: &EngineSettings) -> u64 {
     (settings.heartbeat_ms * 2).min(settings.drain_bound_ms / 3)
 }
@@ -573,7 +577,8 @@
     tokio::spawn(monitor.run());
 }
 
-/// Retires pools of instances that are gone, and follows the number of nodes.
+/// Closes the pools of instances that are gone, and adjusts connection shares when the
+/// set of nodes changes.
 async fn housekeeping(engine: Arc<Engine>) {
     let mut seen = 0;
     loop {
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -1,5 +1,5 @@
-//! The system's own keys in the store: read by the relays, told on to the other
-//! nodes, and passed to everything that is kept there.
+//! Replica of the system's own keys in the store. Relays read the keys, peers exchange
+//! them, and every change is passed to the followers of the data kept there.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,22 +16,22 @@
 use crate::registry::Registry;
 use crate::store_watch::{Follower, StoreReading};
 
-/// Between two reports of the system's own keys: at a start every node
-/// registers.
+/// Interval between two watch responses for the system's own keys, which batches the
+/// registrations of nodes that start together.
 const PACE: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Default)]
 struct State {
-    /// By key; removed ones too, so that peers hear of the removal.
+    /// Documents by key. Removed ones are kept so that peers learn of the removal.
     documents: KeptDocuments,
-    /// Store revision up to which everything is known; none where nothing is known.
+    /// Store revision up to which all documents are known.
     known_revision: StoreRevision,
 }
 
-/// Follows the system's own keys on behalf of everything kept there.
+/// Follows the system's own keys and passes them to other followers.
 pub struct OwnKeys {
     followers: Vec<Arc<dyn Follower>>,
-    /// The nodes, where those of the own zone are read first.
+    /// Registry to fill first with the nodes of the own zone, if enabled.
     nodes: Option<Arc<Registry>>,
     reads_store: watch::Receiver<StoreReading>,
     state: Mutex<State>,
@@ -44,8 +44,8 @@
 }
 
 impl OwnKeys {
-    /// Passes everything on to all of `followers`; read from the store itself
-    /// while `reads_store` says so.
+    /// Creates a replica that passes all documents to `followers`. `reads_store` tells
+    /// whether the node reads them from the store.
     pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<StoreReading>) -> Self {
         OwnKeys {
             followers,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The same where a starting node reads the nodes of its own zone first: its relays
-    /// are among them, and tell it all the rest.
+    /// Makes a starting node read the nodes of its own zone first. They include its
+    /// relays, which deliver the rest.
     pub fn reading_zone_first(self, nodes: Arc<Registry>) -> Self {
         OwnKeys {
             nodes: Some(nodes),
@@ -68,18 +68,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Store revision up to which everything is known; none where nothing is known.
+    /// Returns the store revision up to which all documents are known, or
+    /// [`StoreRevision::NONE`] if nothing is known.
     pub fn known_revision(&self) -> StoreRevision {
         self.state().known_revision
     }
 
-    /// Documents that changed after `revision`, for a peer.
+    /// Returns the documents that changed after `revision`, to send to a peer.
     pub fn documents_after(&self, revision: StoreRevision) -> DocumentList {
         self.state().documents.after(revision)
     }
 
-    /// Takes in the documents that a peer told of, which knows all of them up
-    /// to `revision`.
+    /// Applies documents from a peer that knows all documents up to `revision`.
     pub fn learn(&self, documents: Vec<StoredDocument>, revision: StoreRevision) {
         if revision.is_none() {
             return;
@@ -90,7 +90,8 @@
             let is_new_era = revision.era > state.known_revision.era;
             let is_whole = state.known_revision.is_none() || is_new_era;
             if is_new_era {
-                // The other node has told all that the store holds since it was restored.
+                // The store was restored from a backup and the peer sent its whole
+                // content, so documents that the peer did not send are gone.
                 state.remove_all_but(&entries, revision);
             }
             let news = |entry: &Entry| state.keep(entry);
@@ -106,13 +107,13 @@
         }
     }
 
-    /// Takes in one document that a peer told of ahead of the store; others
-    /// that changed before it may still be unknown.
+    /// Applies a single document that a peer sent directly. Earlier changes of other
+    /// documents may still be unknown.
     pub fn told(&self, document: StoredDocument) {
         let entry = entry_of(document);
         self.state().keep(&entry);
-        // Followers hear of it also where the store, restored since, no longer holds it:
-        // a term that somebody has closed stays closed.
+        // Followers are notified even if a restored store no longer holds the document,
+        // so that a closed term stays closed.
         self.tell_changed(&[entry]);
     }
 
@@ -130,7 +131,7 @@
 }
 
 impl State {
-    /// Takes an entry in; false if it is known, or a newer one.
+    /// Inserts an entry. Returns false if the same or a newer revision is known.
     fn keep(&mut self, entry: &Entry) -> bool {
         let held = self.documents.get(&entry.key);
         if held.is_some_and(|held| held.revision >= entry.revision) {
@@ -140,7 +141,7 @@
         true
     }
 
-    /// Everything that is there.
+    /// Returns all documents that are not removed.
     fn as_listing(&self) -> Listing {
         let present = self.documents.iter().filter(|document| document.removed == 0);
         Listing {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Everything is known up to `revision`.
+    /// Records that all documents are known up to `revision`.
     fn know(&mut self, revision: StoreRevision) {
         let known = self.known_revision;
         if revision.era > known.era && !known.is_none() {
@@ -161,7 +162,7 @@
         self.known_revision = known.max(revision);
     }
 
-    /// Marks everything as removed that a listing at `revision` does not hold.
+    /// Marks all documents as removed that are missing from a listing at `revision`.
     fn remove_all_but(&mut self, entries: &[Entry], revision: StoreRevision) {
         let present: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
         let is_gone = |document: &&StoredDocument| {
--- a/crates/millwind-engine/src/registered_nodes.rs
+++ b/crates/millwind-engine/src/registered_nodes.rs
@@ -1,4 +1,4 @@
-//! The registered nodes as one node keeps them, and their weights for a key.
+//! Index of the registered nodes, and rendezvous weights for ranking them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,26 +10,26 @@
 use crate::clock;
 use crate::registry::NodeRecord;
 
-/// Key under which the nodes of a zone are ranked as its relays.
+/// Key for which a zone's nodes are ranked as relays.
 const RELAY_KEY: &str = "relay";
 
 /// A registered node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RegisteredNode {
     pub(crate) record: NodeRecord,
-    /// Store revision of its record.
+    /// Store revision of the record.
     pub(crate) revision: StoreRevision,
-    /// Hash of its name.
+    /// Hash of the node's name.
     pub(crate) hash: u64,
-    /// Zone of the record.
+    /// Zone of the node.
     pub(crate) zone: ZoneName,
-    /// When this record was first seen here; what counts is that of a node that
-    /// went.
+    /// Time at which this record was first seen. For a node that left, this is the time
+    /// since which its departure is known.
     pub(crate) left_since: Instant,
 }
 
 impl RegisteredNode {
-    /// A node as its record tells of it now.
+    /// Creates a node whose record is seen now.
     pub(crate) fn new(name: &str, record: NodeRecord, revision: StoreRevision) -> Self {
         RegisteredNode {
             revision,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Whether a node with this record stands in the place of this one.
+    /// Returns whether the node has the zone and address of `other`.
     fn is_placed_as(&self, other: &NodeRecord) -> bool {
         self.record.zone == other.zone && self.record.peer_address == other.peer_address
     }
 }
 
-/// The registered nodes, with the hashes that orders of nodes follow from side by side.
+/// The registered nodes, with their name hashes in contiguous vectors for fast ranking.
 #[derive(Debug, Default)]
 pub(crate) struct Nodes {
     pub(crate) by_name: BTreeMap<String, RegisteredNode>,
@@ -55,22 +55,23 @@
 }
 
 impl Nodes {
-    /// The node of this name.
+    /// Returns the node with this name.
     pub(crate) fn get(&self, name: &str) -> Option<&RegisteredNode> {
         self.by_name.get(name)
     }
 
-    /// Hashes of all nodes' names.
+    /// Returns the name hashes of all nodes.
     pub(crate) fn hashes(&self) -> &[u64] {
         &self.hashes
     }
 
-    /// Hashes of the names of a zone's nodes.
+    /// Returns the name hashes of a zone's nodes.
     pub(crate) fn in_zone(&self, zone: &str) -> &[u64] {
         self.by_zone.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes a node in; true if that changes which nodes there are or where.
+    /// Inserts or replaces a node. Returns whether the node is new or its zone or address
+    /// changed.
     pub(crate) fn insert(&mut self, name: &str, node: RegisteredNode) -> bool {
         if let Some(held) = self.by_name.get_mut(name) {
             if held.is_placed_as(&node.record) {
@@ -86,7 +87,7 @@
         true
     }
 
-    /// Forgets a node; true if it was known.
+    /// Removes a node. Returns whether it was known.
     pub(crate) fn remove(&mut self, name: &str) -> bool {
         let Some(node) = self.by_name.remove(name) else {
             return false;
@@ -99,15 +100,15 @@
     }
 }
 
-/// A node with its weight for some key.
+/// Rendezvous weight of a node for a key, with the node's name and entry.
 pub(crate) type Weighted<'a> = (u64, &'a String, &'a RegisteredNode);
 
-/// Hash of a node's name, or of a key that nodes are ranked for.
+/// Hashes a node's name or a key for which nodes are ranked.
 pub(crate) fn hash_of(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
 
-/// Weight of a node for a key in rendezvous hashing, from the hashes of both.
+/// Returns the rendezvous weight of a node for a key, from the hashes of both.
 pub(crate) fn weight(key: u64, node: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
@@ -115,7 +116,7 @@
     xxh3_64(&bytes)
 }
 
-/// All nodes with their weights for `key`.
+/// Returns all nodes with their weights for `key`.
 pub(crate) fn weigh<'a>(nodes: &'a Nodes, key: &str) -> impl Iterator<Item = Weighted<'a>> + use<'a> {
     let key = hash_of(key);
     nodes
@@ -124,16 +125,15 @@
         .map(move |(name, node)| (weight(key, node.hash), name, node))
 }
 
-/// A node's place in the order of its zone's relays, the greatest first: by its link,
-/// then by its weight for [`RELAY_KEY`]. A relay sends the whole catalog, some 0.5 MB, to
-/// each of 36 nodes that start at the same moment: 7 s of a link of 20 Mbit/s, and 0.7 s of
-/// one of 200 (worked out for 3,000 instances).
+/// Returns the sort key of a node in the order of its zone's relays, greatest first: the
+/// link bandwidth, then the weight for [`RELAY_KEY`]. Bandwidth comes first because a
+/// relay sends the whole catalog to each of its nodes when they start together.
 pub(crate) fn relay_place(name: &str, node: Option<&RegisteredNode>) -> (u32, u64) {
     let link_mbps = node.map_or(0, |node| node.record.link_mbps);
     (link_mbps, weight(hash_of(RELAY_KEY), hash_of(name)))
 }
 
-/// The `count` heaviest, heaviest first.
+/// Returns the `count` heaviest nodes, heaviest first.
 pub(crate) fn heaviest(mut nodes: Vec<Weighted<'_>>, count: usize) -> Vec<Weighted<'_>> {
     let order =
         |left: &Weighted<'_>, right: &Weighted<'_>| right.0.cmp(&left.0).then_with(|| left.1.cmp(right.1));
--- a/crates/millwind-engine/src/registration.rs
+++ b/crates/millwind-engine/src/registration.rs
@@ -1,11 +1,10 @@
-//! Keeps this node's record in the store, and marks those of nodes that have
-//! gone.
+//! Maintains this node's record in the store, and marks the records of unreachable nodes.
 //!
-//! Where promotions don't fence, a promoter must hear from every node that may
-//! hold a permit to count on leaders, or wait until permits run out. A node that
-//! stops as planned says so; one that is not reached for a while is marked by
-//! the nodes that compare catalogs with it. A marked node that lives sees the
-//! mark, writes its record anew, and gets permits by news that are later.
+//! Where promotions do not fence the old leader, a promotion waits until every node that
+//! may hold a lead permit has answered or its permit has expired. A node announces a
+//! planned stop in its record. Peers whose catalog comparisons with a node keep failing
+//! mark it as unreachable. A marked node that is still running rewrites its record, and
+//! gets new permits only from data read after that.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,24 +20,25 @@
 use crate::node::Engine;
 use crate::registry::{Departure, NodeRecord, Registry};
 
-/// Between two tries to write this node's record.
+/// Delay before this node's record is written again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// Between two looks at nodes that are not reached.
+/// Interval between two checks for unreachable nodes.
 const LOOK_PAUSE: Duration = Duration::from_millis(1_000);
-/// A node that no comparison has reached for this time is marked, in
-/// milliseconds: longer than a restart takes, shorter than a permit lasts.
+/// A node is marked unreachable when all comparisons failed for this time, in
+/// milliseconds. It is longer than a restart and shorter than the validity of a lead
+/// permit.
 const UNREACHED_MS: u64 = 5_000;
-/// Comparisons that must have failed in that time.
+/// Minimum number of failed comparisons before a node is marked.
 const LEAST_FAILURES: u32 = 2;
 
-/// Failed comparisons with a node since the last one that it answered.
+/// Failed comparisons with a node since its last answer.
 #[derive(Debug, Clone, Copy)]
 struct Failures {
     since: Instant,
     count: u32,
 }
 
-/// Nodes that comparisons of the catalog did not reach.
+/// Peers that did not answer catalog comparisons.
 #[derive(Debug, Default)]
 pub struct Unreached(Mutex<HashMap<SocketAddr, Failures>>);
 
@@ -47,12 +47,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The node at `address` answered.
+    /// Clears the failures of the node at `address` because it answered.
     pub fn answered(&self, address: SocketAddr) {
         self.failures().remove(&address);
     }
 
-    /// The node at `address` gave no answer to a question sent at `sent`.
+    /// Records that the node at `address` did not answer a request sent at `sent`.
     pub fn failed(&self, address: SocketAddr, sent: Instant) {
         let mut failures = self.failures();
         let entry = failures.entry(address).or_insert(Failures {
@@ -62,7 +62,7 @@
         entry.count += 1;
     }
 
-    /// Takes out the nodes that have been silent for long enough.
+    /// Removes and returns the nodes that count as unreachable.
     fn take_gone(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let is_gone = |failures: &Failures| {
@@ -79,9 +79,8 @@
     }
 }
 
-/// Keeps this node's record in the store for the life of the process; once
-/// `departure` says how it goes, with that. Each change of the record by others
-/// is undone.
+/// Maintains this node's record in the store for the lifetime of the process, and
+/// rewrites it when others change it. Once `departure` is set, the record carries it.
 pub async fn keep_registered<S: Store>(
     engine: &Engine,
     store: &S,
@@ -90,7 +89,7 @@
 ) {
     let registry = &engine.registry;
     if !engine.settings.is_first_start {
-        // A restarted node's record is mostly there already.
+        // The record usually exists after a restart.
         registry.await_listed().await;
     }
     loop {
@@ -108,19 +107,19 @@
         }
         let is_present = wanted.departure.is_none();
         if !write(registry, store, registry.own_name(), wanted, revision).await {
-            // A record that was not known is replaced at once.
+            // The write revealed a newer record; it is replaced without a delay.
             let is_news = registry.own_record().1 != revision;
             if !is_news {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         } else if is_present && !engine.settings.promotion_fences {
-            // Only news of after the registration give permits.
+            // Lead permits require data read after the registration.
             engine.store_contact.note_regained();
         }
     }
 }
 
-/// Marks nodes that are not reached, for the life of the process.
+/// Marks unreachable nodes for the lifetime of the process.
 pub async fn mark_gone<S: Store>(registry: &Registry, store: &S, unreached: &Unreached) {
     loop {
         tokio::time::sleep(LOOK_PAUSE).await;
@@ -138,8 +137,8 @@
     }
 }
 
-/// Writes a node's record in place of that of `revision`; true if the store has
-/// taken it.
+/// Replaces a node's record if its revision is still `revision`. Returns whether the
+/// store accepted the write.
 async fn write<S: Store>(
     registry: &Registry,
     store: &S,
@@ -150,7 +149,7 @@
     let key = registry.key(&record.zone, name);
     let write = Write {
         key: key.clone(),
-        // A record of texts always has a form.
+        // Serialization of a node record cannot fail.
         value: serde_json::to_vec(&record).unwrap_or_default(),
     };
     match store.swap(&[Condition { key, revision }], &[write]).await {
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -1,4 +1,4 @@
-//! The nodes of the deployment, each under a key of its own in the store.
+//! Registry of the deployment's nodes, each stored under its own key.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,72 +21,72 @@
 };
 use crate::store_watch::Follower;
 
-/// What a node tells of itself.
+/// Record that a node publishes in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Where other nodes reach it.
+    /// Address of the node's listener for other nodes.
     pub peer_address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone the node runs in.
     pub zone: String,
-    /// What its link carries, in Mbit/s; zero where it does not tell. Nodes with wide
-    /// links are relays before others.
+    /// Link bandwidth in Mbit/s, or zero if unknown. Nodes with more bandwidth rank
+    /// higher as relays.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub link_mbps: u32,
-    /// How it went, if it did: it holds no permits to count on leaders, or none
-    /// that do not run out.
+    /// How the node left the deployment, or `None` while it is present. A stopped node
+    /// holds no lead permits; the permits of an unreachable node expire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub departure: Option<Departure>,
 }
 
-/// Whether a figure is left out of a record.
+/// Returns whether the field is left out of the serialized record.
 fn is_zero(figure: &u32) -> bool {
     *figure == 0
 }
 
-/// How a node went.
+/// How a node left the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Departure {
-    /// It stopped as planned, and said so itself.
+    /// The node announced a planned stop.
     Stopped,
-    /// Other nodes have not reached it for a while.
+    /// Other nodes could not reach the node for several seconds.
     Unreachable,
 }
 
-/// A node that owns connections, or stands in for one that does.
+/// Node that owns connections to an instance, or is a stand-in for an owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Owner {
-    /// Where it is reached.
+    /// Address of the node's listener for other nodes.
     pub address: SocketAddr,
-    /// Zone it runs in.
+    /// Zone the node runs in.
     pub zone: ZoneName,
-    /// It is this node.
+    /// Whether this is the local node.
     pub is_self: bool,
 }
 
-/// What an instance's owners are sought by.
+/// Inputs for choosing the owners of an instance.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnedPlace<'a> {
-    /// The instance.
+    /// Instance whose owners are chosen.
     pub instance: &'a InstanceName,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: &'a ZoneName,
-    /// Regions of the zones.
+    /// Mapping of zones to regions.
     pub topology: &'a Topology,
-    /// Regions that the statement's customer allows.
+    /// Regions in which the statement's customer allows processing.
     pub regions: &'a AllowedRegions,
 }
 
-/// Nodes through which an instance is reached, first ones first.
+/// Nodes through which an instance is reached, in order of preference.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct OwnersOf {
-    /// Those that own connections.
+    /// Nodes that own connections to the instance.
     pub owners: Vec<Owner>,
-    /// Those that stand in for them.
+    /// Nodes that take over when no owner is reachable.
     pub stand_ins: Vec<Owner>,
 }
 
-/// All nodes that have registered.
+/// The local view of all registered nodes.
 #[derive(Debug)]
 pub struct Registry {
     prefix: String,
@@ -95,18 +95,18 @@
     zone: String,
     directory: Arc<Directory>,
     own_changed: Notify,
-    /// When this life of the node began.
+    /// Start time of this process.
     started: Instant,
     nodes: Mutex<Nodes>,
-    /// This node's rank by key, with the version that it follows from.
+    /// Rank of this node by key, with the registry version it was computed from.
     ranks: Mutex<HashMap<String, (u64, usize)>>,
     version: AtomicU64,
-    /// When it last rose, in microseconds.
+    /// Time of the last version change, in microseconds.
     changed_at_us: AtomicU64,
-    /// Nodes that were weighed for some key so far.
+    /// Number of rendezvous weights computed so far.
     weighed: AtomicU64,
     is_listed: watch::Sender<bool>,
-    /// The nodes of the own zone are known, if not all others.
+    /// Whether the nodes of this node's zone are known; other zones may still be unknown.
     is_zone_known: watch::Sender<bool>,
 }
 
@@ -119,9 +119,11 @@
     }
 }
 
-/// The nodes among which those sought for `place` are: the heaviest of each nearness.
-/// Ranking 985 nodes takes 54 us of processor time (mean of 300 instances), so that only
-/// instances to which statements go are ranked.
+/// Returns the nodes that can be among the `sought` owners of `query`'s instance: the
+/// heaviest of each combination of nearness and permission.
+///
+/// Ranking takes time proportional to the number of nodes, so callers rank only instances
+/// that receive statements.
 fn contenders<'a>(
     nodes: &'a Nodes,
     place: &OwnedPlace<'_>,
@@ -140,8 +142,8 @@
 }
 
 impl Registry {
-    /// Records under `prefix`, seen by `node`, which runs in the zone of `directory`;
-    /// whether it is registered is told to that.
+    /// Creates an empty registry for `node`, with records under `prefix`. The zone is
+    /// that of `directory`, which is also informed when this node is registered.
     pub fn new(prefix: String, node: String, directory: Arc<Directory>) -> Self {
         Registry {
             prefix,
@@ -160,25 +162,26 @@
         }
     }
 
-    /// Rises with each change of which nodes there are, or where they run: of all that
-    /// owners and orders of nodes follow from. How a node went changes neither.
+    /// Returns a counter that increases when a node is added, removed, or changes its
+    /// zone or address. A change of a node's departure or bandwidth does not increase the
+    /// counter.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::Relaxed)
     }
 
-    /// Whether the store or a peer has told of the other nodes.
+    /// Returns whether the list of all nodes was received from the store or a peer.
     pub fn is_listed(&self) -> bool {
         *self.is_listed.borrow()
     }
 
-    /// Whether the nodes of the own zone are known.
+    /// Returns whether the nodes of this node's zone are known.
     pub fn is_zone_known(&self) -> bool {
         *self.is_zone_known.borrow()
     }
 
-    /// Waits until the nodes of the own zone are known.
+    /// Waits until the nodes of this node's zone are known.
     pub async fn await_zone_known(&self) {
-        // The sender lives as long as the registry.
+        // The sender lives as long as the registry, so the wait cannot fail.
         let _ = self
             .is_zone_known
             .subscribe()
@@ -186,25 +189,25 @@
             .await;
     }
 
-    /// Prefix of the records of the own zone's nodes.
+    /// Returns the key prefix of the records of this node's zone.
     pub fn zone_prefix(&self) -> String {
         format!("{}{}/", self.prefix, self.zone)
     }
 
-    /// The nodes of the own zone were read, as they were a moment ago; of the others
-    /// nothing is known by that.
+    /// Applies a listing of this node's zone, which may be slightly out of date and does
+    /// not cover other zones.
     pub fn zone_learned(&self, listing: Listing) {
         self.apply(listing.entries);
         self.is_zone_known.send_replace(true);
     }
 
-    /// Waits until the store or a peer has told of the other nodes.
+    /// Waits until the list of all nodes was received from the store or a peer.
     pub async fn await_listed(&self) {
-        // The sender lives as long as the registry.
+        // The sender lives as long as the registry, so the wait cannot fail.
         let _ = self.is_listed.subscribe().wait_for(|is_listed| *is_listed).await;
     }
 
-    /// Time since which nodes there are last changed, in milliseconds.
+    /// Returns the time since the last change of [`Registry::version`], in milliseconds.
     pub fn unchanged_ms(&self) -> u64 {
         let changed = Instant(self.changed_at_us.load(Ordering::Relaxed));
         clock::now().millis_since(changed)
@@ -215,8 +218,8 @@
         self.version.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The nodes that own connections to an instance, and those that stand in for
-    /// them, by rendezvous hashing among those that stand nearest.
+    /// Returns the owners of an instance and their stand-ins, chosen by rendezvous
+    /// hashing among the nearest nodes.
     pub fn owners(&self, place: &OwnedPlace<'_>, sought: OwnersSought) -> OwnersOf {
         let nodes = self.nodes();
         self.weighed
@@ -235,9 +238,9 @@
         }
     }
 
-    /// Whether this node is one of the `count` that own connections to an instance in
-    /// `zone`, where that follows from the nodes of the zone alone; none where the zone
-    /// has fewer nodes.
+    /// Returns whether this node is one of the `count` owners of an instance in `zone`,
+    /// or `None` if the zone has fewer than `count` nodes and owners in other zones must
+    /// be considered.
     pub fn is_owner_within(&self, instance: &InstanceName, zone: &ZoneName, count: usize) -> Option<bool> {
         let nodes = self.nodes();
         let of_zone = nodes.in_zone(zone.as_str());
@@ -248,14 +251,14 @@
         Some(is_here && self.is_ahead_of_all_but(count, instance.as_str(), of_zone))
     }
 
-    /// Whether this node is one of the first `count` of all nodes for `key`.
+    /// Returns whether this node is among the first `count` nodes for `key`.
     pub fn is_among_first(&self, key: &str, count: usize) -> bool {
         self.is_ahead_of_all_but(count, key, self.nodes().hashes())
     }
 
-    /// Whether fewer than `count` of the nodes with these hashes come before this one for
-    /// `key`. It looks no further than that: 20 of 985 nodes on average, so that this can
-    /// be asked of every group.
+    /// Returns whether fewer than `count` of the hashed nodes rank before this node for
+    /// `key`. The scan stops at the `count`th such node, which keeps the check cheap
+    /// enough to run for every group.
     fn is_ahead_of_all_but(&self, count: usize, key: &str, hashes: &[u64]) -> bool {
         let key = hash_of(key);
         let own = weight(key, hash_of(&self.node));
@@ -269,8 +272,8 @@
         last.is_none()
     }
 
-    /// How many nodes this one has weighed to tell who comes first: what decisions on
-    /// owners and watchers cost.
+    /// Returns the number of rendezvous weights computed so far, a measure of the cost of
+    /// choosing owners and watchers.
     pub fn nodes_weighed(&self) -> u64 {
         self.weighed.load(Ordering::Relaxed)
     }
@@ -283,17 +286,17 @@
         }
     }
 
-    /// The first `count` nodes for `key` by rendezvous hashing, wherever they
-    /// run.
+    /// Returns the first `count` nodes for `key` by rendezvous hashing, regardless of
+    /// zone.
     pub fn first_for(&self, key: &str, count: usize) -> Vec<Owner> {
         let nodes = self.nodes();
         let chosen = heaviest(weigh(&nodes, key).collect(), count);
         chosen.iter().map(|weighed| self.owner(weighed)).collect()
     }
 
-    /// The other nodes that this one compares its catalog with: up to `near` of
-    /// its own zone and up to `far` of others, by rendezvous hashing, so that
-    /// the number of links does not grow with the number of nodes.
+    /// Returns the addresses of the peers with which this node compares its catalog: up
+    /// to `near` in `zone` and up to `far` in other zones, chosen by rendezvous hashing.
+    /// The limits keep the number of links independent of the number of nodes.
     pub fn neighbours(&self, zone: &str, near: usize, far: usize) -> Vec<SocketAddr> {
         let nodes = self.nodes();
         let others = weigh(&nodes, &self.node).filter(|(_, name, _)| **name != self.node);
@@ -304,12 +307,12 @@
         chosen.map(|(_, _, node)| node.record.peer_address).collect()
     }
 
-    /// Nodes of a zone, this one included if it runs there and is registered.
+    /// Returns the number of registered nodes in `zone`.
     pub fn zone_count(&self, zone: &str) -> usize {
         self.nodes().in_zone(zone).len()
     }
 
-    /// How many nodes of a zone come before this one as its relays.
+    /// Returns how many nodes of `zone` rank before this node as relays.
     pub fn zone_rank(&self, zone: &str) -> usize {
         let nodes = self.nodes();
         let own = relay_place(&self.node, nodes.get(&self.node));
@@ -319,14 +322,14 @@
             .count()
     }
 
-    /// How many of the nodes with these hashes come before this one for `key`.
+    /// Returns how many of the hashed nodes rank before this node for `key`.
     fn count_ahead(&self, key: &str, hashes: &[u64]) -> usize {
         let key = hash_of(key);
         let own = weight(key, hash_of(&self.node));
         hashes.iter().filter(|node| weight(key, **node) > own).count()
     }
 
-    /// The other nodes of a zone in the order in which they are its relays.
+    /// Returns the addresses of the other nodes of `zone`, in their order as relays.
     pub fn zone_peers(&self, zone: &str) -> Vec<SocketAddr> {
         let nodes = self.nodes();
         let others = nodes.by_name.iter().filter(|(name, _)| **name != self.node);
@@ -342,7 +345,7 @@
         self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The other nodes.
+    /// Returns the names and records of the other nodes.
     pub fn peers(&self) -> Vec<(String, NodeRecord)> {
         let nodes = self.nodes();
         let others = nodes.by_name.iter().filter(|(name, _)| **name != self.node);
@@ -351,14 +354,14 @@
             .collect()
     }
 
-    /// Nodes known, this one included.
+    /// Returns the number of known nodes, including this one.
     pub fn count(&self) -> usize {
         let nodes = self.nodes();
         nodes.by_name.len() + usize::from(nodes.get(&self.node).is_none())
     }
 
-    /// How many nodes come before this one for `key`, by rendezvous hashing:
-    /// spread evenly and agreed without a message.
+    /// Returns how many nodes rank before this one for `key` by rendezvous hashing. All
+    /// nodes with the same view compute the same order without coordination.
     pub fn rank(&self, key: &str) -> usize {
         let version = self.version();
         let mut ranks = self.ranks.lock().unwrap_or_else(PoisonError::into_inner);
@@ -372,8 +375,8 @@
         rank
     }
 
-    /// This node's record as it is known, with its revision, which is none where
-    /// there is none.
+    /// Returns this node's record as last seen with its revision, which is
+    /// [`StoreRevision::NONE`] if there is no record.
     pub fn own_record(&self) -> (Option<NodeRecord>, StoreRevision) {
         let nodes = self.nodes();
         let own = nodes.get(&self.node);
@@ -381,29 +384,29 @@
         (own.map(|own| own.record.clone()), revision)
     }
 
-    /// The key of the record of a node in `zone`.
+    /// Returns the key of the record of `node` in `zone`.
     pub fn key(&self, zone: &str, node: &str) -> String {
         format!("{}{zone}/{node}", self.prefix)
     }
 
-    /// The name of the node whose record lies under `key`.
+    /// Returns the name of the node whose record is stored under `key`.
     fn name_in<'a>(&self, key: &'a str) -> Option<&'a str> {
         let place = key.strip_prefix(&self.prefix)?;
-        // Nodes of older versions leave the zone out.
+        // Older versions use keys without a zone.
         Some(place.rsplit_once('/').map_or(place, |(_, name)| name))
     }
 
-    /// Name of this node.
+    /// Returns the name of this node.
     pub fn own_name(&self) -> &str {
         &self.node
     }
 
-    /// The prefix of all records.
+    /// Returns the key prefix of all node records.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// The store has taken `record` of a node under `revision`.
+    /// Applies a record that was written to the store at `revision`.
     pub fn written(&self, name: &str, record: NodeRecord, revision: StoreRevision) {
         if self.keep(&mut self.nodes(), name, record, revision) {
             self.changed();
@@ -413,9 +416,9 @@
         }
     }
 
-    /// Addresses of the other nodes that may hold permits to count on leaders:
-    /// all that are registered, but for those that stopped as planned, and those
-    /// that were marked so long ago that theirs have run out.
+    /// Returns the addresses of the other nodes that may hold lead permits: all
+    /// registered nodes except those that announced a planned stop or were marked
+    /// unreachable at least [`PERMIT_MS`] ago.
     pub fn permit_holders(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let nodes = self.nodes();
@@ -430,13 +433,13 @@
             .collect()
     }
 
-    /// Where a node is reached; none for one that is not known.
+    /// Returns the address of `node`, or `None` if the node is unknown.
     pub fn address_of(&self, node: &str) -> Option<SocketAddr> {
         self.nodes().get(node).map(|node| node.record.peer_address)
     }
 
-    /// A node with its record's revision, by its address; none for one that is
-    /// known to have gone.
+    /// Returns the name, record and revision of the node at `address`, or `None` if no
+    /// present node has this address.
     pub fn present_at(&self, address: SocketAddr) -> Option<(String, NodeRecord, StoreRevision)> {
         let nodes = self.nodes();
         let nodes = &nodes.by_name;
@@ -445,8 +448,8 @@
         Some((name.clone(), node.record.clone(), node.revision))
     }
 
-    /// Takes in a node's record unless a newer one is known; true if that changes which
-    /// nodes there are or where.
+    /// Inserts a node's record unless a newer one is known. Returns whether a node was
+    /// added or changed its zone or address.
     fn keep(&self, nodes: &mut Nodes, name: &str, record: NodeRecord, revision: StoreRevision) -> bool {
         let mut node = RegisteredNode::new(name, record, revision);
         if let Some(held) = nodes.get(name) {
@@ -460,8 +463,8 @@
         nodes.insert(name, node)
     }
 
-    /// Tells the directory since when this node is registered, which is what its
-    /// permits rest on, and those who wait for a change of its record.
+    /// Sets the time since which this node is registered, on which its lead permits
+    /// depend, and wakes the task that maintains its record.
     fn tell_registration(&self, since: Option<Instant>) {
         self.directory.registered(since);
         self.own_changed.notify_one();
@@ -472,18 +475,18 @@
         self.own_changed.notified().await;
     }
 
-    /// Takes in what is now known of this node's own record.
+    /// Updates the directory if this node's own record appeared or disappeared.
     fn judge_registration(&self) {
         let is_present = self.own_record().0.is_some_and(|own| own.departure.is_none());
         match (is_present, self.directory.registered_since()) {
-            // Written by an earlier life of this node, before this one began.
+            // An earlier process wrote the record before this one started.
             (true, None) => self.tell_registration(Some(self.started)),
             (false, Some(_)) => self.tell_registration(None),
             _ => {}
         }
     }
 
-    /// Takes in records as the store holds them.
+    /// Applies changed records from the store.
     pub fn apply(&self, entries: Vec<Entry>) {
         self.apply_to(&mut self.nodes(), entries);
         self.judge_registration();
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -1,5 +1,5 @@
-//! Whether this node reads the catalog from the store itself, and which nodes
-//! it hears it from otherwise.
+//! Decides whether this node reads the catalog from the store or receives it from relays,
+//! and which relays it asks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,46 +17,44 @@
 use crate::registry::Registry;
 use crate::store_watch::StoreReading;
 
-/// News of instances are urgent for this time while a group's leader is missing
-/// among them, in milliseconds: twice the time in which instances write their
-/// records again after the store was out (some 2 s on the users' platform), and in
-/// which a lost leader is replaced.
+/// Maximum time for which instance records are polled at the urgent interval while a
+/// group's leader is missing, in milliseconds. It covers the time in which instances
+/// rewrite their records after a store outage and a lost leader is replaced.
 const MISSING_LEADER_MS: u64 = 4_000;
-/// After an outage of the store relays are waited for once in this time, in
-/// milliseconds: they may not hear the store that this node hears.
+/// Minimum interval between two waits for relays after store outages, in milliseconds.
+/// The relays may not reach a store that this node reaches.
 const REGAINED_PAUSE_MS: u64 = 10_000;
-/// A relay that gave no answer, or no fresh news, is left alone for this time, in
-/// milliseconds.
+/// Time for which a relay without an answer or fresh data is not asked, in milliseconds.
 const AVOID_MS: u64 = 8_000;
-/// The same for a relay that gave no answer to a node which does not know enough to
-/// serve: after a common start nodes are up within some 0.3 s of each other, and each
-/// relay that is passed over makes another node read the store.
+/// Time for which a node that cannot serve yet does not ask a relay that did not answer,
+/// in milliseconds. It is short because the relay may be starting too, and each skipped
+/// relay makes another node read the store.
 const AVOID_AT_START_MS: u64 = 400;
 
 #[derive(Debug, Default)]
 struct State {
-    /// Since when this node may hear relays: it knows the other nodes, from which
-    /// they follow, and the store is not out as far as is known.
+    /// Time since which this node can rely on relays: the nodes of its zone are known and
+    /// the store is presumed reachable.
     known_since: Option<Instant>,
-    /// When another node last asked this one as a relay.
+    /// Time at which another node last asked this one as a relay.
     asked: Option<Instant>,
-    /// As of when the catalog is known, here or through others.
+    /// Time up to which the catalog is known, directly or through other nodes.
     freshness: CatalogFreshness,
-    /// When this node last heard the store again and left it to relays.
+    /// Time at which this node last waited for relays after a store outage.
     regained: Option<Instant>,
-    /// Since when the records of instances lack a group's leader.
+    /// Time since which the instance records lack a group's leader.
     leader_missing_since: Option<Instant>,
-    /// When a relay last answered.
+    /// Time at which a relay last answered.
     relay_answered: Option<Instant>,
-    /// Relays that gave no answer, and until when they are left alone.
+    /// Relays that are not asked, with the time at which they may be asked again.
     avoided: HashMap<SocketAddr, Instant>,
 }
 
-/// What this node knows of the relays.
+/// This node's view of the relays of its zone.
 #[derive(Debug)]
 pub struct Relays {
     zone: String,
-    /// Zones of the deployment.
+    /// Number of zones in the deployment.
     zones: usize,
     times: RelayTimes,
     state: Mutex<State>,
@@ -64,8 +62,8 @@
 }
 
 impl Relays {
-    /// Relays as a node of `zone`, one of `zones`, sees them, where a configuration must
-    /// be in force within `config_bound_ms`.
+    /// Creates the state for a node in `zone`, one of `zones`, of a deployment in which a
+    /// configuration must be in force within `config_bound_ms`.
     pub fn new(zone: &str, zones: usize, config_bound_ms: u64) -> Self {
         Relays {
             zone: zone.to_owned(),
@@ -80,44 +78,44 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Times of the relays.
+    /// Returns the time limits for reads through relays.
     pub fn times(&self) -> &RelayTimes {
         &self.times
     }
 
-    /// Whether this node reads the store, as it changes.
+    /// Returns a receiver of where this node reads the catalog from.
     pub fn reading(&self) -> watch::Receiver<StoreReading> {
         self.reading.subscribe()
     }
 
-    /// Whether this node reads the store now.
+    /// Returns whether this node reads the store now.
     pub fn is_reading_store(&self) -> bool {
         *self.reading.borrow() != StoreReading::LeftToRelays
     }
 
-    /// Another node asks this one as a relay.
+    /// Records that another node asked this one as a relay.
     pub fn asked_as_relay(&self) {
         self.state().asked = Some(clock::now());
     }
 
-    /// The store told this node of its instances.
+    /// Records that the store delivered instance records.
     pub fn instances_heard(&self) {
         self.state().freshness.instances_heard(clock::now());
     }
 
-    /// This node has read the configuration with a call sent at `asked`, and
-    /// watches it.
+    /// Records that the configuration was read by a call sent at `asked`, and is being
+    /// watched.
     pub fn configuration_read(&self, asked: Instant) {
         self.state().freshness.configuration_read(asked);
     }
 
-    /// This node no longer watches the configuration.
+    /// Records that the configuration is no longer watched.
     pub fn configuration_unwatched(&self) {
         self.state().freshness.configuration_unwatched();
     }
 
-    /// A node that this one asked knew the catalog as of `heard`; true if that ends
-    /// a silence so long that the store must have been out.
+    /// Records that a peer knew the catalog as of `heard`. Returns whether this ends a
+    /// gap so long that the store must have been down.
     pub fn told(&self, heard: Instant) -> bool {
         let mut state = self.state();
         let silence_ms = state.freshness.as_of().map(|last| heard.millis_since(last));
@@ -125,20 +123,20 @@
         silence_ms.is_some_and(|silence| silence >= self.times.fresh_ms)
     }
 
-    /// Age of the catalog as it is known, in milliseconds: time since the store was
-    /// heard of both documents, here or through others; none if it never was.
+    /// Returns the age of the known catalog in milliseconds, or `None` if the
+    /// configuration or the instances were never received.
     pub fn store_age_ms(&self) -> Option<u64> {
         let heard = self.state().freshness.as_of()?;
         Some(clock::now().millis_since(heard))
     }
 
-    /// A relay gave no answer, or no fresh news.
+    /// Stops asking a relay for a while because it gave no answer or no fresh data.
     pub fn avoid(&self, relay: SocketAddr) {
         self.avoid_for(relay, AVOID_MS);
     }
 
-    /// A relay gave a node that does not know enough to serve no answer: it may be
-    /// starting as well.
+    /// Stops asking a relay briefly, because it may be starting too. Used by nodes that
+    /// do not know enough to serve.
     pub fn avoid_at_start(&self, relay: SocketAddr) {
         self.avoid_for(relay, AVOID_AT_START_MS);
     }
@@ -150,10 +148,11 @@
         state.avoided.insert(relay, now.plus_millis(time_ms));
     }
 
-    /// A relay answered, and heard the store `store_age_ms` ago. One whose news are
-    /// old while this node has fresh ones is refused by the store, or hears nothing:
-    /// it is left alone. While nobody has fresh news the store is out, and other
-    /// nodes asked as relays would only load it more when it is back.
+    /// Records the answer of a relay that heard from the store `store_age_ms` ago.
+    ///
+    /// A relay with old data is avoided if this node has fresh data. If neither has fresh
+    /// data, the store is down, and asking other nodes as relays would only add load when
+    /// it recovers.
     pub fn told_by_relay(&self, relay: SocketAddr, store_age_ms: Option<u64>) {
         self.state().relay_answered = Some(clock::now());
         let is_old = |age: Option<u64>| age.is_none_or(|age| age >= self.times.fresh_ms);
@@ -165,8 +164,8 @@
         self.avoid(relay);
     }
 
-    /// Whether the deployment has no relays, or this node is one by its own
-    /// view.
+    /// Returns whether this node considers itself a relay. True for every node while the
+    /// zone's nodes are unknown, or if the deployment has no relays.
     pub fn is_relay(&self, registry: &Registry) -> bool {
         if !registry.is_zone_known() {
             return true;
@@ -175,13 +174,14 @@
             .is_none_or(|relays| registry.zone_rank(&self.zone) < relays)
     }
 
-    /// Relays of this node's zone; none where every node reads the store.
+    /// Returns the number of relays in this node's zone, or `None` if every node reads
+    /// the store.
     fn relay_count(&self, registry: &Registry) -> Option<usize> {
         if !self.times.allow_relays {
             return None;
         }
         let zone_nodes = registry.zone_count(&self.zone);
-        // Until all are known, other zones are taken to have as many.
+        // Until all nodes are known, the other zones are assumed to have the same size.
         let all_nodes = match registry.is_listed() {
             true => registry.count(),
             false => zone_nodes * self.zones,
@@ -189,8 +189,8 @@
         relays_of_zone(zone_nodes, all_nodes)
     }
 
-    /// The relays that this node asks: those of its zone that come first and
-    /// have answered; empty where there are none.
+    /// Returns the relays to ask: the highest-ranked nodes of the zone that are not
+    /// avoided. Empty if the deployment has no relays.
     pub fn to_ask(&self, registry: &Registry) -> Vec<SocketAddr> {
         let Some(count) = self.relay_count(registry) else {
             return Vec::new();
@@ -202,8 +202,8 @@
         ranked.filter(is_usable).take(count).collect()
     }
 
-    /// Whether news of instances are urgent: a leader is missing among them, and
-    /// not for long.
+    /// Returns whether instance records are needed urgently: a leader has been missing
+    /// from them for a short time.
     pub fn are_news_urgent(&self, directory: &Directory) -> bool {
         let is_missing = !directory.knows_claimed_leaders();
         let mut state = self.state();
@@ -216,8 +216,8 @@
         now.millis_since(since) < MISSING_LEADER_MS
     }
 
-    /// The store answers this node again after an outage. Relays hear it at the same
-    /// time, so this node waits for their word as at its start.
+    /// Waits for relays again after a store outage, as at startup, since they recover at
+    /// the same time as this node.
     pub fn store_answers(&self, engine: &Engine) {
         let now = clock::now();
         {
@@ -234,8 +234,8 @@
         self.judge(engine);
     }
 
-    /// Judges anew whether this node must read the store, once the other nodes
-    /// are known.
+    /// Decides again whether this node must read the store. Does nothing until the zone's
+    /// nodes are known.
     pub fn judge(&self, engine: &Engine) {
         if !engine.registry.is_zone_known() {
             return;
@@ -262,7 +262,7 @@
         };
         let before = *self.reading.borrow();
         if before == StoreReading::LeftToRelays && must_read {
-            // One call shows whether the store answers; the others wait for it.
+            // Lets a single call probe the store while the other followers wait.
             engine.store_contact.note_lost();
         }
         if before != reading {
@@ -275,8 +275,7 @@
     }
 }
 
-/// Decides whether this node reads the store as soon as it knows the other
-/// nodes.
+/// Decides whether this node reads the store as soon as the nodes of its zone are known.
 pub async fn judge_at_start(engine: Arc<Engine>) {
     engine.registry.await_zone_known().await;
     engine.relays.judge(&engine);
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -1,5 +1,5 @@
-//! Follows the platform's store: the operators' configuration, the instances'
-//! records, and the system's own keys.
+//! Follows key prefixes of the store: the operators' configuration, the instances'
+//! records and the system's own keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,66 +15,67 @@
 
 use crate::clock;
 
-/// Between the first two tries while the store does not answer; the pause
-/// doubles, since each call is paid for and loads a store in trouble.
+/// Delay before the first retry while the store does not answer. Later delays double,
+/// because each call adds load to a store in trouble.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// A node that knows nothing yet gives a listing up after this silence, and after
-/// twice as long the next time: a store that comes back does not answer what it
-/// was asked while it was out. Above the answers of a slow store (0.4 s, a hundred
-/// times the usual 4 ms).
+/// Timeout of a follower's first listing, doubled after each failure up to
+/// [`USUAL_SILENCE`]. A store that recovers from an outage does not answer earlier calls,
+/// so the first calls are abandoned early.
 const FIRST_LISTING_SILENCE: Duration = Duration::from_millis(500);
-/// While its calls are unanswered, a node that knows nothing yet sends another one
-/// after this time: the store may be back and answer only new ones.
+/// Interval between parallel probe calls of a node without data. A store that recovers
+/// may answer only new calls.
 const FIRST_CALL_PAUSE: Duration = Duration::from_millis(400);
-/// Such calls without an answer at the same time at most.
+/// Maximum number of probe calls in flight.
 const MOST_FIRST_CALLS: usize = 5;
-/// An answer of a watch with fewer changes than this holds all that there were, whatever
-/// the store cuts answers at (the users' platform: listings at some 500 entries).
+/// The store may truncate watch responses with at least this many changes; a shorter
+/// response is complete.
 const LEAST_CUT_ANSWER: usize = 100;
-/// A starting node waits so long to learn whether it leaves the store to relays
-/// before it watches: a few times what listing the nodes takes.
+/// Maximum time that a starting node waits for the decision whether it reads the store or
+/// relies on relays.
 const DECISION_LIMIT: Duration = Duration::from_millis(500);
-/// A follower that waits for the one that asks a store which is out asks by itself
-/// after this time: what that one reads may be refused alone.
+/// Maximum time that a follower waits for the sentinel to reach the store before it calls
+/// the store itself. The store may refuse the sentinel's calls alone.
 const SENTINEL_PATIENCE: Duration = Duration::from_millis(5_000);
-/// Longest pause between two tries.
+/// Maximum delay between two retries.
 pub const MOST_PAUSE: Duration = Duration::from_millis(1_500);
-/// The same for a node that others tell when the store is heard again.
+/// Maximum delay between two retries on a node that relays inform when the store has
+/// recovered.
 pub const MOST_PAUSE_BEHIND_RELAYS: Duration = Duration::from_millis(5_000);
 
-/// Whether this node reads the catalog from the store itself.
+/// Where this node reads the catalog from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreReading {
-    /// Not known yet: it lists the catalog, and does not watch it.
+    /// Not decided yet: the node lists the catalog but does not watch it.
     Undecided,
-    /// It reads the store.
+    /// The node reads the store.
     Reading,
-    /// Relays read it and tell this node.
+    /// The node receives the catalog from relays.
     LeftToRelays,
 }
 
-/// Whether the store is heard, shared by all followers of a node: the one whose
-/// keys change all the time notices an outage and its end, and asks a store that
-/// is out on behalf of the others.
+/// Connectivity of the store, shared by all followers of a node. The sentinel, whose keys
+/// change most often, detects an outage and its end, and probes the store on behalf of
+/// the other followers.
 #[derive(Debug, Default)]
 pub struct StoreContact {
-    /// The store is out as far as is known.
+    /// Whether the store is presumed unreachable.
     is_lost: watch::Sender<bool>,
-    /// Counts the ends of outages, and the needs for fresh news.
+    /// Incremented when an outage ends or fresh data is needed.
     regained: watch::Sender<u64>,
 }
 
 impl StoreContact {
-    /// The store does not answer, or is not known to.
+    /// Records that the store does not answer, or may not answer.
     pub fn note_lost(&self) {
         self.is_lost.send_replace(true);
     }
 
-    /// An outage is over, or fresh news are needed now: all followers read anew,
-    /// since watches may have been lost in silence.
+    /// Makes all followers read again after an outage or when fresh data is needed, since
+    /// a watch may have been lost without an error.
     pub fn note_regained(&self) {
         self.regained.send_modify(|count| *count += 1);
-        // Those that wait for this look no more than once.
+        // Wakes followers after the counter has changed, so that each of them reads only
+        // once.
         self.is_lost.send_replace(false);
     }
 
@@ -82,70 +83,71 @@
         *self.is_lost.borrow()
     }
 
-    /// Waits until the store is heard, for `limit` at most.
+    /// Waits until the store is reachable, or until `limit` has elapsed.
     async fn heard(&self, limit: Duration) {
         let mut is_lost = self.is_lost.subscribe();
-        // The sender lives as long as the node; at the limit the store is asked.
+        // The sender lives as long as the node. After the timeout the follower calls the
+        // store itself.
         let _ = tokio::time::timeout(limit, is_lost.wait_for(|is_lost| !is_lost)).await;
     }
 }
 
-/// Takes in what lies under one prefix of the store.
+/// Receives the contents and changes of one key prefix.
 pub trait Follower: Send + Sync + 'static {
-    /// Name in logs.
+    /// Returns the name used in log lines.
     fn name(&self) -> &'static str;
-    /// The whole prefix was read.
+    /// Handles a complete listing of the prefix.
     fn listed(&self, listing: Listing);
-    /// Keys have changed, in order.
+    /// Handles changed keys, in order.
     fn changed(&self, entries: Vec<Entry>);
-    /// A smaller prefix within the followed one that a starting node reads first, by a
-    /// serializable read: it tells whether the rest is left to relays. None where another
-    /// follower finds that out.
+    /// Returns a shorter prefix that a starting node reads first, with a serializable
+    /// read, to decide whether relays deliver the rest; `None` if another follower reads
+    /// the data for that decision.
     fn part_read_first(&self) -> Option<String> {
         None
     }
-    /// That part was read, as it was a moment ago.
+    /// Handles the listing of the initial prefix, which may be slightly out of date.
     fn part_learned(&self, _listing: Listing) {}
-    /// The store was heard, though nothing changed.
+    /// Called when the store answers a watch without changes.
     fn heard(&self) {}
-    /// A store that was out, by failed calls of this node, answers again; it is
-    /// read next.
+    /// Called when the store answers again after this node's calls had failed, before the
+    /// prefix is read.
     fn store_answers(&self) {}
-    /// Everything that the store held at `asked` was told, and its changes are
-    /// watched.
+    /// Called when everything that the store held at `asked` was delivered and changes
+    /// are being watched.
     fn complete(&self, _asked: Instant) {}
-    /// Changes are no longer watched.
+    /// Called when changes are no longer watched.
     fn unwatched(&self) {}
-    /// Whether its keys change so often that it notices an outage on behalf of
-    /// all followers.
+    /// Returns whether the keys change often enough to detect an outage on behalf of all
+    /// followers.
     fn is_sentinel(&self) -> bool {
         false
     }
-    /// Whether this node follows the prefix itself, as it changes; none for
-    /// always.
+    /// Returns a receiver of where the node reads the prefix from, or `None` if it always
+    /// reads the store.
     fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
         None
     }
-    /// Longest pause between two tries while the store does not answer.
+    /// Returns the maximum delay between two retries while the store does not answer.
     fn most_pause(&self) -> Duration {
         MOST_PAUSE
     }
-    /// Waits between two reports, so that changes come in batches.
+    /// Waits between two watch responses, so that changes arrive in batches.
     fn rest(&self) -> BoxFuture<'_, ()> {
         Box::pin(std::future::ready(()))
     }
 }
 
-/// How far a follower has come with the store.
+/// State of a follower across listings and watches.
 #[derive(Debug)]
 struct Progress {
-    /// The prefix was read at least once, here or by relays.
+    /// Whether the prefix was read at least once, by this node or by relays.
     has_read: bool,
-    /// Since when the store does not answer.
+    /// Time at which the store stopped answering.
     lost_at: Option<Instant>,
-    /// Silence after which the next listing is given up.
+    /// Timeout of the next listing.
     silence: Duration,
-    /// Pause after the next failure.
+    /// Delay after the next failure.
     pause: Duration,
 }
 
@@ -159,13 +161,13 @@
         }
     }
 
-    /// Relays have told what lies under the prefix meanwhile.
+    /// Records that relays delivered the prefix.
     fn left_to_relays(&mut self) {
         self.has_read = true;
         self.lost_at = None;
     }
 
-    /// Takes in a failure; the time to wait after it.
+    /// Records a failed call and returns the delay before the next one.
     fn failed(&mut self, follower: &dyn Follower, error: &StoreError) -> Duration {
         if self.lost_at.is_none() {
             warn!(
@@ -177,7 +179,7 @@
             self.pause = RETRY_PAUSE;
         }
         let pause = self.pause;
-        // A node that knows nothing yet cannot serve: it asks on.
+        // A node without data cannot serve callers, so it keeps the shortest delay.
         if self.has_read {
             self.pause = (pause * 2).min(follower.most_pause());
             self.silence = USUAL_SILENCE;
@@ -187,7 +189,7 @@
         pause.mul_f64(rand::rng().random_range(0.75..1.25))
     }
 
-    /// The store has answered a listing.
+    /// Records a successful listing.
     fn heard(&mut self, follower: &dyn Follower, contact: &StoreContact) {
         self.has_read = true;
         let was_lost = regained(follower, &mut self.lost_at);
@@ -197,8 +199,8 @@
     }
 }
 
-/// Follows `prefix` for the life of the process: lists it, watches it, and
-/// lists it again whenever the watch has a gap.
+/// Lists and watches `prefix` for the lifetime of the process, and lists it again when
+/// the watch is interrupted.
 pub async fn follow<S: Store + 'static>(
     store: Arc<S>,
     prefix: String,
@@ -216,19 +218,19 @@
             contact.heard(SENTINEL_PATIENCE).await;
         }
         let mut regained = contact.regained.subscribe();
-        // The first reading ends in any case: relays may be starting as well.
+        // The first listing is never cancelled, because the relays may be starting too.
         let may_leave = progress.has_read;
         let reading = read_once(&*store, &prefix, &*follower, &contact, &mut progress);
         let read = tokio::select! {
             result = reading => result,
-            // The listing may have been lost in silence.
+            // The listing may have been lost without an error.
             Ok(()) = regained.changed(), if !follower.is_sentinel() => continue,
             () = until_left(&mut reads), if may_leave => continue,
         };
         let ended = match read {
             Ok(Some(revision)) => tokio::select! {
                 result = watch_changes(&*store, &prefix, &*follower, revision) => result,
-                // The watch may have been lost in silence.
+                // The watch may have been lost without an error.
                 Ok(()) = regained.changed(), if !follower.is_sentinel() => Ok(()),
                 () = until_left(&mut reads) => Ok(()),
             },
@@ -249,7 +251,7 @@
     }
 }
 
-/// Waits while this node leaves the prefix to relays; true if it had to wait.
+/// Waits while relays deliver the prefix. Returns whether they did when called.
 async fn until_reads(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
     let Some(reads) = reads else { return false };
     let has_left = *reads.borrow_and_update() == StoreReading::LeftToRelays;
@@ -258,7 +260,7 @@
     has_left
 }
 
-/// Waits until this node leaves the prefix to relays.
+/// Waits until relays deliver the prefix.
 async fn until_left(reads: &mut Option<watch::Receiver<StoreReading>>) {
     let Some(reads) = reads else {
         return std::future::pending().await;
@@ -267,26 +269,26 @@
     let _ = reads.wait_for(|reads| *reads == StoreReading::LeftToRelays).await;
 }
 
-/// Whether this node leaves the prefix to relays.
+/// Returns whether relays deliver the prefix.
 fn is_left(follower: &dyn Follower) -> bool {
     let reads = follower.reads();
     reads.is_some_and(|reads| *reads.borrow() == StoreReading::LeftToRelays)
 }
 
-/// Waits until it is known whether this node reads the store, but not for long;
-/// true if it leaves it to relays.
+/// Waits for a limited time for the decision where this node reads the catalog from.
+/// Returns whether relays deliver it.
 async fn leaves_to_relays(follower: &dyn Follower) -> bool {
     let Some(mut reads) = follower.reads() else {
         return false;
     };
     let decided = reads.wait_for(|reads| *reads != StoreReading::Undecided);
-    // At the limit it reads the store, whatever follows later.
+    // After the timeout the node reads the store, whatever is decided later.
     let _ = tokio::time::timeout(DECISION_LIMIT, decided).await;
     is_left(follower)
 }
 
-/// Lists the prefix; the revision from which its changes are to be watched, or none
-/// if they are left to relays.
+/// Lists the prefix. Returns the revision from which to watch its changes, or `None` if
+/// relays deliver them.
 async fn read_once<S: Store>(
     store: &S,
     prefix: &str,
@@ -300,9 +302,8 @@
             let listing = store.list_serializable(&part, progress.silence).await?;
             follower.part_learned(listing);
         }
-        // What relays tell need not be read: a full listing by each of 985 nodes that
-        // start at the same moment is 3.4 GB, half a minute of a link of 1 Gbit/s (by the
-        // sizes of 3,000 instances' records, 1,000 groups and as many nodes).
+        // Nodes behind relays skip the full listing: the link to the store would be
+        // saturated if all nodes of a large deployment listed it at the same time.
         if leaves_to_relays(follower).await {
             return Ok(None);
         }
@@ -310,19 +311,18 @@
     if contact.is_lost() && follower.is_sentinel() && is_first {
         await_store(store, prefix).await?;
     } else if contact.is_lost() && follower.is_sentinel() {
-        // The cheapest way to see that the store is back.
+        // A serializable read is the cheapest check that the store has recovered.
         store.list_serializable(prefix, progress.silence).await?;
-        // Where the first call is answered the store was not out: the relays are
-        // the ones that don't hear it, and waiting for their word would make this
-        // node's news a second older.
+        // If the first call succeeds, the store was never down and only the relays have
+        // lost it. Waiting for the relays would then delay fresh data.
         if progress.lost_at.is_some() {
             follower.store_answers();
             if leaves_to_relays(follower).await {
                 return Ok(None);
             }
         }
-        // The others read at the same time: one after the other, a configuration
-        // would come a listing later.
+        // Lets the other followers read in parallel, since sequential listings would
+        // delay the configuration.
         progress.heard(follower, contact);
     }
     let asked = clock::now();
@@ -355,14 +355,14 @@
             follower.complete(asked);
             follower.rest().await;
         }
-        // What a cut answer lacks is asked for at once: with a rest in between a node
-        // before 3,000 instances would take in 250 heartbeats a second of 600, and fall
-        // behind until the store's history is over.
+        // After a truncated response the rest is requested without a pause, since a node
+        // with many instances would otherwise fall behind until the store compacts the
+        // revisions that it still needs.
     }
 }
 
-/// Asks whether the store is back for a node that cannot serve without: asks again
-/// while earlier calls have no answer, and fails once none is under way.
+/// Probes the store on behalf of a node without data. Returns when any call succeeds;
+/// fails when a call fails and no other is in flight.
 async fn await_store<S: Store>(store: &S, prefix: &str) -> Result<(), StoreError> {
     let mut calls = FuturesUnordered::new();
     let mut next_call = tokio::time::Instant::now();
@@ -382,7 +382,7 @@
     }
 }
 
-/// Notes that the store is heard; true if it was not before.
+/// Ends an outage. Returns whether there was one.
 fn regained(follower: &dyn Follower, lost_at: &mut Option<Instant>) -> bool {
     let was_lost = lost_at.take();
     if let Some(lost) = was_lost {
