--- a/crates/millwind-engine/src/passed_over.rs
+++ b/crates/millwind-engine/src/passed_over.rs
@@ -1,21 +1,22 @@
-//! Documents in the store that cannot be read, so that each is told of once.
+//! Tracks documents in the store that cannot be read, so that each failure is reported
+//! only once.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Documents that are remembered at most: who writes more of them gets no line for
-/// each, and takes no more memory (some 300 bytes each).
+/// Maximum number of remembered documents, which bounds memory and log lines.
 const MOST_DOCUMENTS: usize = 256;
-/// Characters of a key or reason that are told at most: both may quote what others
-/// wrote.
+/// Maximum length of a reported key or reason, in characters. Both may quote text written
+/// by others.
 const LONGEST_TEXT: usize = 120;
 
-/// The documents that are passed over now.
+/// Documents that currently cannot be read.
 #[derive(Debug, Default)]
 pub struct PassedOver {
-    /// Records by key, with the reason.
+    /// Reasons by key of the record.
     documents: Mutex<BTreeMap<String, String>>,
-    /// Why the configuration is: apart, so that no number of records hides it.
+    /// Reason for the configuration, kept apart so that many unreadable records cannot
+    /// hide it.
     config: Mutex<Option<String>>,
 }
 
@@ -28,7 +29,7 @@
         self.config.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration cannot be read; true if that is news.
+    /// Records that the configuration cannot be read. Returns whether the reason is new.
     pub fn note_config(&self, reason: &str) -> bool {
         let reason = shortened(reason);
         let mut config = self.config();
@@ -37,13 +38,13 @@
         is_news
     }
 
-    /// The configuration can be read.
+    /// Records that the configuration can be read.
     pub fn forget_config(&self) {
         *self.config() = None;
     }
 
-    /// The document under `key` cannot be read; true if that is news: its writer writes
-    /// it again with each heartbeat.
+    /// Records that the document under `key` cannot be read. Returns whether the reason
+    /// is new; writers repeat an invalid document with each heartbeat.
     pub fn note(&self, key: &str, reason: &str) -> bool {
         let mut documents = self.documents();
         let reason = shortened(reason);
@@ -62,24 +63,24 @@
         }
     }
 
-    /// The document under `key` can be read, or is gone.
+    /// Records that the document under `key` can be read or was removed.
     pub fn forget(&self, key: &str) {
         self.documents().remove(key);
     }
 
-    /// Documents under `prefix` that are not in `present` are gone.
+    /// Forgets the documents under `prefix` for which `present` returns false.
     pub fn keep_listed(&self, prefix: &str, present: impl Fn(&str) -> bool) {
         self.documents()
             .retain(|key, _| !key.starts_with(prefix) || present(key));
     }
 
-    /// How many documents are passed over now, of those that are remembered.
+    /// Returns the number of remembered unreadable documents.
     pub fn count(&self) -> usize {
         self.documents().len() + usize::from(self.config().is_some())
     }
 }
 
-/// As much of a text as one line of a log takes.
+/// Truncates a text to the maximum length for a log line.
 pub fn shortened(text: &str) -> String {
     text.chars().take(LONGEST_TEXT).collect()
 }
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -1,5 +1,5 @@
-//! Which of the other nodes this one reaches: what a node that lends on behalf of a
-//! tenant takes off for nodes that are cut off from it.
+//! Estimates which share of the other nodes is reachable. A node that counts for a tenant
+//! reduces its loans by the share of unreachable nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,25 +17,23 @@
 use crate::node::Engine;
 use crate::peers::AskError;
 
-/// Nodes that are asked: the share that is reached is known to within some 12 of a
-/// hundred, of which half counts, where the users let a tenth of a quota pass.
+/// Number of nodes to probe for the estimate.
 const SAMPLE: usize = 16;
-/// Between two rounds of questions while this node lends.
+/// Interval between two probe rounds.
 const PAUSE: Duration = Duration::from_millis(800);
-/// What nobody has wanted to know for this time is not asked, in milliseconds.
+/// Time after the last query for which probing continues, in milliseconds.
 const WANTED_MS: u64 = 5_000;
-/// A node that said anything over its link within this time is not asked, in
+/// A node that sent anything over its link within this time is not probed, in
 /// milliseconds.
 const HEARD_MS: u64 = 400;
-/// A node that lives answers within this time: a few round trips between regions
-/// (20 ms one way on the users' sites), on a busy machine.
+/// Timeout of a probe: a few round trips between regions.
 const ANSWER_LIMIT: Duration = Duration::from_millis(250);
 
-/// How a node answered.
+/// Result of probing a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Answer {
     Heard,
-    /// Its machine lives, and no process listens there.
+    /// The machine is up but refuses the connection, so the process is gone.
     Gone,
     Silent,
 }
@@ -52,16 +50,16 @@
 
 #[derive(Debug)]
 struct State {
-    /// When this was last wanted; none before the first time.
+    /// Time of the last query, or `None` before the first.
     wanted: Option<Instant>,
-    /// Nodes that are reached, in percent.
+    /// Reachable nodes, in percent.
     percent: u32,
-    /// Nodes that may count for a tenant beside this one: when that was last wanted, and
-    /// how each answered.
+    /// Other nodes that count for a tenant, with the time of the last query and the
+    /// result of the last probe.
     counters: HashMap<SocketAddr, (Instant, Option<Answer>)>,
 }
 
-/// What this node knows of whom it reaches.
+/// Reachability of the other nodes as estimated by this node.
 #[derive(Debug)]
 pub struct PeerReach {
     state: Mutex<State>,
@@ -86,8 +84,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this node reaches, and what it sees of the other node that counts. One that
-    /// was not asked yet is taken to answer: then the least is lent.
+    /// Returns the share of reachable nodes and the state of the other counting node. A
+    /// node that was not probed yet is reported as answering, for which the least is
+    /// lent.
     pub fn known(&self, other_counter: Option<SocketAddr>) -> Reach {
         let now = clock::now();
         let mut state = self.state();
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Counters to ask; none where nobody wants to know.
+    /// Returns the counting nodes to probe, or `None` if there was no recent query.
     fn to_ask(&self) -> Option<Vec<SocketAddr>> {
         let now = clock::now();
         let mut state = self.state();
@@ -139,7 +138,8 @@
     }
 }
 
-/// Asks some nodes whether they live, while this node lends, for the life of the process.
+/// Probes other nodes while their reachability is queried, for the lifetime of the
+/// process.
 pub async fn follow(engine: Arc<Engine>) {
     loop {
         let Some(counters) = engine.peer_reach.to_ask() else {
@@ -155,12 +155,12 @@
 }
 
 async fn measure(engine: &Engine, counters: &[SocketAddr]) {
-    // The same nodes each time: their links are open.
+    // The sample is the same each time, so the links are already open.
     let sample = engine.registry.neighbours("", 0, SAMPLE);
     let asked_counters = join_all(counters.iter().map(|address| ask(engine, *address)));
     let asked_sample = join_all(sample.iter().map(|address| ask(engine, *address)));
     let (of_counters, of_sample) = tokio::join!(asked_counters, asked_sample);
-    // A node whose process is gone uses nothing: it counts as one that is reached.
+    // A node without a process uses no quota and counts as reachable.
     let reached = of_sample
         .iter()
         .filter(|answer| **answer != Answer::Silent)
@@ -170,8 +170,8 @@
     engine.peer_reach.note(percent as u32, answers);
 }
 
-/// How the node at `address` answers: over its link, or over a new connection where that
-/// one is silent.
+/// Probes the node at `address` over its link, or over a new connection if the link is
+/// silent.
 async fn ask(engine: &Engine, address: SocketAddr) -> Answer {
     if engine.owners.answers(address, HEARD_MS, ANSWER_LIMIT).await {
         return Answer::Heard;
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -1,5 +1,5 @@
-//! Admits operations of tenants within their quotas: lends on behalf of the tenants
-//! that this node counts for, and borrows for the callers that it serves.
+//! Enforces tenants' quotas. Counting nodes lend operations from a tenant's budget; every
+//! node borrows operations for the callers that it serves.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,25 +21,24 @@
 use crate::lending::Borrower;
 use crate::node::Engine;
 
-/// A node that counts answers within this time: a few round trips between regions
-/// (20 ms one way on the users' sites), on a busy machine.
+/// Timeout of a loan request to another node: a few round trips between regions.
 const LOAN_LIMIT: Duration = Duration::from_millis(200);
-/// Nodes that may count for a tenant: the first by rendezvous hashing, and the one
-/// that stands in for it.
+/// Number of nodes that may count for a tenant: the first by rendezvous hashing and its
+/// stand-in.
 const COUNTERS: usize = 2;
 
-/// A budget that begins while the nodes have not changed for this time is unspent, in
-/// milliseconds: longer than the window over which the users count (5 s), and than
-/// nodes differ in what they know of each other.
+/// A new budget starts unspent if the set of nodes has not changed for this time, in
+/// milliseconds. It exceeds both the window in which quotas are enforced and the time in
+/// which nodes may disagree about the set of nodes.
 const UNSPENT_MS: u64 = 8_000;
 
-/// Quotas at this node.
+/// Quota state of this node.
 #[derive(Debug, Default)]
 pub struct Quotas {
     borrowers: Mutex<HashMap<TenantName, Arc<Borrower>>>,
-    /// Budgets of tenants that this node counts for, or has stood in for.
+    /// Budgets of the tenants for which this node counts or was a stand-in.
     budgets: Mutex<HashMap<TenantName, Budget>>,
-    /// Budgets of tenants whose counting nodes were not reached.
+    /// Local budgets of the tenants whose counting nodes are unreachable.
     uncounted: Mutex<HashMap<TenantName, Budget>>,
 }
 
@@ -50,8 +49,8 @@
         borrowers.entry(tenant.clone()).or_insert_with(new).clone()
     }
 
-    /// A node that counts was reached: what this one had saved up meanwhile is gone,
-    /// since all nodes would spend theirs at the same moment.
+    /// Drops the local budget of a tenant whose counting node was reached. Otherwise all
+    /// nodes would spend their saved operations at once in the next network partition.
     fn counted(&self, tenant: &TenantName) {
         let mut uncounted = self.uncounted.lock().unwrap_or_else(PoisonError::into_inner);
         uncounted.remove(tenant);
@@ -73,7 +72,7 @@
     budget.lend(quota, wanted, now)
 }
 
-/// Who lent what a node asked for.
+/// Node that answered a loan request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Lender {
     Own,
@@ -97,8 +96,8 @@
         config.tenants.as_ref()?.quotas.get(tenant).copied()
     }
 
-    /// Admits one operation of `user`, or refuses it at once where its tenant is over
-    /// its quota. It waits only for the answer of the node that counts.
+    /// Admits one operation of `user`, or refuses it if the tenant has used up its quota.
+    /// Waits only for the answer of a counting node.
     pub async fn admit(self: &Arc<Self>, user: &ConnectionUser) -> Result<(), Refusal> {
         let Some(tenant) = user.tenant() else {
             return Ok(());
@@ -133,9 +132,9 @@
         admission
     }
 
-    /// Asks for a loan and takes in the answer.
+    /// Requests a loan and applies the answer.
     async fn borrow(self: Arc<Self>, tenant: TenantName, quota: Quota, borrower: Arc<Borrower>) {
-        // Callers that have arrived meanwhile ask for theirs.
+        // Lets callers that arrived in the meantime add to the request.
         tokio::task::yield_now().await;
         let asked = clock::now();
         let wanted = borrower.wanted(asked);
@@ -185,8 +184,9 @@
         )
     }
 
-    /// Lends operations of a tenant's budget, if this node counts for it: as much of it
-    /// as nodes on this node's side of a cut may use.
+    /// Lends operations from a tenant's budget, or returns `None` if this node does not
+    /// count for the tenant or the tenant has no quota. During a network partition the
+    /// loan covers only the share of the nodes on this side.
     pub(crate) fn lend(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let quota = self.quota_of(tenant)?;
         let counters = self.registry.first_for(tenant.as_str(), COUNTERS);
@@ -194,7 +194,7 @@
         let other = counters.iter().find(|counter| !counter.is_self);
         let reach = self.peer_reach.known(other.map(|other| other.address));
         let part = quota.part(f64::from(lent_percent(rank == 0, reach)));
-        // No other node has counted for the tenant since the nodes last changed.
+        // The set of nodes is stable, so no other node has counted for the tenant.
         let beginning = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_MS {
             true => Beginning::Unspent,
             false => Beginning::FirstLoan,
@@ -204,8 +204,8 @@
 }
 
 impl OwnerLink {
-    /// Asks the node at the other end for operations of a tenant; none if it does
-    /// not count for it, or the link is lost.
+    /// Requests operations of a tenant from the node at the other end. Returns `None` if
+    /// that node does not count for the tenant or the link is lost.
     async fn borrow(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let subject = ForwardedSubject::Tenant {
             name: tenant.0.clone(),
--- a/crates/millwind-engine/src/readiness.rs
+++ b/crates/millwind-engine/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers readiness probes, and serves the metrics.
+//! HTTP servers for readiness probes and metrics.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 
 use crate::node::Engine;
 
-/// Answers every probe with 200 while the node takes new callers, else 503.
+/// Serves readiness probes: status 200 while the node accepts new callers, otherwise 503.
 pub async fn serve_probes(listener: TcpListener, engine: Arc<Engine>) {
     let router = Router::new().fallback(probe).with_state(engine);
     serve(listener, router, "readiness").await;
 }
 
-/// Serves the metrics as text.
+/// Serves the metrics as Prometheus text.
 pub async fn serve_metrics(listener: TcpListener, engine: Arc<Engine>) {
     let router = Router::new().fallback(metrics).with_state(engine);
     serve(listener, router, "metrics").await;
--- a/crates/millwind-engine/src/region_terms.rs
+++ b/crates/millwind-engine/src/region_terms.rs
@@ -1,4 +1,4 @@
-//! Tells operators of configured regions under which nothing, or less than meant, runs.
+//! Warns operators of configured regions that exclude all zones or each other.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 use crate::node::Engine;
 
 impl Engine {
-    /// One line for each fault of the configuration in force: regions that no zone has,
-    /// and databases that some tenant can't use since their regions don't overlap.
+    /// Logs a warning for each region in the active configuration that has no zone, and
+    /// one for all databases and tenants whose allowed regions do not overlap.
     pub(crate) fn tell_of_regions(&self) {
         let Some(config) = self.directory.config() else {
             return;
@@ -32,8 +32,8 @@
     }
 }
 
-/// Regions that terms name and that no zone lies in: statements that allow only these
-/// are refused.
+/// Returns the configured regions that have no zone. Statements that allow only such
+/// regions are refused.
 fn unknown_regions(config: &ConfigSnapshot, topology: &Topology) -> BTreeSet<RegionName> {
     let named = config.allowed_regions().filter_map(|regions| match regions {
         AllowedRegions::Any => None,
@@ -43,8 +43,8 @@
     names.cloned().collect()
 }
 
-/// How many pairs of a database and a tenant allow no region in common, with the names
-/// of the first.
+/// Returns the number of database and tenant pairs whose allowed regions do not overlap,
+/// and the names of the alphabetically first such pair.
 fn pairs_without_overlap(config: &ConfigSnapshot) -> (usize, Option<(String, String)>) {
     let mut pairs = 0;
     let mut example = None;
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -1,6 +1,6 @@
-//! A node's part when the term of a group's leader is closed, where promotions
-//! don't fence: it tells the leader to step down or lets its own statements end,
-//! and hands its permit for the term back.
+//! Handles the closing of a leader's term where promotions do not fence the old leader:
+//! asks the leader to step down or lets statements finish, and hands back this node's
+//! lead permit for the term.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,17 +19,16 @@
 use crate::node::Engine;
 use crate::statement::{Command, Envelope, InstanceStatus};
 
-/// Between two looks at statements under way.
+/// Interval between two checks for connections in use.
 const SETTLE_PAUSE: Duration = Duration::from_millis(10);
-/// An instance that answered within this time is told to step down, in
-/// milliseconds: a little more than the time between two health checks.
+/// A leader that answered within this time is asked to step down, in milliseconds. The
+/// time covers slightly more than one health check interval.
 const REACHED_MS: u64 = 1_000;
-/// An instance answers a question of this node's own within this time, in
-/// milliseconds: the order to step down and questions about its position.
+/// Timeout of status requests and orders to step down, in milliseconds.
 const QUESTION_MS: u64 = 300;
 
-/// Hands this node's permit for a closed term back; true if the old leader has
-/// told this node that it leads no longer.
+/// Hands back this node's permit for a closed term. Returns whether the old leader has
+/// confirmed to this node that it stepped down.
 pub async fn hand_back(engine: &Arc<Engine>, closing: &TermClosing) -> bool {
     engine.own_keys.told(closing.record.clone());
     let group = GroupName::from(closing.group.as_str());
@@ -53,8 +52,8 @@
     has_stepped_down
 }
 
-/// Tells the old leader to step down without holding up the answer: a leader
-/// that has gone silent takes its time, and may not be needed.
+/// Asks the old leader to step down without delaying the answer, since a silent leader
+/// would hold up the caller until the timeout.
 fn step_down_in_background(engine: &Arc<Engine>, record: &Arc<InstanceRecord>, term: Term) {
     let Some(mark) = engine.stepping_down.enter(&record.group) else {
         return;
@@ -74,7 +73,7 @@
     last_success.is_some_and(|success| clock::now().millis_since(success) < REACHED_MS)
 }
 
-/// Waits until no connection to the old leader is in use, but not long.
+/// Waits until no connection to the old leader is in use, for at most [`SETTLE_MS`].
 async fn settle(engine: &Engine, record: &InstanceRecord) {
     let limit = clock::now().plus_millis(SETTLE_MS);
     while engine.pool(record).connections_in_use() > 0 && clock::now() < limit {
@@ -82,8 +81,8 @@
     }
 }
 
-/// Tells an instance that it leads no longer if its term is `term` or earlier;
-/// its status once it does not, none if it gave no such answer.
+/// Orders an instance to step down if its term is `term` or earlier. Returns its status
+/// if it no longer leads, or `None` if it did not confirm that.
 pub async fn step_down(engine: &Arc<Engine>, record: &InstanceRecord, term: Term) -> Option<InstanceStatus> {
     let command = Command::StepDown { term: term.0 + 1 };
     let status = ask_status(engine, record, command).await;
@@ -104,7 +103,8 @@
     status
 }
 
-/// An instance's status, after a command that is answered with it.
+/// Sends a command that is answered with the instance's status. Returns the status, or
+/// `None` if the instance did not answer in time.
 pub async fn ask_status(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
@@ -114,8 +114,8 @@
     Some(status)
 }
 
-/// The same with the connection on which it was told: as long as that one is open, so
-/// is the life of the instance that told it.
+/// Like [`ask_status`], but also returns the connection. While that connection stays
+/// open, the instance has not restarted.
 pub async fn ask_status_over(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
--- a/crates/millwind-engine/src/watch_list.rs
+++ b/crates/millwind-engine/src/watch_list.rs
@@ -1,10 +1,8 @@
-//! The groups that this node keeps an eye on.
+//! Cached set of the groups that this node watches.
 //!
-//! A node looks at its groups ten times a second. To ask all groups then whether they are
-//! among them would grow with the groups on every node; the answers change only with the
-//! configuration, the nodes and the group itself. For 1,000 groups before 985 nodes the
-//! answers that follow from the nodes take 0.5 ms of processor time (best of five runs);
-//! while a fleet starts some group changes before each look.
+//! The set is queried several times a second. Evaluating every group each time would cost
+//! time proportional to the number of groups, so only changed groups are evaluated again
+//! unless the configuration or the set of nodes changes.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,19 +13,18 @@
 use crate::clock;
 use crate::node::Engine;
 
-/// All groups are judged anew after this time even if no change was noticed, in
-/// milliseconds: a group that nobody else watches would else stay without a watcher for
-/// good.
+/// Maximum age of the set before all groups are evaluated again, in milliseconds. It
+/// bounds the time for which a missed change could leave a group unwatched.
 const MOST_AGE_MS: u64 = 5_000;
 
-/// What all answers follow from.
+/// Versions of the inputs that affect all groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Inputs {
     config_version: u64,
     nodes_version: u64,
 }
 
-/// The groups that a node watches whether it uses them or not.
+/// Groups that this node watches, whether it uses them or not.
 #[derive(Debug, Default)]
 pub struct WatchList {
     groups: Arc<HashSet<GroupName>>,
@@ -35,7 +32,7 @@
 }
 
 impl WatchList {
-    /// The groups as of now.
+    /// Returns the current set of watched groups.
     pub fn current(&mut self, engine: &Engine) -> Arc<HashSet<GroupName>> {
         let inputs = Inputs {
             config_version: engine.config_version(),
