--- a/crates/millwind-engine/src/logging.rs
+++ b/crates/millwind-engine/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs on standard output: one line of key=value pairs for each event.
+//! Log output on standard output: one line of key=value pairs for each event.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that a slow
-//! reader never blocks a request. What does not fit is dropped, counted, and
-//! told in the next line that does fit.
+//! A bounded queue and a writer thread keep a slow reader from blocking requests. Lines
+//! that do not fit into the queue are dropped and counted, and the count is logged with
+//! the next line written.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,25 +15,25 @@
 
 use crate::clock;
 
-/// Lines that may wait to be written.
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 4_096;
-/// Lines about single requests per second at most.
+/// Maximum number of lines about single requests per second.
 const REQUEST_LINES_PER_SECOND: u64 = 100;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 
-/// Between two looks at what is left to write.
+/// Interval between two checks for unwritten lines.
 const FINISH_TICK: Duration = Duration::from_millis(2);
 
-/// Lines dropped since the start of the process.
+/// Returns the number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Waits at the end of the process until all lines are written, for `limit` at
-/// most: the last ones tell how it stopped.
+/// Waits until all queued lines are written, for at most `limit`. Called before the
+/// process exits so that the reason for the exit is not lost.
 pub fn finish(limit: Duration) {
     let deadline = std::time::Instant::now() + limit;
     while WRITTEN.load(Ordering::Acquire) < QUEUED.load(Ordering::Acquire)
@@ -43,7 +43,8 @@
     }
 }
 
-/// Sends log lines of `level` and above to standard output.
+/// Installs the logger, with `level` for the crates of this workspace and warnings for
+/// all others. Fails if a logger is already installed.
 pub fn start(level: LevelFilter, node: &str) -> Result<(), log::SetLoggerError> {
     let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
     std::thread::spawn(move || write_lines(&receiver));
@@ -101,8 +102,8 @@
     }
 }
 
-/// Limits the lines of one kind; the rest are counted and told with the next line that
-/// passes in a later second.
+/// Rate limit for one kind of log line. Suppressed lines are counted, and the count is
+/// logged with the first line of a later second.
 #[derive(Debug)]
 pub struct LineLimit {
     subject: &'static str,
@@ -118,7 +119,7 @@
 }
 
 impl LineLimit {
-    /// At most `lines_per_second` lines about `subject`.
+    /// Creates a limit of `lines_per_second` lines about `subject`.
     pub const fn new(subject: &'static str, lines_per_second: u64) -> Self {
         let state = LineLimitState {
             second: Instant(0),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Whether one more line may be written now.
+    /// Returns whether one more line may be written now.
     pub fn admit(&self) -> bool {
         let now = clock::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -157,7 +158,7 @@
     }
 }
 
-/// Limits the lines about single requests.
+/// Sampling and rate limit for log lines about single requests.
 #[derive(Debug)]
 pub struct RequestLog {
     limit: LineLimit,
@@ -174,12 +175,12 @@
 }
 
 impl RequestLog {
-    /// Whether one of `sample` lines of a kind should be written.
+    /// Returns true for one of every `sample` calls.
     pub fn is_sampled(&self, sample: u64) -> bool {
         sample <= 1 || (self.seen.fetch_add(1, Ordering::Relaxed) + 1).is_multiple_of(sample)
     }
 
-    /// Whether one more line may be written now.
+    /// Returns whether one more line may be written now.
     pub fn admit(&self) -> bool {
         self.limit.admit()
     }
--- a/crates/millwind-engine/src/metrics.rs
+++ b/crates/millwind-engine/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a node, as Prometheus text.
+//! Prometheus metrics of a node.
 
 use millwind_core::ids::InstanceName;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -14,7 +14,7 @@
 pub struct AnswerLabels {
     /// Kind of statement.
     pub statement: &'static str,
-    /// How it ended.
+    /// Outcome of the statement.
     pub outcome: &'static str,
 }
 
@@ -28,37 +28,37 @@
 /// Labels of a call to the store or the promotion service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// What was called.
+    /// Name of the called operation.
     pub call: &'static str,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: &'static str,
 }
 
-/// Calls to the store and the promotion service by what was called and how it
-/// ended; copies share their counts.
+/// Counters of calls to the store and the promotion service, by operation and outcome.
+/// Clones share their counters.
 #[derive(Debug, Clone, Default)]
 pub struct CallCounts(Family<CallLabels, Counter>);
 
 impl CallCounts {
-    /// Counts a call that has ended.
+    /// Counts a completed call.
     pub fn count(&self, call: &'static str, outcome: &'static str) {
         self.0.get_or_create(&CallLabels { call, outcome }).inc();
     }
 }
 
-/// Labels of what is told by instance.
+/// Labels of a metric by instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct InstanceLabels {
-    /// Its name.
+    /// Name of the instance.
     pub instance: String,
 }
 
-/// A count by instance.
+/// A counter by instance.
 #[derive(Debug, Clone, Default)]
 pub struct InstanceCounts(Family<InstanceLabels, Counter>);
 
 impl InstanceCounts {
-    /// Counts one for an instance.
+    /// Increments the counter of an instance.
     pub fn count(&self, instance: &InstanceName) {
         let labels = InstanceLabels {
             instance: instance.0.clone(),
@@ -75,56 +75,56 @@
     latency: Family<StatementLabels, Histogram>,
     /// Calls to the store and the promotion service.
     pub calls: CallCounts,
-    /// Reads tried on a second instance at the same time.
+    /// Reads sent to a second instance as a hedge.
     pub hedged: Counter,
-    /// Transactions ended from this side.
+    /// Transactions ended by this node.
     pub transactions_abandoned: Counter,
     /// Promotions ordered.
     pub promotions: Counter,
-    /// Hand-overs begun since customers' terms exclude the leader's region.
+    /// Hand-overs started because customers' terms exclude the leader's region.
     pub lead_relocations: Counter,
-    /// Leaders that were told to step down and did.
+    /// Leaders that stepped down on request.
     pub step_downs: Counter,
-    /// Promotions that waited until permits had run out.
+    /// Promotions that waited until lead permits expired.
     pub permits_waited_out: Counter,
-    /// Answers that did not count, since another instance may have led.
+    /// Leader answers discarded because another instance may have been promoted.
     pub answers_without_permit: Counter,
     /// Sessions opened.
     pub sessions: Counter,
-    /// Groups of which this node has asked itself whether it keeps an eye on them.
+    /// Groups evaluated for whether this node watches them.
     pub groups_judged: Counter,
-    /// Comparisons of the catalog with another node that were answered.
+    /// Catalog comparisons that a peer answered.
     pub catalog_comparisons: Counter,
-    /// Documents that other nodes sent in them.
+    /// Documents received from peers in catalog comparisons.
     pub catalog_documents: Counter,
-    /// Time from when some node first read a configuration from the store to when
-    /// this node put it in force, in seconds.
+    /// Time from the first read of a configuration by any node until it takes effect on
+    /// this node, in seconds.
     pub config_age: Histogram,
-    /// Statements passed on to other nodes.
+    /// Statements forwarded to other nodes.
     pub forwarded_out: Counter,
-    /// Statements run for other nodes.
+    /// Statements run on behalf of other nodes.
     pub forwarded_in: Counter,
-    /// Operations refused since their tenant was over its quota.
+    /// Operations refused because a tenant exceeded its quota.
     pub quota_refusals: Counter,
-    /// Documents in the store that cannot be read, each counted once a change.
+    /// Documents in the store that cannot be read, counted once per change.
     pub records_passed_over: Counter,
-    /// Instances that were seen to begin anew under their names.
+    /// Instances that restarted under the same name.
     pub lives_begun: Counter,
-    /// Loans that were asked for on behalf of tenants' callers.
+    /// Quota loans requested on behalf of tenants.
     pub quota_loans: Counter,
-    /// Instances that are cold.
+    /// Current number of cold instances.
     pub cold_instances: Gauge,
-    /// Statements that were given a place at a cold instance.
+    /// Statements sent to an instance while it was cold.
     pub cold_arrivals: InstanceCounts,
-    /// Statements that found no place at one.
+    /// Statements refused because a cold instance had reached its limit.
     pub cold_refusals: InstanceCounts,
-    /// Zones that are being evacuated, as this node knows.
+    /// Zones known to be under evacuation.
     pub evacuated_zones: Gauge,
-    /// Instances of such zones that this node still holds connections to in use.
+    /// Instances in evacuated zones to which this node has connections in use.
     pub evacuated_instances_in_use: Gauge,
-    /// Groups whose believed leader stands in such a zone.
+    /// Groups whose presumed leader is in an evacuated zone.
     pub evacuated_leaders: Gauge,
-    /// Transactions ended since their instance's zone is being evacuated.
+    /// Transactions ended because the zone of their instance is being evacuated.
     pub evacuated_transactions: Counter,
 }
 
@@ -149,7 +149,7 @@
             groups_judged: Counter::default(),
             catalog_comparisons: Counter::default(),
             catalog_documents: Counter::default(),
-            // From 10 ms to 20 s.
+            // Buckets from 10 ms to 20 s.
             config_age: Histogram::new(exponential_buckets(0.01, 2.0, 12)),
             forwarded_out: Counter::default(),
             forwarded_in: Counter::default(),
@@ -299,7 +299,7 @@
 }
 
 impl Metrics {
-    /// Counts an answered statement.
+    /// Records an answered statement and its latency.
     pub fn answered(&self, statement: &'static str, outcome: &'static str, micros: u64) {
         self.answers
             .get_or_create(&AnswerLabels { statement, outcome })
@@ -309,7 +309,7 @@
             .observe(micros as f64 / 1_000_000.0);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/millwind-engine/src/ports.rs
+++ b/crates/millwind-engine/src/ports.rs
@@ -1,5 +1,5 @@
-//! What an adapter implements: the protocols towards callers and back ends,
-//! and the service that promotes replicas. The store is a port of its own, in
+//! Interfaces implemented by an adapter: the protocols spoken with callers and back ends,
+//! the catalog documents, and the promotion service. The store interface is in
 //! `millwind-store`.
 
 use std::time::Duration;
@@ -14,27 +14,28 @@
 use crate::catalog::{ConfigSnapshot, InstanceRecord};
 use crate::statement::{BackEndMessage, CallerMessage, Envelope, InstanceStatus, Reply, TransactionState};
 
-/// Bytes that are no message of the protocol.
+/// Error for input that violates the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CodecError {
-    /// A message over the protocol's limit.
+    /// The message exceeds the protocol's limit.
     #[error("message is longer than {limit} bytes")]
     TooLong {
         /// Limit in bytes.
         limit: usize,
     },
-    /// Anything else.
+    /// The message is invalid for another reason.
     #[error("malformed message: {0}")]
     Malformed(&'static str),
 }
 
 /// The protocol spoken with callers.
 pub trait CallerCodec: Send + Sync + 'static {
-    /// Takes the next whole message out of `input`, if there is one.
+    /// Removes the next complete message from `input`. Returns `None` if more input is
+    /// needed, and fails if the input is invalid.
     fn decode(&self, input: &mut BytesMut) -> Result<Option<CallerMessage>, CodecError>;
-    /// Appends the answer to a startup that succeeded.
+    /// Appends the answer to a successful startup.
     fn encode_welcome(&self, output: &mut BytesMut);
-    /// Appends a whole answer to a statement.
+    /// Appends the complete answer to a statement.
     fn encode_answer(&self, output: &mut BytesMut, answer: &Answer, state: TransactionState);
     /// Appends an error after which the connection is closed.
     fn encode_farewell(&self, output: &mut BytesMut, answer: &Answer);
@@ -42,7 +43,7 @@
 
 /// The protocol spoken with back ends.
 pub trait BackEndCodec: Send + Sync + 'static {
-    /// Appends the opening of a connection to `instance` of `group` on behalf of
+    /// Appends the startup message of a connection to `instance` of `group` on behalf of
     /// `user`.
     fn encode_startup(
         &self,
@@ -53,27 +54,29 @@
     );
     /// Appends a command.
     fn encode(&self, output: &mut BytesMut, envelope: &Envelope<'_>);
-    /// Takes the next whole message out of `input`, if there is one.
+    /// Removes the next complete message from `input`. Returns `None` if more input is
+    /// needed, and fails if the input is invalid.
     fn decode(&self, input: &mut BytesMut) -> Result<Option<BackEndMessage>, CodecError>;
-    /// Reads the answer to [`crate::statement::Command::Status`].
+    /// Parses the answer to [`crate::statement::Command::Status`], or returns `None` if
+    /// it is not a status.
     fn read_status(&self, reply: &Reply) -> Option<InstanceStatus>;
 }
 
-/// What the promotion service answered.
+/// Answer of the promotion service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromotionAnswer {
-    /// The order was taken, or the instance leads already.
+    /// The order was accepted, or the instance is already the leader.
     Accepted,
-    /// The fencing token is old, or the instance is not running.
+    /// The fencing token is outdated, or the instance is not running.
     Rejected,
-    /// Too many calls; nothing was done.
+    /// The service rejected the call because of its rate limit; nothing was done.
     Throttled,
-    /// No answer: the order may still be carried out.
+    /// No answer was received; the order may still be carried out.
     Unknown,
 }
 
 impl PromotionAnswer {
-    /// The name in metrics.
+    /// Returns the name used in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             PromotionAnswer::Accepted => "ok",
@@ -87,60 +90,61 @@
 /// An order to promote a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromotionOrder {
-    /// The group.
+    /// Group whose leader is replaced.
     pub group: GroupName,
-    /// The replica that takes over.
+    /// Replica that becomes the leader.
     pub instance: InstanceName,
-    /// Name of the node that holds the duty.
+    /// Name of the node that holds the promotion duty.
     pub holder: String,
-    /// Fencing token; rises when the holder changes.
+    /// Fencing token; increases when the holder changes.
     pub fencing_token: u64,
 }
 
-/// The service that promotes replicas.
+/// Client of the service that promotes replicas.
 pub trait Promoter: Send + Sync + 'static {
-    /// Orders a promotion, and waits for the answer at most `limit`.
+    /// Orders a promotion and waits up to `limit` for the answer.
     fn promote(&self, order: PromotionOrder, limit: Duration) -> BoxFuture<'_, PromotionAnswer>;
 }
 
-/// Where the operators' configuration and the instances' own records lie in
-/// the store, and how they are read.
+/// Key layout of the store, and decoders for the operators' configuration and the
+/// instances' records.
 pub trait CatalogCodec: Send + Sync + 'static {
-    /// Prefix of all that operators write: the configuration and the requests to
-    /// evacuate zones, which are watched together.
+    /// Returns the prefix of all keys that operators write: the configuration and the
+    /// zone evacuation requests, which are watched together.
     fn operators_prefix(&self) -> &str;
-    /// Key of the operators' configuration.
+    /// Returns the key of the operators' configuration.
     fn config_key(&self) -> &str;
-    /// Prefix of the instances' records.
+    /// Returns the prefix of the instances' records.
     fn instances_prefix(&self) -> &str;
-    /// Prefix of the operators' requests to evacuate a zone.
+    /// Returns the prefix of the operators' zone evacuation requests.
     fn evacuations_prefix(&self) -> &str;
-    /// The zone that the request under `key` asks to evacuate, whatever its value; none for a key
-    /// that names no zone.
+    /// Returns the zone that the request under `key` evacuates, whatever its value, or
+    /// `None` if the key names no zone.
     fn read_evacuation(&self, key: &str) -> Option<ZoneName>;
-    /// Prefix under which the system keeps its own keys.
+    /// Returns the prefix of the system's own keys.
     fn own_prefix(&self) -> &str;
-    /// Reads a configuration.
+    /// Decodes a configuration. Fails if the document is invalid.
     fn read_config(&self, value: &[u8]) -> Result<ConfigSnapshot, CatalogError>;
-    /// The instance that `key` stands for; none where it names none.
+    /// Returns the instance that `key` belongs to, or `None` if the key names no
+    /// instance.
     fn instance_name(&self, key: &str) -> Option<InstanceName>;
-    /// Reads the record of the instance named by `key`. Anybody may have written it: what
-    /// is not wholly of the expected form is an error.
+    /// Decodes the record of the instance named by `key`. Records are untrusted: anything
+    /// that deviates from the expected form is an error.
     fn read_instance(&self, key: &str, value: &[u8]) -> Result<InstanceRecord, CatalogError>;
 }
 
-/// A stored document that cannot be read.
+/// Error for a stored document that cannot be decoded.
 #[derive(Debug, Error)]
 pub enum CatalogError {
-    /// It is no document of the expected form.
+    /// The document does not have the expected form.
     #[error("{what}: {detail}")]
     Malformed {
-        /// Which document.
+        /// Kind of document.
         what: &'static str,
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
-    /// A tenant that follows from it is out of range.
+    /// A tenant derived from the document is invalid.
     #[error("tenant: {0}")]
     Tenant(#[from] millwind_core::tenant::TenantError),
 }
--- a/crates/millwind-engine/src/settings.rs
+++ b/crates/millwind-engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings of an engine node.
+//! Settings of an engine node and their validation.
 
 use std::net::SocketAddr;
 
@@ -7,77 +7,78 @@
 use millwind_core::warm_up::WarmUpTolerance;
 use thiserror::Error;
 
-/// Settings of a node, from whatever file the adapter read them.
+/// Settings of a node, independent of the file format that the adapter reads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSettings {
-    /// Name, unique over the deployment.
+    /// Name of the node, unique within the deployment.
     pub name: String,
-    /// Zone it runs in.
+    /// Zone the node runs in.
     pub zone: String,
-    /// Listener for callers.
+    /// Listen address for callers.
     pub client_address: SocketAddr,
-    /// Listener for readiness probes.
+    /// Listen address for readiness probes.
     pub ready_address: SocketAddr,
-    /// Listener for metrics.
+    /// Listen address for metrics.
     pub metrics_address: SocketAddr,
-    /// Listener for other nodes.
+    /// Listen address for other nodes.
     pub peer_address: SocketAddr,
-    /// Peer addresses to ask first; may be stale.
+    /// Addresses of peers to contact while no other node is known; may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// The deployment starts for the first time, with all its nodes.
+    /// Whether the whole deployment is starting for the first time.
     pub is_first_start: bool,
     /// Interval of the instances' heartbeats in the store, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Longest time a planned stop may take, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub grace_ms: u64,
-    /// Callers accepted at the same time.
+    /// Maximum number of concurrent callers.
     pub maximum_clients: usize,
-    /// Two holders of the promotion duty must not act within this time of
-    /// each other, in milliseconds; zero where fencing alone decides.
+    /// Minimum time between actions of two different holders of the promotion duty, in
+    /// milliseconds; zero if fencing alone separates them.
     pub duty_lease_ms: u64,
-    /// A promotion takes the lead from the old leader at that moment, and an
-    /// order under an old token is refused. Where it does not, nodes stop
-    /// counting on the old leader before a promotion is ordered.
+    /// Whether a promotion immediately fences the old leader, and orders with an outdated
+    /// token are refused. If not, nodes give up their lead permits before a promotion is
+    /// ordered.
     pub promotion_fences: bool,
-    /// An instance that announced its end must get nothing new after this
-    /// time, in milliseconds.
+    /// Time after which an instance that announced its shutdown must receive nothing new,
+    /// in milliseconds.
     pub drain_bound_ms: u64,
-    /// A configuration must be in force everywhere within this time after the
-    /// operators were told that it is accepted, in milliseconds.
+    /// Time after the acceptance of a configuration within which it must be in force on
+    /// all nodes, in milliseconds.
     pub config_bound_ms: u64,
-    /// Regions of the deployment's zones, this node's own among them.
+    /// Regions of the deployment's zones, including this node's zone.
     pub topology: Topology,
-    /// What the machine's link carries, in Mbit/s; zero where it is not told.
+    /// Link bandwidth of the machine in Mbit/s, or zero if unknown.
     pub link_mbps: u32,
-    /// The lead of a group is handed over to another region where customers' terms
-    /// exclude the one that it stands in; else statements that need it are refused.
+    /// Whether the lead of a group moves to another region if customers' terms exclude
+    /// the region of its leader. If not, statements that need the leader are refused.
     pub relocates_leads: bool,
-    /// Nothing new reaches an instance of a zone so long after the operators were
-    /// told that its evacuation is accepted, in milliseconds.
+    /// Time after the acceptance of a zone evacuation within which the zone's instances
+    /// must stop receiving new work, in milliseconds.
     pub evacuation_bound_ms: u64,
-    /// Statements that cold instances are let have beyond their group's terms.
+    /// Number of statements allowed to cold instances beyond the configured limits.
     pub warm_up_tolerance: WarmUpTolerance,
 }
 
-/// Why settings are refused.
+/// Error for an invalid setting.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{field} is {value}, must be {allowed}")]
 pub struct SettingsError {
-    /// Field at fault.
+    /// Name of the setting.
     pub field: &'static str,
-    /// Its value.
+    /// Invalid value.
     pub value: String,
-    /// What is allowed.
+    /// Description of the valid values.
     pub allowed: &'static str,
 }
 
 impl EngineSettings {
-    /// Region of this node; none where its zone is not among those of the settings.
+    /// Returns the region of this node, or `None` if the topology does not contain its
+    /// zone.
     pub fn region(&self) -> Option<&RegionName> {
         self.topology.region_of(&ZoneName::from(self.zone.as_str()))
     }
 
-    /// Checks every field against its range.
+    /// Validates the ranges of the settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_text("name", &self.name)?;
         check_text("zone", &self.zone)?;
--- a/crates/millwind-engine/src/statement.rs
+++ b/crates/millwind-engine/src/statement.rs
@@ -1,134 +1,133 @@
-//! Statements in the engine's own terms, whatever protocol carried them.
+//! Protocol-independent statements, commands and answers.
 
 use millwind_core::credential::KeyDigest;
 use millwind_core::position::Position;
 use millwind_core::session_state::{Access, PreparedStatement};
 
-/// What a caller asks for.
+/// Statement sent by a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
     /// Begins a transaction.
     Begin {
-        /// The transaction promises not to write.
+        /// Whether the transaction is read-only.
         read_only: bool,
     },
     /// Commits the open transaction.
     Commit,
-    /// Rolls the open transaction back.
+    /// Rolls back the open transaction.
     Rollback,
-    /// A statement passed on as it is.
+    /// Runs a statement whose text is passed on unchanged.
     Run {
-        /// Whether it changes data.
+        /// Whether the statement changes data.
         access: Access,
     },
-    /// Sets a session value.
+    /// Sets a session variable.
     Set {
-        /// Name of the value.
+        /// Name of the variable.
         name: String,
-        /// The value.
+        /// Value of the variable.
         value: String,
     },
     /// Prepares a statement.
     Prepare {
-        /// The caller's name for it.
+        /// Name chosen by the caller.
         name: String,
-        /// What it does.
+        /// Text and access of the statement.
         statement: PreparedStatement,
     },
     /// Executes a prepared statement.
     Execute {
-        /// The caller's name for it.
+        /// Name chosen by the caller.
         name: String,
-        /// Its arguments, passed on unchanged.
+        /// Arguments, passed on unchanged.
         arguments: String,
     },
-    /// Forgets a prepared statement.
+    /// Deallocates a prepared statement.
     Deallocate {
-        /// The caller's name for it.
+        /// Name chosen by the caller.
         name: String,
     },
 }
 
-/// A caller's statement with its id and its unchanged text.
+/// A caller's statement with its id and unchanged text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The caller's id of the statement.
+    /// Id of the statement, assigned by the caller.
     pub id: String,
-    /// The text as the caller sent it.
+    /// Text as sent by the caller.
     pub text: String,
-    /// What it means; none when it cannot be read.
+    /// Parsed statement, or `None` if the text cannot be parsed.
     pub statement: Option<Statement>,
 }
 
-/// What a caller sends.
+/// Message from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerMessage {
     /// Opens a session on a database.
     Startup {
         /// Name of the database.
         database: String,
-        /// Digest of the key by which the caller shows who it is; none if what it
-        /// sent is no key.
+        /// Digest of the caller's API key, or `None` if the caller sent no valid key.
         key: Option<KeyDigest>,
     },
-    /// A statement.
+    /// Runs a statement.
     Request(Request),
-    /// The end of the session.
+    /// Ends the session.
     Terminate,
 }
 
-/// Where a session or a back-end connection stands.
+/// Transaction state of a session or back-end connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum TransactionState {
-    /// Outside of a transaction.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// Inside one.
+    /// A transaction is open.
     Open,
-    /// Inside one that failed and can only be ended.
+    /// The open transaction has failed and can only be ended.
     Failed,
 }
 
-/// What is sent to a back end.
+/// Command sent to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command<'a> {
     /// Begins a transaction.
     Begin {
-        /// It may then run on a replica.
+        /// Whether the transaction is read-only and may run on a replica.
         read_only: bool,
     },
-    /// Rolls back.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Drops all values and prepared statements of the connection.
+    /// Discards all session variables and prepared statements of the connection.
     Reset,
-    /// Sets a value.
+    /// Sets a session variable.
     Set {
-        /// Name of the value.
+        /// Name of the variable.
         name: &'a str,
-        /// The value.
+        /// Value of the variable.
         value: &'a str,
     },
     /// Prepares a statement under its shared name.
     Prepare(&'a PreparedStatement),
-    /// A caller's text, unchanged.
+    /// Runs a caller's statement text, unchanged.
     Text(&'a str),
     /// Executes a prepared statement with a caller's arguments.
     Execute {
-        /// The statement.
+        /// Statement to execute.
         statement: &'a PreparedStatement,
-        /// The arguments, unchanged.
+        /// Arguments, passed on unchanged.
         arguments: &'a str,
     },
-    /// Asks for role, term and position.
+    /// Requests role, term and log position.
     Status,
-    /// Stops a replica from receiving, ahead of a promotion to `term`.
+    /// Stops a replica from receiving the log, ahead of a promotion.
     Pause {
-        /// Term above the newest.
+        /// Term of the promotion, above all earlier terms.
         term: u64,
     },
-    /// Lets a paused replica receive again.
+    /// Lets a paused replica receive the log again.
     Resume,
-    /// Makes a leader of an earlier term a replica.
+    /// Demotes a leader of an earlier term to a replica.
     StepDown {
         /// Term above the leader's.
         term: u64,
@@ -138,16 +137,16 @@
 /// A command with its envelope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// The caller's id, or none for the engine's own statements.
+    /// Id of the caller's statement, or `None` for the engine's own commands.
     pub id: Option<&'a str>,
-    /// The position that the instance's log must hold.
+    /// Position that the instance's log must have reached.
     pub since: Option<Position>,
-    /// What to do.
+    /// Command to run.
     pub command: Command<'a>,
 }
 
 impl<'a> Envelope<'a> {
-    /// A statement of the engine's own, without a caller's id.
+    /// Creates an envelope for a command of the engine itself.
     pub const fn own(command: Command<'a>) -> Self {
         Envelope {
             id: None,
@@ -157,31 +156,31 @@
     }
 }
 
-/// Why a back end did not do what it was asked.
+/// Reason why a back end failed to run a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum BackEndErrorKind {
-    /// All its slots are taken; not run.
+    /// All execution slots are in use; the statement was not run.
     Busy,
-    /// Its log lacks the asked position; not run.
+    /// The log has not reached the required position; the statement was not run.
     Behind,
-    /// It does not lead; not run.
+    /// The instance is not the leader; the statement was not run.
     ReadOnly,
-    /// It is not the instance that was asked for; not run.
+    /// The connection reached another instance than requested; the statement was not run.
     WrongInstance,
-    /// It takes no more connections; not run.
+    /// The instance accepts no more connections; the statement was not run.
     TooManyConnections,
-    /// It does not know the prepared statement; not run.
+    /// The prepared statement is unknown; the statement was not run.
     UnknownStatement,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It ran for too long.
+    /// The statement exceeded its time limit.
     TimedOut,
-    /// Anything else.
+    /// Any other error.
     Other,
 }
 
 impl BackEndErrorKind {
-    /// Whether the statement has certainly not run.
+    /// Returns whether the statement was certainly not run.
     pub const fn is_not_run(self) -> bool {
         !matches!(
             self,
@@ -189,7 +188,7 @@
         )
     }
 
-    /// The name in logs.
+    /// Returns the name used in log lines.
     pub const fn name(self) -> &'static str {
         match self {
             BackEndErrorKind::Busy => "busy",
@@ -205,55 +204,55 @@
     }
 }
 
-/// An error as the back end told it; passed on to the caller unchanged.
+/// Error reported by a back end, passed on to the caller unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackEndError {
-    /// What it means.
+    /// Classification of the error.
     pub kind: BackEndErrorKind,
-    /// Its code in the back end's words.
+    /// Error code as sent by the back end.
     pub code: String,
-    /// Its text.
+    /// Error text as sent by the back end.
     pub text: String,
 }
 
-/// One message of a back end.
+/// Message from a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackEndMessage {
-    /// A row.
+    /// A result row.
     Row(String),
-    /// The statement's success, with the instance's signature.
+    /// Success of the statement, with the instance's signature.
     Complete(String),
-    /// The statement's failure.
+    /// Failure of the statement.
     Error(BackEndError),
-    /// The end of an answer.
+    /// End of the answer.
     Ready {
-        /// Where the connection stands.
+        /// Transaction state of the connection.
         state: TransactionState,
-        /// Position of the instance's log.
+        /// Log position of the instance.
         position: Option<Position>,
     },
 }
 
-/// A back end's whole answer to one command.
+/// Complete answer of a back end to one command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Rows, unchanged.
+    /// Result rows, unchanged.
     pub rows: Vec<String>,
-    /// The signature of a success, or the error.
+    /// Signature of the instance on success, otherwise the error.
     pub result: Result<String, BackEndError>,
-    /// Where the connection stands.
+    /// Transaction state of the connection.
     pub state: TransactionState,
-    /// Position of the instance's log.
+    /// Log position of the instance.
     pub position: Option<Position>,
 }
 
-/// What an instance tells of itself.
+/// Status reported by an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// Whether it leads.
+    /// Whether the instance is the leader.
     pub is_leader: bool,
-    /// Its term.
+    /// Current term of the instance.
     pub term: u64,
-    /// What its log has received.
+    /// Position up to which the instance has received the log.
     pub received: Position,
 }
