--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -28,12 +28,12 @@
 use crate::logging::RequestLog;
 use crate::metrics::Metrics;
 use crate::own_keys::OwnKeys;
-use crate::passed_over::PassedOver;
+use crate::passed_over::UnreadableDocuments;
 use crate::peer_reach::{self, PeerReach};
 use crate::peers::{self, Exchange, PeerClient};
 use crate::ports::{BackEndCodec, CallerCodec, CatalogCodec, Promoter};
 use crate::quota::Quotas;
-use crate::registration::{Unreached, keep_registered, mark_gone};
+use crate::registration::{UnreachablePeers, keep_registered, mark_unreachable};
 use crate::registry::{Departure, NodeRecord, Registry};
 use crate::relays::Relays;
 use crate::settings::{EngineSettings, SettingsError};
@@ -43,43 +43,43 @@
 /// Hedged reads allowed per hundred reads.
 const HEDGE_PERCENT: u32 = 10;
 /// Maximum number of hedged reads saved in the budget.
-const HEDGE_CEILING: u32 = 20;
+const HEDGE_BUDGET_MAX: u32 = 20;
 /// Interval between two batches of changed instance records.
-const INSTANCES_PACE: Duration = Duration::from_millis(1_000);
+const INSTANCE_BATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Interval between batches when many nodes share what they read, in percent of the time
 /// after which a draining instance must receive nothing new. [`MAX_SHARED_INTERVAL_MS`]
 /// limits the result.
-const SHARED_PACE_PERCENT: u64 = 40;
-const MOST_SHARED_PACE_MS: u64 = 4_000;
+const SHARED_INTERVAL_PERCENT: u64 = 40;
+const MAX_SHARED_INTERVAL_MS: u64 = 4_000;
 /// Interval between batches while a group's leader is uncertain.
-const URGENT_PACE: Duration = Duration::from_millis(300);
+const URGENT_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval between two housekeeping runs.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 /// Percentage of the grace period after which open transactions are ended.
 const TRANSACTION_GRACE_PERCENT: u64 = 45;
 /// Percentage of the grace period after which sessions that are never idle are closed.
 const BUSY_GRACE_PERCENT: u64 = 60;
 /// Percentage of the grace period after which the process exits in any case.
-const LAST_GRACE_PERCENT: u64 = 85;
+const EXIT_GRACE_PERCENT: u64 = 85;
 /// Time before the exit of a stopping node by which statements must be answered, in
 /// milliseconds, so that the answers can still be sent.
-const LAST_ANSWER_MARGIN_MS: u64 = 150;
+const EXIT_ANSWER_MARGIN_MS: u64 = 150;
 /// Minimum time before sessions are closed, so that load balancers see two failed probes
 /// first.
-const PROBES_NOTICE: Duration = Duration::from_millis(2_200);
+const PROBE_FAILURE_DELAY: Duration = Duration::from_millis(2_200);
 /// Maximum time that a stopping node waits for the store to accept its departure, in
 /// milliseconds.
-const SIGN_OFF_MS: u64 = 300;
+const DEPARTURE_TIMEOUT_MS: u64 = 300;
 /// Interval between two checks for the accepted departure.
-const SIGN_OFF_PAUSE: Duration = Duration::from_millis(10);
+const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Delay before the first read of the store when a deployment starts for the first time,
 /// so that each node finds the records of the others.
-const FIRST_START_SETTLE: Duration = Duration::from_millis(1_000);
+const FIRST_START_DELAY: Duration = Duration::from_millis(1_000);
 /// Time after [`FIRST_START_DELAY`] for listing the nodes before the catalog is read, so
 /// that most nodes know the relays by then.
-const FIRST_START_LISTING: Duration = Duration::from_millis(300);
+const FIRST_START_LISTING_TIME: Duration = Duration::from_millis(300);
 /// Safety margin subtracted from the time in which a draining leader is still used.
-const LEAVING_MARGIN_MS: u64 = 1_500;
+const DRAIN_MARGIN_MS: u64 = 1_500;
 
 /// Life-cycle phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +113,7 @@
     /// Catalog documents to share with peers.
     pub catalog_cache: CatalogCache,
     /// Documents in the store that cannot be read.
-    pub passed_over: PassedOver,
+    pub passed_over: UnreadableDocuments,
     /// Documents under the system's own prefix in the store.
     pub own_keys: Arc<OwnKeys>,
     /// The nodes that read the store on behalf of others.
@@ -125,7 +125,7 @@
     /// How this node leaves the deployment, once a stop has begun.
     pub departure: watch::Sender<Option<Departure>>,
     /// Peers that did not answer catalog comparisons.
-    pub unreached: Unreached,
+    pub unreached: UnreachablePeers,
     /// Groups whose old leader this node is asking to step down.
     pub stepping_down: Arc<GroupMarks>,
     /// The nodes that own connections to instances.
@@ -237,7 +237,7 @@
     /// Returns whether a leader accepts new work. A draining leader does until shortly
     /// before its drain bound, so that another can take over.
     pub fn takes_new_work(&self, known: &Known) -> bool {
-        let bound = self.settings.drain_bound_ms.saturating_sub(LEAVING_MARGIN_MS);
+        let bound = self.settings.drain_bound_ms.saturating_sub(DRAIN_MARGIN_MS);
         known
             .leaving_since
             .is_none_or(|since| clock::now().millis_since(since) < bound)
@@ -251,26 +251,26 @@
             groups.any(|group| !self.is_ample(group))
         });
         if !is_shared {
-            return tokio::time::sleep(INSTANCES_PACE).await;
+            return tokio::time::sleep(INSTANCE_BATCH_INTERVAL).await;
         }
         let has_relays = !self.relays.to_ask(&self.registry).is_empty();
-        let pace = match has_relays {
+        let interval = match has_relays {
             true => Duration::from_millis(self.relays.times().pace_ms),
-            false => self.shared_pace(),
+            false => self.shared_interval(),
         };
-        tokio::time::sleep(URGENT_PACE).await;
+        tokio::time::sleep(URGENT_INTERVAL).await;
         if self.relays.are_news_urgent(&self.directory) {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(pace.saturating_sub(URGENT_PACE)) => {}
+            () = tokio::time::sleep(interval.saturating_sub(URGENT_INTERVAL)) => {}
             () = self.leader_doubted.notified() => {}
         }
     }
 
-    fn shared_pace(&self) -> Duration {
-        let part = self.settings.drain_bound_ms * SHARED_PACE_PERCENT / 100;
-        Duration::from_millis(part.min(MOST_SHARED_PACE_MS))
+    fn shared_interval(&self) -> Duration {
+        let part = self.settings.drain_bound_ms * SHARED_INTERVAL_PERCENT / 100;
+        Duration::from_millis(part.min(MAX_SHARED_INTERVAL_MS))
     }
 
     /// Shortens the current wait of [`Engine::rest_from_instances`], because a group's
@@ -296,25 +296,25 @@
         let Phase::Stopping(since) = *self.phase.borrow() else {
             return deadline;
         };
-        let process_ms = self.settings.grace_ms * LAST_GRACE_PERCENT / 100;
-        deadline.min(since.plus_millis(process_ms.saturating_sub(LAST_ANSWER_MARGIN_MS)))
+        let exit_after_ms = self.settings.grace_ms * EXIT_GRACE_PERCENT / 100;
+        deadline.min(since.plus_millis(exit_after_ms.saturating_sub(EXIT_ANSWER_MARGIN_MS)))
     }
 
     /// Waits until an idle session may be closed by a planned stop; never returns while
     /// no stop is in progress.
-    pub async fn may_close_session(&self, is_in_transaction: bool, resting: Duration) {
+    pub async fn may_close_session(&self, is_in_transaction: bool, idle_time: Duration) {
         let Phase::Stopping(since) = *self.phase.borrow() else {
             return std::future::pending().await;
         };
-        let notice = if is_in_transaction {
+        let delay = if is_in_transaction {
             Duration::from_millis(self.settings.grace_ms * TRANSACTION_GRACE_PERCENT / 100)
         } else {
-            PROBES_NOTICE.min(Duration::from_millis(self.settings.grace_ms / 2))
+            PROBE_FAILURE_DELAY.min(Duration::from_millis(self.settings.grace_ms / 2))
         };
-        let start = since.plus_millis(notice.as_millis() as u64);
+        let start = since.plus_millis(delay.as_millis() as u64);
         // A session that is never idle is closed between two statements.
         let latest = since.plus_millis(self.settings.grace_ms * BUSY_GRACE_PERCENT / 100);
-        let rest = resting.min(clock::until(latest));
+        let rest = idle_time.min(clock::until(latest));
         tokio::time::sleep(clock::until(start).max(rest)).await;
     }
 }
@@ -388,8 +388,8 @@
         ports: Ports<S>,
     ) -> Result<Node, NodeError> {
         settings.check()?;
-        let counts = Metrics::default();
-        let ports = ports.counted(&counts);
+        let engine_metrics = Metrics::default();
+        let ports = ports.counted(&engine_metrics);
         let clients = listen("client_address", settings.client_address).await?;
         let probes = listen("ready_address", settings.ready_address).await?;
         let peers = listen("peer_address", settings.peer_address).await?;
@@ -405,7 +405,7 @@
             settings.name.clone(),
             directory.clone(),
         ));
-        let engine = new_engine(settings, &ports, counts, directory, duties.clone());
+        let engine = new_engine(settings, &ports, engine_metrics, directory, duties.clone());
         info!(
             "event=node_started name={} zone={} clients={} peers={}",
             engine.settings.name,
@@ -415,32 +415,32 @@
         );
         let exchange = Exchange::new(engine.clone(), ports.catalog_codec.clone());
         start_store_watches(&engine, ports, duties);
-        tokio::spawn(relays::judge_at_start(engine.clone()));
+        tokio::spawn(relays::decide_source_at_start(engine.clone()));
         tokio::spawn(exchange.run());
         tokio::spawn(peers::serve(peers, engine.clone()));
         tokio::spawn(readiness::serve_probes(probes, engine.clone()));
         tokio::spawn(readiness::serve_metrics(metrics, engine.clone()));
         tokio::spawn(listener::serve(clients, engine.clone()));
         tokio::spawn(housekeeping(engine.clone()));
-        tokio::spawn(peer_reach::follow(engine.clone()));
+        tokio::spawn(peer_reach::probe_while_queried(engine.clone()));
         Ok(Node { engine })
     }
 
     /// Gives up all lead permits and records the departure in the store, so that no
     /// promotion waits for this node.
-    async fn sign_off(&self) {
+    async fn announce_departure(&self) {
         if self.engine.settings.promotion_fences {
             return;
         }
         self.engine.directory.drop_permits();
         self.engine.departure.send_replace(Some(Departure::Stopped));
-        let deadline = clock::now().plus_millis(SIGN_OFF_MS);
-        let is_told = || {
+        let deadline = clock::now().plus_millis(DEPARTURE_TIMEOUT_MS);
+        let is_recorded = || {
             let own = self.engine.registry.own_record().0;
             own.is_some_and(|own| own.departure == Some(Departure::Stopped))
         };
-        while !is_told() && clock::now() < deadline {
-            tokio::time::sleep(SIGN_OFF_PAUSE).await;
+        while !is_recorded() && clock::now() < deadline {
+            tokio::time::sleep(DEPARTURE_POLL_INTERVAL).await;
         }
     }
 
@@ -450,19 +450,21 @@
         let since = clock::now();
         info!("event=stop_started sessions={}", self.engine.sessions());
         self.engine.phase.send_replace(Phase::Stopping(since));
-        let last = since.plus_millis(self.engine.settings.grace_ms * LAST_GRACE_PERCENT / 100);
-        let first = since.plus_millis(PROBES_NOTICE.as_millis() as u64).min(last);
-        let mut has_signed_off = false;
-        while clock::now() < last {
+        let exit_at = since.plus_millis(self.engine.settings.grace_ms * EXIT_GRACE_PERCENT / 100);
+        let earliest_end = since
+            .plus_millis(PROBE_FAILURE_DELAY.as_millis() as u64)
+            .min(exit_at);
+        let mut has_announced = false;
+        while clock::now() < exit_at {
             let leases = self.engine.forwarded_leases.load(Ordering::Relaxed);
             let is_idle = self.engine.sessions() == 0 && leases == 0;
-            if clock::now() >= first && is_idle && !has_signed_off {
+            if clock::now() >= earliest_end && is_idle && !has_announced {
                 // A session may start while the departure is announced.
-                self.sign_off().await;
-                has_signed_off = true;
+                self.announce_departure().await;
+                has_announced = true;
                 continue;
             }
-            if is_idle && has_signed_off {
+            if is_idle && has_announced {
                 info!("event=stop_finished ms={}", clock::now().millis_since(since));
                 return true;
             }
@@ -499,24 +501,24 @@
     let zones = settings.topology.zone_count();
     let relays = Relays::new(&settings.zone, zones, settings.config_bound_ms);
     let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), duties];
-    let own_keys = OwnKeys::new(own_followers, relays.reading()).reading_zone_first(registry.clone());
+    let own_keys = OwnKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
     Arc::new(Engine {
         directory,
         caller_codec: ports.caller_codec.clone(),
         metrics,
         request_log: RequestLog::default(),
-        retry_budget: SharedBudget(Mutex::new(RetryBudget::new(HEDGE_PERCENT, HEDGE_CEILING))),
+        retry_budget: SharedBudget(Mutex::new(RetryBudget::new(HEDGE_PERCENT, HEDGE_BUDGET_MAX))),
         phase: watch::Sender::new(Phase::Running),
         registry,
         peers: PeerClient::default(),
         catalog_cache: CatalogCache::default(),
-        passed_over: PassedOver::default(),
+        passed_over: UnreadableDocuments::default(),
         own_keys: Arc::new(own_keys),
         relays,
         store_contact: Arc::new(StoreContact::default()),
         leader_inquiries: Arc::default(),
         departure: watch::Sender::new(None),
-        unreached: Unreached::default(),
+        unreached: UnreachablePeers::default(),
         stepping_down: Arc::default(),
         owners: Owners::new(settings.topology.clone()),
         leader_demands: LeaderDemands::default(),
@@ -537,35 +539,35 @@
     let config = ConfigFollower::new(engine.clone(), catalog.clone());
     let instances = InstanceFollower::new(engine.clone(), catalog.clone());
     let contact = engine.store_contact.clone();
-    let (nodes_settle, catalog_settle) = match engine.settings.is_first_start {
-        true => (FIRST_START_SETTLE, FIRST_START_SETTLE + FIRST_START_LISTING),
+    let (nodes_delay, catalog_delay) = match engine.settings.is_first_start {
+        true => (FIRST_START_DELAY, FIRST_START_DELAY + FIRST_START_LISTING_TIME),
         false => (Duration::ZERO, Duration::ZERO),
     };
-    let follow = |prefix: &str, follower: Arc<dyn store_watch::Follower>, settle: Duration| {
+    let follow = |prefix: &str, follower: Arc<dyn store_watch::Follower>, delay: Duration| {
         let following =
             store_watch::follow(ports.store.clone(), prefix.to_owned(), follower, contact.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(settle).await;
+            tokio::time::sleep(delay).await;
             following.await;
         });
     };
-    follow(catalog.operators_prefix(), Arc::new(config), catalog_settle);
-    follow(catalog.instances_prefix(), Arc::new(instances), catalog_settle);
-    follow(catalog.own_prefix(), engine.own_keys.clone(), nodes_settle);
+    follow(catalog.operators_prefix(), Arc::new(config), catalog_delay);
+    follow(catalog.instances_prefix(), Arc::new(instances), catalog_delay);
+    follow(catalog.own_prefix(), engine.own_keys.clone(), nodes_delay);
     let record = NodeRecord {
         peer_address: engine.settings.peer_address,
         zone: engine.settings.zone.clone(),
         link_mbps: engine.settings.link_mbps,
         departure: None,
     };
-    let keeper = engine.clone();
+    let registrar = engine.clone();
     let store = ports.store.clone();
     let departure = engine.departure.subscribe();
-    tokio::spawn(async move { keep_registered(&keeper, &*store, record, departure).await });
+    tokio::spawn(async move { keep_registered(&registrar, &*store, record, departure).await });
     if !engine.settings.promotion_fences {
         let marker = engine.clone();
         let store = ports.store.clone();
-        tokio::spawn(async move { mark_gone(&marker.registry, &*store, &marker.unreached).await });
+        tokio::spawn(async move { mark_unreachable(&marker.registry, &*store, &marker.unreached).await });
     }
     let monitor = Monitor::new(
         engine.clone(),
@@ -580,9 +582,9 @@
 /// Closes the pools of instances that are gone, and adjusts connection shares when the
 /// set of nodes changes.
 async fn housekeeping(engine: Arc<Engine>) {
-    let mut seen = 0;
+    let mut seen_version = 0;
     loop {
-        tokio::time::sleep(HOUSEKEEPING).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         engine.follow_cold_instances();
         engine.pools.trim(|record| engine.spare_connections(record));
         engine.leave_evacuated_zones();
@@ -590,8 +592,8 @@
             engine.pools.retire(&instance);
         }
         let version = engine.registry.version();
-        if version != seen {
-            seen = version;
+        if version != seen_version {
+            seen_version = version;
             engine.pools.set_shares(|record| engine.share_of(record));
         }
     }
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -18,7 +18,7 @@
 
 /// Interval between two watch responses for the system's own keys, which batches the
 /// registrations of nodes that start together.
-const PACE: Duration = Duration::from_millis(1_500);
+const BATCH_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Default)]
 struct State {
@@ -57,7 +57,7 @@
 
     /// Makes a starting node read the nodes of its own zone first. They include its
     /// relays, which deliver the rest.
-    pub fn reading_zone_first(self, nodes: Arc<Registry>) -> Self {
+    pub fn with_zone_first(self, nodes: Arc<Registry>) -> Self {
         OwnKeys {
             nodes: Some(nodes),
             ..self
@@ -84,46 +84,46 @@
         if revision.is_none() {
             return;
         }
-        let entries: Vec<Entry> = documents.into_iter().map(entry_of).collect();
-        let (fresh, is_whole) = {
+        let entries: Vec<Entry> = documents.into_iter().map(to_entry).collect();
+        let (fresh, is_full_copy) = {
             let mut state = self.state();
             let is_new_era = revision.era > state.known_revision.era;
-            let is_whole = state.known_revision.is_none() || is_new_era;
+            let is_full_copy = state.known_revision.is_none() || is_new_era;
             if is_new_era {
                 // The store was restored from a backup and the peer sent its whole
                 // content, so documents that the peer did not send are gone.
-                state.remove_all_but(&entries, revision);
+                state.remove_missing(&entries, revision);
             }
-            let news = |entry: &Entry| state.keep(entry);
-            let fresh: Vec<Entry> = entries.into_iter().filter(news).collect();
-            state.know(revision);
-            (fresh, is_whole)
+            let is_newer = |entry: &Entry| state.insert_if_newer(entry);
+            let fresh: Vec<Entry> = entries.into_iter().filter(is_newer).collect();
+            state.advance_revision(revision);
+            (fresh, is_full_copy)
         };
-        if is_whole {
+        if is_full_copy {
             let known = self.state().as_listing();
-            self.tell_listed(&known);
+            self.notify_listed(&known);
         } else if !fresh.is_empty() {
-            self.tell_changed(&fresh);
+            self.notify_changed(&fresh);
         }
     }
 
     /// Applies a single document that a peer sent directly. Earlier changes of other
     /// documents may still be unknown.
     pub fn told(&self, document: StoredDocument) {
-        let entry = entry_of(document);
-        self.state().keep(&entry);
+        let entry = to_entry(document);
+        self.state().insert_if_newer(&entry);
         // Followers are notified even if a restored store no longer holds the document,
         // so that a closed term stays closed.
-        self.tell_changed(&[entry]);
+        self.notify_changed(&[entry]);
     }
 
-    fn tell_listed(&self, listing: &Listing) {
+    fn notify_listed(&self, listing: &Listing) {
         for follower in &self.followers {
             follower.listed(listing.clone());
         }
     }
 
-    fn tell_changed(&self, entries: &[Entry]) {
+    fn notify_changed(&self, entries: &[Entry]) {
         for follower in &self.followers {
             follower.changed(entries.to_vec());
         }
@@ -132,12 +132,12 @@
 
 impl State {
     /// Inserts an entry. Returns false if the same or a newer revision is known.
-    fn keep(&mut self, entry: &Entry) -> bool {
-        let held = self.documents.get(&entry.key);
-        if held.is_some_and(|held| held.revision >= entry.revision) {
+    fn insert_if_newer(&mut self, entry: &Entry) -> bool {
+        let known = self.documents.get(&entry.key);
+        if known.is_some_and(|known| known.revision >= entry.revision) {
             return false;
         }
-        self.documents.insert(document_of(entry));
+        self.documents.insert(to_document(entry));
         true
     }
 
@@ -146,12 +146,12 @@
         let present = self.documents.iter().filter(|document| document.removed == 0);
         Listing {
             revision: self.known_revision,
-            entries: present.cloned().map(entry_of).collect(),
+            entries: present.cloned().map(to_entry).collect(),
         }
     }
 
     /// Records that all documents are known up to `revision`.
-    fn know(&mut self, revision: StoreRevision) {
+    fn advance_revision(&mut self, revision: StoreRevision) {
         let known = self.known_revision;
         if revision.era > known.era && !known.is_none() {
             warn!(
@@ -163,13 +163,13 @@
     }
 
     /// Marks all documents as removed that are missing from a listing at `revision`.
-    fn remove_all_but(&mut self, entries: &[Entry], revision: StoreRevision) {
+    fn remove_missing(&mut self, entries: &[Entry], revision: StoreRevision) {
         let present: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
         let is_gone = |document: &&StoredDocument| {
             document.removed == 0 && document.revision <= revision && !present.contains(document.key.as_str())
         };
-        let gone: Vec<_> = self.documents.iter().filter(is_gone).cloned().collect();
-        for document in gone {
+        let removed_documents: Vec<_> = self.documents.iter().filter(is_gone).cloned().collect();
+        for document in removed_documents {
             self.documents.insert(StoredDocument {
                 removed: 1,
                 revision,
@@ -180,7 +180,7 @@
     }
 }
 
-fn document_of(entry: &Entry) -> StoredDocument {
+fn to_document(entry: &Entry) -> StoredDocument {
     StoredDocument {
         key: entry.key.clone(),
         revision: entry.revision,
@@ -189,7 +189,7 @@
     }
 }
 
-fn entry_of(document: StoredDocument) -> Entry {
+fn to_entry(document: StoredDocument) -> Entry {
     Entry {
         key: document.key,
         value: (document.removed == 0).then_some(document.value),
@@ -202,11 +202,11 @@
         "own_keys"
     }
 
-    fn part_read_first(&self) -> Option<String> {
+    fn initial_prefix(&self) -> Option<String> {
         self.nodes.as_ref().map(|nodes| nodes.zone_prefix())
     }
 
-    fn part_learned(&self, listing: Listing) {
+    fn initial_prefix_listed(&self, listing: Listing) {
         if let Some(nodes) = &self.nodes {
             nodes.zone_learned(listing);
         }
@@ -217,20 +217,20 @@
     }
 
     fn rest(&self) -> BoxFuture<'_, ()> {
-        Box::pin(tokio::time::sleep(PACE))
+        Box::pin(tokio::time::sleep(BATCH_INTERVAL))
     }
 
     fn listed(&self, listing: Listing) {
         let known = {
             let mut state = self.state();
-            state.remove_all_but(&listing.entries, listing.revision);
+            state.remove_missing(&listing.entries, listing.revision);
             for entry in &listing.entries {
-                state.keep(entry);
+                state.insert_if_newer(entry);
             }
-            state.know(listing.revision);
+            state.advance_revision(listing.revision);
             state.as_listing()
         };
-        self.tell_listed(&known);
+        self.notify_listed(&known);
     }
 
     fn complete(&self, asked: Instant) {
@@ -243,12 +243,12 @@
         let fresh: Vec<Entry> = {
             let mut state = self.state();
             let newest = entries.iter().map(|entry| entry.revision).max();
-            state.know(newest.unwrap_or_default());
-            let news = |entry: &Entry| state.keep(entry);
-            entries.into_iter().filter(news).collect()
+            state.advance_revision(newest.unwrap_or_default());
+            let is_newer = |entry: &Entry| state.insert_if_newer(entry);
+            entries.into_iter().filter(is_newer).collect()
         };
         if !fresh.is_empty() {
-            self.tell_changed(&fresh);
+            self.notify_changed(&fresh);
         }
     }
 }
--- a/crates/millwind-engine/src/passed_over.rs
+++ b/crates/millwind-engine/src/passed_over.rs
@@ -5,14 +5,14 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Maximum number of remembered documents, which bounds memory and log lines.
-const MOST_DOCUMENTS: usize = 256;
+const MAX_DOCUMENTS: usize = 256;
 /// Maximum length of a reported key or reason, in characters. Both may quote text written
 /// by others.
-const LONGEST_TEXT: usize = 120;
+const MAX_TEXT_CHARS: usize = 120;
 
 /// Documents that currently cannot be read.
 #[derive(Debug, Default)]
-pub struct PassedOver {
+pub struct UnreadableDocuments {
     /// Reasons by key of the record.
     documents: Mutex<BTreeMap<String, String>>,
     /// Reason for the configuration, kept apart so that many unreadable records cannot
@@ -20,7 +20,7 @@
     config: Mutex<Option<String>>,
 }
 
-impl PassedOver {
+impl UnreadableDocuments {
     fn documents(&self) -> MutexGuard<'_, BTreeMap<String, String>> {
         self.documents.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -33,9 +33,9 @@
     pub fn note_config(&self, reason: &str) -> bool {
         let reason = shortened(reason);
         let mut config = self.config();
-        let is_news = config.as_ref() != Some(&reason);
+        let is_new = config.as_ref() != Some(&reason);
         *config = Some(reason);
-        is_news
+        is_new
     }
 
     /// Records that the configuration can be read.
@@ -48,7 +48,7 @@
     pub fn note(&self, key: &str, reason: &str) -> bool {
         let mut documents = self.documents();
         let reason = shortened(reason);
-        let is_full = documents.len() >= MOST_DOCUMENTS;
+        let is_full = documents.len() >= MAX_DOCUMENTS;
         match documents.get_mut(key) {
             Some(known) if *known == reason => false,
             Some(known) => {
@@ -82,5 +82,5 @@
 
 /// Truncates a text to the maximum length for a log line.
 pub fn shortened(text: &str) -> String {
-    text.chars().take(LONGEST_TEXT).collect()
+    text.chars().take(MAX_TEXT_CHARS).collect()
 }
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -18,32 +18,32 @@
 use crate::peers::AskError;
 
 /// Number of nodes to probe for the estimate.
-const SAMPLE: usize = 16;
+const SAMPLE_SIZE: usize = 16;
 /// Interval between two probe rounds.
-const PAUSE: Duration = Duration::from_millis(800);
+const PROBE_INTERVAL: Duration = Duration::from_millis(800);
 /// Time after the last query for which probing continues, in milliseconds.
-const WANTED_MS: u64 = 5_000;
+const QUERY_EXPIRY_MS: u64 = 5_000;
 /// A node that sent anything over its link within this time is not probed, in
 /// milliseconds.
-const HEARD_MS: u64 = 400;
+const RECENT_TRAFFIC_MS: u64 = 400;
 /// Timeout of a probe: a few round trips between regions.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Result of probing a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Answer {
-    Heard,
+enum ProbeResult {
+    Answered,
     /// The machine is up but refuses the connection, so the process is gone.
-    Gone,
+    ProcessGone,
     Silent,
 }
 
-impl Answer {
-    fn of_counter(self) -> OtherCounter {
+impl ProbeResult {
+    fn to_other_counter(self) -> OtherCounter {
         match self {
-            Answer::Heard => OtherCounter::Heard,
-            Answer::Gone => OtherCounter::Gone,
-            Answer::Silent => OtherCounter::Silent,
+            ProbeResult::Answered => OtherCounter::Heard,
+            ProbeResult::ProcessGone => OtherCounter::Gone,
+            ProbeResult::Silent => OtherCounter::Silent,
         }
     }
 }
@@ -51,30 +51,30 @@
 #[derive(Debug)]
 struct State {
     /// Time of the last query, or `None` before the first.
-    wanted: Option<Instant>,
+    queried_at: Option<Instant>,
     /// Reachable nodes, in percent.
-    percent: u32,
+    reachable_percent: u32,
     /// Other nodes that count for a tenant, with the time of the last query and the
     /// result of the last probe.
-    counters: HashMap<SocketAddr, (Instant, Option<Answer>)>,
+    counters: HashMap<SocketAddr, (Instant, Option<ProbeResult>)>,
 }
 
 /// Reachability of the other nodes as estimated by this node.
 #[derive(Debug)]
 pub struct PeerReach {
     state: Mutex<State>,
-    first_wanted: Notify,
+    query_started: Notify,
 }
 
 impl Default for PeerReach {
     fn default() -> Self {
         PeerReach {
             state: Mutex::new(State {
-                wanted: None,
-                percent: 100,
+                queried_at: None,
+                reachable_percent: 100,
                 counters: HashMap::new(),
             }),
-            first_wanted: Notify::new(),
+            query_started: Notify::new(),
         }
     }
 }
@@ -90,49 +90,49 @@
     pub fn known(&self, other_counter: Option<SocketAddr>) -> Reach {
         let now = clock::now();
         let mut state = self.state();
-        let was_wanted = state.wanted.replace(now);
-        let is_new = was_wanted.is_none_or(|wanted| now.millis_since(wanted) > WANTED_MS);
-        let mut answer = Some(Answer::Gone);
+        let previous_query = state.queried_at.replace(now);
+        let is_new = previous_query.is_none_or(|queried_at| now.millis_since(queried_at) > QUERY_EXPIRY_MS);
+        let mut result = Some(ProbeResult::ProcessGone);
         let mut is_new_counter = false;
         if let Some(address) = other_counter {
             let counter = state.counters.entry(address).or_insert((now, None));
             counter.0 = now;
-            answer = counter.1;
-            is_new_counter = answer.is_none();
+            result = counter.1;
+            is_new_counter = result.is_none();
         }
         if is_new || is_new_counter {
-            self.first_wanted.notify_one();
+            self.query_started.notify_one();
         }
         Reach {
-            percent: state.percent,
-            other: answer.map_or(OtherCounter::Heard, Answer::of_counter),
+            percent: state.reachable_percent,
+            other: result.map_or(OtherCounter::Heard, ProbeResult::to_other_counter),
         }
     }
 
     /// Returns the counting nodes to probe, or `None` if there was no recent query.
-    fn to_ask(&self) -> Option<Vec<SocketAddr>> {
+    fn counters_to_probe(&self) -> Option<Vec<SocketAddr>> {
         let now = clock::now();
         let mut state = self.state();
-        let is_wanted = |wanted: Instant| now.millis_since(wanted) <= WANTED_MS;
-        if !state.wanted.is_some_and(is_wanted) {
+        let is_recent = |queried_at: Instant| now.millis_since(queried_at) <= QUERY_EXPIRY_MS;
+        if !state.queried_at.is_some_and(is_recent) {
             return None;
         }
-        state.counters.retain(|_, (wanted, _)| is_wanted(*wanted));
+        state.counters.retain(|_, (queried_at, _)| is_recent(*queried_at));
         Some(state.counters.keys().copied().collect())
     }
 
-    fn note(&self, percent: u32, answers: Vec<(SocketAddr, Answer)>) {
+    fn record(&self, percent: u32, results: Vec<(SocketAddr, ProbeResult)>) {
         let mut state = self.state();
-        if state.percent != percent {
+        if state.reachable_percent != percent {
             info!(
                 "event=peer_reach_changed percent={percent} before={}",
-                state.percent
+                state.reachable_percent
             );
         }
-        state.percent = percent;
-        for (address, answer) in answers {
+        state.reachable_percent = percent;
+        for (address, result) in results {
             if let Some(counter) = state.counters.get_mut(&address) {
-                counter.1 = Some(answer);
+                counter.1 = Some(result);
             }
         }
     }
@@ -140,50 +140,54 @@
 
 /// Probes other nodes while their reachability is queried, for the lifetime of the
 /// process.
-pub async fn follow(engine: Arc<Engine>) {
+pub async fn probe_while_queried(engine: Arc<Engine>) {
     loop {
-        let Some(counters) = engine.peer_reach.to_ask() else {
-            engine.peer_reach.first_wanted.notified().await;
+        let Some(counters) = engine.peer_reach.counters_to_probe() else {
+            engine.peer_reach.query_started.notified().await;
             continue;
         };
-        measure(&engine, &counters).await;
+        probe_peers(&engine, &counters).await;
         tokio::select! {
-            () = tokio::time::sleep(PAUSE) => {}
-            () = engine.peer_reach.first_wanted.notified() => {}
+            () = tokio::time::sleep(PROBE_INTERVAL) => {}
+            () = engine.peer_reach.query_started.notified() => {}
         }
     }
 }
 
-async fn measure(engine: &Engine, counters: &[SocketAddr]) {
+async fn probe_peers(engine: &Engine, counters: &[SocketAddr]) {
     // The sample is the same each time, so the links are already open.
-    let sample = engine.registry.neighbours("", 0, SAMPLE);
-    let asked_counters = join_all(counters.iter().map(|address| ask(engine, *address)));
-    let asked_sample = join_all(sample.iter().map(|address| ask(engine, *address)));
-    let (of_counters, of_sample) = tokio::join!(asked_counters, asked_sample);
+    let sample = engine.registry.neighbours("", 0, SAMPLE_SIZE);
+    let counter_probes = join_all(counters.iter().map(|address| probe(engine, *address)));
+    let sample_probes = join_all(sample.iter().map(|address| probe(engine, *address)));
+    let (counter_results, sample_results) = tokio::join!(counter_probes, sample_probes);
     // A node without a process uses no quota and counts as reachable.
-    let reached = of_sample
+    let reached = sample_results
         .iter()
-        .filter(|answer| **answer != Answer::Silent)
+        .filter(|result| **result != ProbeResult::Silent)
         .count();
     let percent = (reached + 1) * 100 / (sample.len() + 1);
-    let answers = counters.iter().copied().zip(of_counters).collect();
-    engine.peer_reach.note(percent as u32, answers);
+    let results = counters.iter().copied().zip(counter_results).collect();
+    engine.peer_reach.record(percent as u32, results);
 }
 
 /// Probes the node at `address` over its link, or over a new connection if the link is
 /// silent.
-async fn ask(engine: &Engine, address: SocketAddr) -> Answer {
-    if engine.owners.answers(address, HEARD_MS, ANSWER_LIMIT).await {
-        return Answer::Heard;
+async fn probe(engine: &Engine, address: SocketAddr) -> ProbeResult {
+    if engine
+        .owners
+        .answers(address, RECENT_TRAFFIC_MS, PROBE_TIMEOUT)
+        .await
+    {
+        return ProbeResult::Answered;
     }
-    let question = ExchangeRequest::Reach {
+    let request = ExchangeRequest::Reach {
         instance: String::new(),
     };
-    match engine.peers.ask_apart(address, &question, ANSWER_LIMIT).await {
-        Ok(_) => Answer::Heard,
+    match engine.peers.ask_apart(address, &request, PROBE_TIMEOUT).await {
+        Ok(_) => ProbeResult::Answered,
         Err(AskError::NotConnected(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-            Answer::Gone
+            ProbeResult::ProcessGone
         }
-        Err(_) => Answer::Silent,
+        Err(_) => ProbeResult::Silent,
     }
 }
--- a/crates/millwind-engine/src/registered_nodes.rs
+++ b/crates/millwind-engine/src/registered_nodes.rs
@@ -25,7 +25,7 @@
     pub(crate) zone: ZoneName,
     /// Time at which this record was first seen. For a node that left, this is the time
     /// since which its departure is known.
-    pub(crate) left_since: Instant,
+    pub(crate) record_seen_at: Instant,
 }
 
 impl RegisteredNode {
@@ -35,13 +35,13 @@
             revision,
             hash: hash_of(name),
             zone: ZoneName::from(record.zone.as_str()),
-            left_since: clock::now(),
+            record_seen_at: clock::now(),
             record,
         }
     }
 
     /// Returns whether the node has the zone and address of `other`.
-    fn is_placed_as(&self, other: &NodeRecord) -> bool {
+    fn has_same_location(&self, other: &NodeRecord) -> bool {
         self.record.zone == other.zone && self.record.peer_address == other.peer_address
     }
 }
@@ -73,16 +73,16 @@
     /// Inserts or replaces a node. Returns whether the node is new or its zone or address
     /// changed.
     pub(crate) fn insert(&mut self, name: &str, node: RegisteredNode) -> bool {
-        if let Some(held) = self.by_name.get_mut(name) {
-            if held.is_placed_as(&node.record) {
-                *held = node;
+        if let Some(known) = self.by_name.get_mut(name) {
+            if known.has_same_location(&node.record) {
+                *known = node;
                 return false;
             }
             self.remove(name);
         }
         self.hashes.push(node.hash);
-        let of_zone = self.by_zone.entry(node.record.zone.clone()).or_default();
-        of_zone.push(node.hash);
+        let zone_hashes = self.by_zone.entry(node.record.zone.clone()).or_default();
+        zone_hashes.push(node.hash);
         self.by_name.insert(name.to_owned(), node);
         true
     }
@@ -93,15 +93,15 @@
             return false;
         };
         self.hashes.retain(|hash| *hash != node.hash);
-        if let Some(of_zone) = self.by_zone.get_mut(&node.record.zone) {
-            of_zone.retain(|hash| *hash != node.hash);
+        if let Some(zone_hashes) = self.by_zone.get_mut(&node.record.zone) {
+            zone_hashes.retain(|hash| *hash != node.hash);
         }
         true
     }
 }
 
 /// Rendezvous weight of a node for a key, with the node's name and entry.
-pub(crate) type Weighted<'a> = (u64, &'a String, &'a RegisteredNode);
+pub(crate) type WeightedNode<'a> = (u64, &'a String, &'a RegisteredNode);
 
 /// Hashes a node's name or a key for which nodes are ranked.
 pub(crate) fn hash_of(text: &str) -> u64 {
@@ -109,7 +109,7 @@
 }
 
 /// Returns the rendezvous weight of a node for a key, from the hashes of both.
-pub(crate) fn weight(key: u64, node: u64) -> u64 {
+pub(crate) fn rendezvous_weight(key: u64, node: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&node.to_le_bytes());
@@ -117,26 +117,30 @@
 }
 
 /// Returns all nodes with their weights for `key`.
-pub(crate) fn weigh<'a>(nodes: &'a Nodes, key: &str) -> impl Iterator<Item = Weighted<'a>> + use<'a> {
+pub(crate) fn weighted_nodes<'a>(
+    nodes: &'a Nodes,
+    key: &str,
+) -> impl Iterator<Item = WeightedNode<'a>> + use<'a> {
     let key = hash_of(key);
     nodes
         .by_name
         .iter()
-        .map(move |(name, node)| (weight(key, node.hash), name, node))
+        .map(move |(name, node)| (rendezvous_weight(key, node.hash), name, node))
 }
 
 /// Returns the sort key of a node in the order of its zone's relays, greatest first: the
 /// link bandwidth, then the weight for [`RELAY_KEY`]. Bandwidth comes first because a
 /// relay sends the whole catalog to each of its nodes when they start together.
-pub(crate) fn relay_place(name: &str, node: Option<&RegisteredNode>) -> (u32, u64) {
+pub(crate) fn relay_rank(name: &str, node: Option<&RegisteredNode>) -> (u32, u64) {
     let link_mbps = node.map_or(0, |node| node.record.link_mbps);
-    (link_mbps, weight(hash_of(RELAY_KEY), hash_of(name)))
+    (link_mbps, rendezvous_weight(hash_of(RELAY_KEY), hash_of(name)))
 }
 
 /// Returns the `count` heaviest nodes, heaviest first.
-pub(crate) fn heaviest(mut nodes: Vec<Weighted<'_>>, count: usize) -> Vec<Weighted<'_>> {
-    let order =
-        |left: &Weighted<'_>, right: &Weighted<'_>| right.0.cmp(&left.0).then_with(|| left.1.cmp(right.1));
+pub(crate) fn heaviest(mut nodes: Vec<WeightedNode<'_>>, count: usize) -> Vec<WeightedNode<'_>> {
+    let order = |left: &WeightedNode<'_>, right: &WeightedNode<'_>| {
+        right.0.cmp(&left.0).then_with(|| left.1.cmp(right.1))
+    };
     if nodes.len() > count {
         nodes.select_nth_unstable_by(count, order);
         nodes.truncate(count);
--- a/crates/millwind-engine/src/registration.rs
+++ b/crates/millwind-engine/src/registration.rs
@@ -21,15 +21,15 @@
 use crate::registry::{Departure, NodeRecord, Registry};
 
 /// Delay before this node's record is written again after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Interval between two checks for unreachable nodes.
-const LOOK_PAUSE: Duration = Duration::from_millis(1_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A node is marked unreachable when all comparisons failed for this time, in
 /// milliseconds. It is longer than a restart and shorter than the validity of a lead
 /// permit.
-const UNREACHED_MS: u64 = 5_000;
+const UNREACHABLE_AFTER_MS: u64 = 5_000;
 /// Minimum number of failed comparisons before a node is marked.
-const LEAST_FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 
 /// Failed comparisons with a node since its last answer.
 #[derive(Debug, Clone, Copy)]
@@ -40,9 +40,9 @@
 
 /// Peers that did not answer catalog comparisons.
 #[derive(Debug, Default)]
-pub struct Unreached(Mutex<HashMap<SocketAddr, Failures>>);
+pub struct UnreachablePeers(Mutex<HashMap<SocketAddr, Failures>>);
 
-impl Unreached {
+impl UnreachablePeers {
     fn failures(&self) -> MutexGuard<'_, HashMap<SocketAddr, Failures>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -63,19 +63,19 @@
     }
 
     /// Removes and returns the nodes that count as unreachable.
-    fn take_gone(&self) -> Vec<SocketAddr> {
+    fn take_unreachable(&self) -> Vec<SocketAddr> {
         let now = clock::now();
-        let is_gone = |failures: &Failures| {
-            failures.count >= LEAST_FAILURES && now.millis_since(failures.since) >= UNREACHED_MS
+        let is_unreachable = |failures: &Failures| {
+            failures.count >= MIN_FAILURES && now.millis_since(failures.since) >= UNREACHABLE_AFTER_MS
         };
         let mut failures = self.failures();
-        let gone: Vec<_> = failures
+        let expired: Vec<_> = failures
             .iter()
-            .filter(|(_, failures)| is_gone(failures))
+            .filter(|(_, failures)| is_unreachable(failures))
             .map(|(address, _)| *address)
             .collect();
-        failures.retain(|_, failures| !is_gone(failures));
-        gone
+        failures.retain(|_, failures| !is_unreachable(failures));
+        expired
     }
 }
 
@@ -97,20 +97,20 @@
             departure: *departure.borrow_and_update(),
             ..record.clone()
         };
-        let (held, revision) = registry.own_record();
-        if held.as_ref() == Some(&wanted) {
+        let (known, revision) = registry.own_record();
+        if known.as_ref() == Some(&wanted) {
             tokio::select! {
-                () = registry.own_changed() => {}
+                () = registry.own_record_changed() => {}
                 Ok(()) = departure.changed() => {}
             }
             continue;
         }
         let is_present = wanted.departure.is_none();
-        if !write(registry, store, registry.own_name(), wanted, revision).await {
+        if !write_record(registry, store, registry.own_name(), wanted, revision).await {
             // The write revealed a newer record; it is replaced without a delay.
-            let is_news = registry.own_record().1 != revision;
-            if !is_news {
-                tokio::time::sleep(RETRY_PAUSE).await;
+            let has_newer_record = registry.own_record().1 != revision;
+            if !has_newer_record {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         } else if is_present && !engine.settings.promotion_fences {
             // Lead permits require data read after the registration.
@@ -120,10 +120,10 @@
 }
 
 /// Marks unreachable nodes for the lifetime of the process.
-pub async fn mark_gone<S: Store>(registry: &Registry, store: &S, unreached: &Unreached) {
+pub async fn mark_unreachable<S: Store>(registry: &Registry, store: &S, unreached: &UnreachablePeers) {
     loop {
-        tokio::time::sleep(LOOK_PAUSE).await;
-        for address in unreached.take_gone() {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        for address in unreached.take_unreachable() {
             let Some((name, record, revision)) = registry.present_at(address) else {
                 continue;
             };
@@ -132,14 +132,14 @@
                 departure: Some(Departure::Unreachable),
                 ..record
             };
-            write(registry, store, &name, marked, revision).await;
+            write_record(registry, store, &name, marked, revision).await;
         }
     }
 }
 
 /// Replaces a node's record if its revision is still `revision`. Returns whether the
 /// store accepted the write.
-async fn write<S: Store>(
+async fn write_record<S: Store>(
     registry: &Registry,
     store: &S,
     name: &str,
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::directory::Directory;
 use crate::registered_nodes::{
-    Nodes, RegisteredNode, Weighted, hash_of, heaviest, relay_place, weigh, weight,
+    Nodes, RegisteredNode, WeightedNode, hash_of, heaviest, relay_rank, rendezvous_weight, weighted_nodes,
 };
 use crate::store_watch::Follower;
 
@@ -39,8 +39,8 @@
 }
 
 /// Returns whether the field is left out of the serialized record.
-fn is_zero(figure: &u32) -> bool {
-    *figure == 0
+fn is_zero(value: &u32) -> bool {
+    *value == 0
 }
 
 /// How a node left the deployment.
@@ -94,28 +94,32 @@
     /// Zone of this node.
     zone: String,
     directory: Arc<Directory>,
-    own_changed: Notify,
+    own_record_changed: Notify,
     /// Start time of this process.
     started: Instant,
     nodes: Mutex<Nodes>,
     /// Rank of this node by key, with the registry version it was computed from.
-    ranks: Mutex<HashMap<String, (u64, usize)>>,
+    rank_cache: Mutex<HashMap<String, (u64, usize)>>,
     version: AtomicU64,
     /// Time of the last version change, in microseconds.
-    changed_at_us: AtomicU64,
+    version_changed_at_us: AtomicU64,
     /// Number of rendezvous weights computed so far.
-    weighed: AtomicU64,
+    weights_computed: AtomicU64,
     is_listed: watch::Sender<bool>,
     /// Whether the nodes of this node's zone are known; other zones may still be unknown.
     is_zone_known: watch::Sender<bool>,
 }
 
-fn candidate_of((weight, name, node): &Weighted<'_>, place: &OwnedPlace<'_>, own: &str) -> OwnerCandidate {
+fn owner_candidate(
+    (weight, name, node): &WeightedNode<'_>,
+    query: &OwnedPlace<'_>,
+    own: &str,
+) -> OwnerCandidate {
     OwnerCandidate {
         weight: *weight,
-        nearness: Nearness::between(place.topology, place.zone, &node.zone),
+        nearness: Nearness::between(query.topology, query.zone, &node.zone),
         is_allowed: name.as_str() == own
-            || OwnerCandidate::is_carrier(place.regions, place.topology, &node.zone),
+            || OwnerCandidate::is_carrier(query.regions, query.topology, &node.zone),
     }
 }
 
@@ -124,18 +128,18 @@
 ///
 /// Ranking takes time proportional to the number of nodes, so callers rank only instances
 /// that receive statements.
-fn contenders<'a>(
+fn owner_shortlist<'a>(
     nodes: &'a Nodes,
-    place: &OwnedPlace<'_>,
+    query: &OwnedPlace<'_>,
     own: &str,
     sought: OwnersSought,
-) -> Vec<Weighted<'a>> {
+) -> Vec<WeightedNode<'a>> {
     let count = sought.owners + sought.stand_ins;
-    let mut classes: BTreeMap<(Nearness, bool), Vec<Weighted<'a>>> = BTreeMap::new();
-    for weighed in weigh(nodes, place.instance.as_str()) {
-        let candidate = candidate_of(&weighed, place, own);
+    let mut classes: BTreeMap<(Nearness, bool), Vec<WeightedNode<'a>>> = BTreeMap::new();
+    for weighted in weighted_nodes(nodes, query.instance.as_str()) {
+        let candidate = owner_candidate(&weighted, query, own);
         let class = (candidate.nearness, candidate.is_allowed);
-        classes.entry(class).or_default().push(weighed);
+        classes.entry(class).or_default().push(weighted);
     }
     let chosen = classes.into_values().flat_map(|class| heaviest(class, count));
     chosen.collect()
@@ -150,13 +154,13 @@
             node,
             zone: directory.zone().to_owned(),
             directory,
-            own_changed: Notify::new(),
+            own_record_changed: Notify::new(),
             started: clock::now(),
             nodes: Mutex::default(),
-            ranks: Mutex::new(HashMap::new()),
+            rank_cache: Mutex::new(HashMap::new()),
             version: AtomicU64::new(0),
-            weighed: AtomicU64::new(0),
-            changed_at_us: AtomicU64::new(clock::now().0),
+            weights_computed: AtomicU64::new(0),
+            version_changed_at_us: AtomicU64::new(clock::now().0),
             is_listed: watch::Sender::new(false),
             is_zone_known: watch::Sender::new(false),
         }
@@ -209,28 +213,29 @@
 
     /// Returns the time since the last change of [`Registry::version`], in milliseconds.
     pub fn unchanged_ms(&self) -> u64 {
-        let changed = Instant(self.changed_at_us.load(Ordering::Relaxed));
+        let changed = Instant(self.version_changed_at_us.load(Ordering::Relaxed));
         clock::now().millis_since(changed)
     }
 
     fn changed(&self) {
-        self.changed_at_us.store(clock::now().0, Ordering::Relaxed);
+        self.version_changed_at_us
+            .store(clock::now().0, Ordering::Relaxed);
         self.version.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Returns the owners of an instance and their stand-ins, chosen by rendezvous
     /// hashing among the nearest nodes.
-    pub fn owners(&self, place: &OwnedPlace<'_>, sought: OwnersSought) -> OwnersOf {
+    pub fn owners(&self, query: &OwnedPlace<'_>, sought: OwnersSought) -> OwnersOf {
         let nodes = self.nodes();
-        self.weighed
+        self.weights_computed
             .fetch_add(nodes.hashes().len() as u64, Ordering::Relaxed);
-        let weighed = contenders(&nodes, place, &self.node, sought);
-        let candidate = |weighed: &Weighted<'_>| candidate_of(weighed, place, &self.node);
-        let candidates: Vec<_> = weighed.iter().map(candidate).collect();
+        let weighted = owner_shortlist(&nodes, query, &self.node, sought);
+        let candidate = |weighted: &WeightedNode<'_>| owner_candidate(weighted, query, &self.node);
+        let candidates: Vec<_> = weighted.iter().map(candidate).collect();
         let ranked = rank_owners(&candidates, sought);
         let pick = |indices: Vec<usize>| {
-            let chosen = indices.into_iter().map(|index| &weighed[index]);
-            chosen.map(|weighed| self.owner(weighed)).collect()
+            let chosen = indices.into_iter().map(|index| &weighted[index]);
+            chosen.map(|weighted| self.owner(weighted)).collect()
         };
         OwnersOf {
             owners: pick(ranked.owners),
@@ -243,42 +248,43 @@
     /// be considered.
     pub fn is_owner_within(&self, instance: &InstanceName, zone: &ZoneName, count: usize) -> Option<bool> {
         let nodes = self.nodes();
-        let of_zone = nodes.in_zone(zone.as_str());
-        if of_zone.len() < count {
+        let in_zone = nodes.in_zone(zone.as_str());
+        if in_zone.len() < count {
             return None;
         }
         let is_here = nodes.get(&self.node).is_some_and(|own| own.zone == *zone);
-        Some(is_here && self.is_ahead_of_all_but(count, instance.as_str(), of_zone))
+        Some(is_here && self.ranks_within(count, instance.as_str(), in_zone))
     }
 
     /// Returns whether this node is among the first `count` nodes for `key`.
     pub fn is_among_first(&self, key: &str, count: usize) -> bool {
-        self.is_ahead_of_all_but(count, key, self.nodes().hashes())
+        self.ranks_within(count, key, self.nodes().hashes())
     }
 
     /// Returns whether fewer than `count` of the hashed nodes rank before this node for
     /// `key`. The scan stops at the `count`th such node, which keeps the check cheap
     /// enough to run for every group.
-    fn is_ahead_of_all_but(&self, count: usize, key: &str, hashes: &[u64]) -> bool {
+    fn ranks_within(&self, count: usize, key: &str, hashes: &[u64]) -> bool {
         let key = hash_of(key);
-        let own = weight(key, hash_of(&self.node));
+        let own = rendezvous_weight(key, hash_of(&self.node));
         let mut ahead = 0;
         let last = hashes.iter().position(|node| {
-            ahead += usize::from(weight(key, *node) > own);
+            ahead += usize::from(rendezvous_weight(key, *node) > own);
             ahead == count
         });
-        let weighed = last.map_or(hashes.len(), |last| last + 1);
-        self.weighed.fetch_add(weighed as u64, Ordering::Relaxed);
+        let computed = last.map_or(hashes.len(), |last| last + 1);
+        self.weights_computed
+            .fetch_add(computed as u64, Ordering::Relaxed);
         last.is_none()
     }
 
     /// Returns the number of rendezvous weights computed so far, a measure of the cost of
     /// choosing owners and watchers.
     pub fn nodes_weighed(&self) -> u64 {
-        self.weighed.load(Ordering::Relaxed)
+        self.weights_computed.load(Ordering::Relaxed)
     }
 
-    fn owner(&self, (_, name, node): &Weighted<'_>) -> Owner {
+    fn owner(&self, (_, name, node): &WeightedNode<'_>) -> Owner {
         Owner {
             address: node.record.peer_address,
             zone: node.zone.clone(),
@@ -290,8 +296,8 @@
     /// zone.
     pub fn first_for(&self, key: &str, count: usize) -> Vec<Owner> {
         let nodes = self.nodes();
-        let chosen = heaviest(weigh(&nodes, key).collect(), count);
-        chosen.iter().map(|weighed| self.owner(weighed)).collect()
+        let chosen = heaviest(weighted_nodes(&nodes, key).collect(), count);
+        chosen.iter().map(|weighted| self.owner(weighted)).collect()
     }
 
     /// Returns the addresses of the peers with which this node compares its catalog: up
@@ -299,7 +305,7 @@
     /// The limits keep the number of links independent of the number of nodes.
     pub fn neighbours(&self, zone: &str, near: usize, far: usize) -> Vec<SocketAddr> {
         let nodes = self.nodes();
-        let others = weigh(&nodes, &self.node).filter(|(_, name, _)| **name != self.node);
+        let others = weighted_nodes(&nodes, &self.node).filter(|(_, name, _)| **name != self.node);
         let (inside, outside): (Vec<_>, Vec<_>) = others.partition(|(_, _, node)| node.record.zone == zone);
         let inside = heaviest(inside, near);
         let outside = heaviest(outside, far);
@@ -315,18 +321,21 @@
     /// Returns how many nodes of `zone` rank before this node as relays.
     pub fn zone_rank(&self, zone: &str) -> usize {
         let nodes = self.nodes();
-        let own = relay_place(&self.node, nodes.get(&self.node));
-        let of_zone = nodes.by_name.iter().filter(|(_, node)| node.record.zone == zone);
-        of_zone
-            .filter(|(name, node)| relay_place(name, Some(node)) > own)
+        let own = relay_rank(&self.node, nodes.get(&self.node));
+        let in_zone = nodes.by_name.iter().filter(|(_, node)| node.record.zone == zone);
+        in_zone
+            .filter(|(name, node)| relay_rank(name, Some(node)) > own)
             .count()
     }
 
     /// Returns how many of the hashed nodes rank before this node for `key`.
-    fn count_ahead(&self, key: &str, hashes: &[u64]) -> usize {
+    fn count_ranked_ahead(&self, key: &str, hashes: &[u64]) -> usize {
         let key = hash_of(key);
-        let own = weight(key, hash_of(&self.node));
-        hashes.iter().filter(|node| weight(key, **node) > own).count()
+        let own = rendezvous_weight(key, hash_of(&self.node));
+        hashes
+            .iter()
+            .filter(|node| rendezvous_weight(key, **node) > own)
+            .count()
     }
 
     /// Returns the addresses of the other nodes of `zone`, in their order as relays.
@@ -334,11 +343,11 @@
         let nodes = self.nodes();
         let others = nodes.by_name.iter().filter(|(name, _)| **name != self.node);
         let in_zone = others.filter(|(_, node)| node.record.zone == zone);
-        let mut placed: Vec<_> = in_zone
-            .map(|(name, node)| (relay_place(name, Some(node)), node.record.peer_address))
+        let mut ranked: Vec<_> = in_zone
+            .map(|(name, node)| (relay_rank(name, Some(node)), node.record.peer_address))
             .collect();
-        placed.sort_unstable_by(|left, right| right.cmp(left));
-        placed.into_iter().map(|(_, address)| address).collect()
+        ranked.sort_unstable_by(|left, right| right.cmp(left));
+        ranked.into_iter().map(|(_, address)| address).collect()
     }
 
     fn nodes(&self) -> MutexGuard<'_, Nodes> {
@@ -364,14 +373,14 @@
     /// nodes with the same view compute the same order without coordination.
     pub fn rank(&self, key: &str) -> usize {
         let version = self.version();
-        let mut ranks = self.ranks.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((held, rank)) = ranks.get(key)
-            && *held == version
+        let mut rank_cache = self.rank_cache.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((cached_version, rank)) = rank_cache.get(key)
+            && *cached_version == version
         {
             return *rank;
         }
-        let rank = self.count_ahead(key, self.nodes().hashes());
-        ranks.insert(key.to_owned(), (version, rank));
+        let rank = self.count_ranked_ahead(key, self.nodes().hashes());
+        rank_cache.insert(key.to_owned(), (version, rank));
         rank
     }
 
@@ -390,10 +399,10 @@
     }
 
     /// Returns the name of the node whose record is stored under `key`.
-    fn name_in<'a>(&self, key: &'a str) -> Option<&'a str> {
-        let place = key.strip_prefix(&self.prefix)?;
+    fn node_name<'a>(&self, key: &'a str) -> Option<&'a str> {
+        let suffix = key.strip_prefix(&self.prefix)?;
         // Older versions use keys without a zone.
-        Some(place.rsplit_once('/').map_or(place, |(_, name)| name))
+        Some(suffix.rsplit_once('/').map_or(suffix, |(_, name)| name))
     }
 
     /// Returns the name of this node.
@@ -408,11 +417,11 @@
 
     /// Applies a record that was written to the store at `revision`.
     pub fn written(&self, name: &str, record: NodeRecord, revision: StoreRevision) {
-        if self.keep(&mut self.nodes(), name, record, revision) {
+        if self.insert_if_newer(&mut self.nodes(), name, record, revision) {
             self.changed();
         }
         if name == self.node {
-            self.tell_registration(Some(clock::now()));
+            self.publish_registration(Some(clock::now()));
         }
     }
 
@@ -427,7 +436,7 @@
             .filter(|(_, node)| match node.record.departure {
                 None => true,
                 Some(Departure::Stopped) => false,
-                Some(Departure::Unreachable) => now.millis_since(node.left_since) < PERMIT_MS,
+                Some(Departure::Unreachable) => now.millis_since(node.record_seen_at) < PERMIT_MS,
             })
             .map(|(_, node)| node.record.peer_address)
             .collect()
@@ -450,14 +459,20 @@
 
     /// Inserts a node's record unless a newer one is known. Returns whether a node was
     /// added or changed its zone or address.
-    fn keep(&self, nodes: &mut Nodes, name: &str, record: NodeRecord, revision: StoreRevision) -> bool {
+    fn insert_if_newer(
+        &self,
+        nodes: &mut Nodes,
+        name: &str,
+        record: NodeRecord,
+        revision: StoreRevision,
+    ) -> bool {
         let mut node = RegisteredNode::new(name, record, revision);
-        if let Some(held) = nodes.get(name) {
-            if held.revision > revision {
+        if let Some(known) = nodes.get(name) {
+            if known.revision > revision {
                 return false;
             }
-            if held.record == node.record {
-                node.left_since = held.left_since;
+            if known.record == node.record {
+                node.record_seen_at = known.record_seen_at;
             }
         }
         nodes.insert(name, node)
@@ -465,44 +480,44 @@
 
     /// Sets the time since which this node is registered, on which its lead permits
     /// depend, and wakes the task that maintains its record.
-    fn tell_registration(&self, since: Option<Instant>) {
+    fn publish_registration(&self, since: Option<Instant>) {
         self.directory.registered(since);
-        self.own_changed.notify_one();
+        self.own_record_changed.notify_one();
     }
 
     /// Waits until this node's record may have changed.
-    pub async fn own_changed(&self) {
-        self.own_changed.notified().await;
+    pub async fn own_record_changed(&self) {
+        self.own_record_changed.notified().await;
     }
 
     /// Updates the directory if this node's own record appeared or disappeared.
-    fn judge_registration(&self) {
+    fn update_registration(&self) {
         let is_present = self.own_record().0.is_some_and(|own| own.departure.is_none());
         match (is_present, self.directory.registered_since()) {
             // An earlier process wrote the record before this one started.
-            (true, None) => self.tell_registration(Some(self.started)),
-            (false, Some(_)) => self.tell_registration(None),
+            (true, None) => self.publish_registration(Some(self.started)),
+            (false, Some(_)) => self.publish_registration(None),
             _ => {}
         }
     }
 
     /// Applies changed records from the store.
     pub fn apply(&self, entries: Vec<Entry>) {
-        self.apply_to(&mut self.nodes(), entries);
-        self.judge_registration();
+        self.apply_entries(&mut self.nodes(), entries);
+        self.update_registration();
     }
 
-    fn apply_to(&self, nodes: &mut Nodes, entries: Vec<Entry>) {
+    fn apply_entries(&self, nodes: &mut Nodes, entries: Vec<Entry>) {
         let mut has_changed = false;
         for entry in entries {
-            let Some(name) = self.name_in(&entry.key) else {
+            let Some(name) = self.node_name(&entry.key) else {
                 continue;
             };
             let record = entry
                 .value
                 .and_then(|value| serde_json::from_slice::<NodeRecord>(&value).ok());
             has_changed |= match record {
-                Some(record) => self.keep(nodes, name, record, entry.revision),
+                Some(record) => self.insert_if_newer(nodes, name, record, entry.revision),
                 None => nodes.remove(name),
             };
         }
@@ -523,17 +538,17 @@
             let names: BTreeSet<&str> = listing
                 .entries
                 .iter()
-                .filter_map(|entry| self.name_in(&entry.key))
+                .filter_map(|entry| self.node_name(&entry.key))
                 .collect();
             let known = nodes.by_name.keys();
-            let gone: Vec<String> = known
+            let removed: Vec<String> = known
                 .filter(|name| !names.contains(name.as_str()))
                 .cloned()
                 .collect();
-            for name in &gone {
+            for name in &removed {
                 nodes.remove(name);
             }
-            if !gone.is_empty() {
+            if !removed.is_empty() {
                 self.changed();
             }
         }
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -20,34 +20,34 @@
 /// Maximum time for which instance records are polled at the urgent interval while a
 /// group's leader is missing, in milliseconds. It covers the time in which instances
 /// rewrite their records after a store outage and a lost leader is replaced.
-const MISSING_LEADER_MS: u64 = 4_000;
+const MISSING_LEADER_URGENT_MS: u64 = 4_000;
 /// Minimum interval between two waits for relays after store outages, in milliseconds.
 /// The relays may not reach a store that this node reaches.
-const REGAINED_PAUSE_MS: u64 = 10_000;
+const RELAY_WAIT_INTERVAL_MS: u64 = 10_000;
 /// Time for which a relay without an answer or fresh data is not asked, in milliseconds.
 const AVOID_MS: u64 = 8_000;
 /// Time for which a node that cannot serve yet does not ask a relay that did not answer,
 /// in milliseconds. It is short because the relay may be starting too, and each skipped
 /// relay makes another node read the store.
-const AVOID_AT_START_MS: u64 = 400;
+const STARTUP_AVOID_MS: u64 = 400;
 
 #[derive(Debug, Default)]
 struct State {
     /// Time since which this node can rely on relays: the nodes of its zone are known and
     /// the store is presumed reachable.
-    known_since: Option<Instant>,
+    relays_known_since: Option<Instant>,
     /// Time at which another node last asked this one as a relay.
-    asked: Option<Instant>,
+    asked_at: Option<Instant>,
     /// Time up to which the catalog is known, directly or through other nodes.
     freshness: CatalogFreshness,
     /// Time at which this node last waited for relays after a store outage.
-    regained: Option<Instant>,
+    relay_wait_began: Option<Instant>,
     /// Time since which the instance records lack a group's leader.
     leader_missing_since: Option<Instant>,
     /// Time at which a relay last answered.
-    relay_answered: Option<Instant>,
+    relay_answered_at: Option<Instant>,
     /// Relays that are not asked, with the time at which they may be asked again.
-    avoided: HashMap<SocketAddr, Instant>,
+    avoided_until: HashMap<SocketAddr, Instant>,
 }
 
 /// This node's view of the relays of its zone.
@@ -95,7 +95,7 @@
 
     /// Records that another node asked this one as a relay.
     pub fn asked_as_relay(&self) {
-        self.state().asked = Some(clock::now());
+        self.state().asked_at = Some(clock::now());
     }
 
     /// Records that the store delivered instance records.
@@ -138,14 +138,14 @@
     /// Stops asking a relay briefly, because it may be starting too. Used by nodes that
     /// do not know enough to serve.
     pub fn avoid_at_start(&self, relay: SocketAddr) {
-        self.avoid_for(relay, AVOID_AT_START_MS);
+        self.avoid_for(relay, STARTUP_AVOID_MS);
     }
 
-    fn avoid_for(&self, relay: SocketAddr, time_ms: u64) {
+    fn avoid_for(&self, relay: SocketAddr, duration_ms: u64) {
         let now = clock::now();
         let mut state = self.state();
-        state.avoided.retain(|_, until| *until > now);
-        state.avoided.insert(relay, now.plus_millis(time_ms));
+        state.avoided_until.retain(|_, until| *until > now);
+        state.avoided_until.insert(relay, now.plus_millis(duration_ms));
     }
 
     /// Records the answer of a relay that heard from the store `store_age_ms` ago.
@@ -154,7 +154,7 @@
     /// data, the store is down, and asking other nodes as relays would only add load when
     /// it recovers.
     pub fn told_by_relay(&self, relay: SocketAddr, store_age_ms: Option<u64>) {
-        self.state().relay_answered = Some(clock::now());
+        self.state().relay_answered_at = Some(clock::now());
         let is_old = |age: Option<u64>| age.is_none_or(|age| age >= self.times.fresh_ms);
         if !is_old(store_age_ms) || is_old(self.store_age_ms()) {
             return;
@@ -197,7 +197,8 @@
         };
         let now = clock::now();
         let state = self.state();
-        let is_usable = |address: &SocketAddr| state.avoided.get(address).is_none_or(|until| *until <= now);
+        let is_usable =
+            |address: &SocketAddr| state.avoided_until.get(address).is_none_or(|until| *until <= now);
         let ranked = registry.zone_peers(&self.zone).into_iter();
         ranked.filter(is_usable).take(count).collect()
     }
@@ -213,7 +214,7 @@
         }
         let now = clock::now();
         let since = *state.leader_missing_since.get_or_insert(now);
-        now.millis_since(since) < MISSING_LEADER_MS
+        now.millis_since(since) < MISSING_LEADER_URGENT_MS
     }
 
     /// Waits for relays again after a store outage, as at startup, since they recover at
@@ -223,13 +224,13 @@
         {
             let mut state = self.state();
             let is_recent = state
-                .regained
-                .is_some_and(|regained| now.millis_since(regained) < REGAINED_PAUSE_MS);
-            if is_recent || state.known_since.is_none() {
+                .relay_wait_began
+                .is_some_and(|began| now.millis_since(began) < RELAY_WAIT_INTERVAL_MS);
+            if is_recent || state.relays_known_since.is_none() {
                 return;
             }
-            state.regained = Some(now);
-            state.known_since = Some(now);
+            state.relay_wait_began = Some(now);
+            state.relays_known_since = Some(now);
         }
         self.judge(engine);
     }
@@ -243,9 +244,9 @@
         let is_relay = self.is_relay(&engine.registry);
         let (known_since, asked, heard, relay_answered) = {
             let mut state = self.state();
-            let known_since = *state.known_since.get_or_insert_with(clock::now);
+            let known_since = *state.relays_known_since.get_or_insert_with(clock::now);
             let heard = state.freshness.as_of();
-            (known_since, state.asked, heard, state.relay_answered)
+            (known_since, state.asked_at, heard, state.relay_answered_at)
         };
         let catalog = CatalogState {
             is_relay,
@@ -276,7 +277,7 @@
 }
 
 /// Decides whether this node reads the store as soon as the nodes of its zone are known.
-pub async fn judge_at_start(engine: Arc<Engine>) {
+pub async fn decide_source_at_start(engine: Arc<Engine>) {
     engine.registry.await_zone_known().await;
     engine.relays.judge(&engine);
 }
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -17,25 +17,25 @@
 
 /// Delay before the first retry while the store does not answer. Later delays double,
 /// because each call adds load to a store in trouble.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Timeout of a follower's first listing, doubled after each failure up to
 /// [`USUAL_SILENCE`]. A store that recovers from an outage does not answer earlier calls,
 /// so the first calls are abandoned early.
-const FIRST_LISTING_SILENCE: Duration = Duration::from_millis(500);
+const FIRST_LISTING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between parallel probe calls of a node without data. A store that recovers
 /// may answer only new calls.
-const FIRST_CALL_PAUSE: Duration = Duration::from_millis(400);
+const PROBE_CALL_INTERVAL: Duration = Duration::from_millis(400);
 /// Maximum number of probe calls in flight.
-const MOST_FIRST_CALLS: usize = 5;
+const MAX_PROBE_CALLS: usize = 5;
 /// The store may truncate watch responses with at least this many changes; a shorter
 /// response is complete.
-const LEAST_CUT_ANSWER: usize = 100;
+const MIN_TRUNCATED_CHANGES: usize = 100;
 /// Maximum time that a starting node waits for the decision whether it reads the store or
 /// relies on relays.
-const DECISION_LIMIT: Duration = Duration::from_millis(500);
+const SOURCE_DECISION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time that a follower waits for the sentinel to reach the store before it calls
 /// the store itself. The store may refuse the sentinel's calls alone.
-const SENTINEL_PATIENCE: Duration = Duration::from_millis(5_000);
+const SENTINEL_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Maximum delay between two retries.
 pub const MOST_PAUSE: Duration = Duration::from_millis(1_500);
 /// Maximum delay between two retries on a node that relays inform when the store has
@@ -103,11 +103,11 @@
     /// Returns a shorter prefix that a starting node reads first, with a serializable
     /// read, to decide whether relays deliver the rest; `None` if another follower reads
     /// the data for that decision.
-    fn part_read_first(&self) -> Option<String> {
+    fn initial_prefix(&self) -> Option<String> {
         None
     }
     /// Handles the listing of the initial prefix, which may be slightly out of date.
-    fn part_learned(&self, _listing: Listing) {}
+    fn initial_prefix_listed(&self, _listing: Listing) {}
     /// Called when the store answers a watch without changes.
     fn heard(&self) {}
     /// Called when the store answers again after this node's calls had failed, before the
@@ -140,59 +140,59 @@
 
 /// State of a follower across listings and watches.
 #[derive(Debug)]
-struct Progress {
+struct FollowState {
     /// Whether the prefix was read at least once, by this node or by relays.
     has_read: bool,
     /// Time at which the store stopped answering.
-    lost_at: Option<Instant>,
+    outage_since: Option<Instant>,
     /// Timeout of the next listing.
-    silence: Duration,
+    listing_timeout: Duration,
     /// Delay after the next failure.
-    pause: Duration,
+    retry_delay: Duration,
 }
 
-impl Progress {
+impl FollowState {
     const fn new() -> Self {
-        Progress {
+        FollowState {
             has_read: false,
-            lost_at: None,
-            silence: FIRST_LISTING_SILENCE,
-            pause: RETRY_PAUSE,
+            outage_since: None,
+            listing_timeout: FIRST_LISTING_TIMEOUT,
+            retry_delay: INITIAL_RETRY_DELAY,
         }
     }
 
     /// Records that relays delivered the prefix.
-    fn left_to_relays(&mut self) {
+    fn mark_relayed(&mut self) {
         self.has_read = true;
-        self.lost_at = None;
+        self.outage_since = None;
     }
 
     /// Records a failed call and returns the delay before the next one.
-    fn failed(&mut self, follower: &dyn Follower, error: &StoreError) -> Duration {
-        if self.lost_at.is_none() {
+    fn record_failure(&mut self, follower: &dyn Follower, error: &StoreError) -> Duration {
+        if self.outage_since.is_none() {
             warn!(
                 "event=store_lost watch={} error={:?}",
                 follower.name(),
                 error.to_string()
             );
-            self.lost_at = Some(clock::now());
-            self.pause = RETRY_PAUSE;
+            self.outage_since = Some(clock::now());
+            self.retry_delay = INITIAL_RETRY_DELAY;
         }
-        let pause = self.pause;
+        let delay = self.retry_delay;
         // A node without data cannot serve callers, so it keeps the shortest delay.
         if self.has_read {
-            self.pause = (pause * 2).min(follower.most_pause());
-            self.silence = USUAL_SILENCE;
+            self.retry_delay = (delay * 2).min(follower.most_pause());
+            self.listing_timeout = USUAL_SILENCE;
         } else {
-            self.silence = (self.silence * 2).min(USUAL_SILENCE);
+            self.listing_timeout = (self.listing_timeout * 2).min(USUAL_SILENCE);
         }
-        pause.mul_f64(rand::rng().random_range(0.75..1.25))
+        delay.mul_f64(rand::rng().random_range(0.75..1.25))
     }
 
     /// Records a successful listing.
-    fn heard(&mut self, follower: &dyn Follower, contact: &StoreContact) {
+    fn record_success(&mut self, follower: &dyn Follower, contact: &StoreContact) {
         self.has_read = true;
-        let was_lost = regained(follower, &mut self.lost_at);
+        let was_lost = end_outage(follower, &mut self.outage_since);
         if follower.is_sentinel() && (was_lost || contact.is_lost()) {
             contact.note_regained();
         }
@@ -207,61 +207,61 @@
     follower: Arc<dyn Follower>,
     contact: Arc<StoreContact>,
 ) {
-    let mut progress = Progress::new();
+    let mut state = FollowState::new();
     let mut reads = follower.reads();
     loop {
         follower.unwatched();
-        if until_reads(&mut reads).await {
-            progress.left_to_relays();
+        if wait_while_relayed(&mut reads).await {
+            state.mark_relayed();
         }
         if contact.is_lost() && !follower.is_sentinel() {
-            contact.heard(SENTINEL_PATIENCE).await;
+            contact.heard(SENTINEL_TIMEOUT).await;
         }
         let mut regained = contact.regained.subscribe();
         // The first listing is never cancelled, because the relays may be starting too.
-        let may_leave = progress.has_read;
-        let reading = read_once(&*store, &prefix, &*follower, &contact, &mut progress);
+        let may_cancel = state.has_read;
+        let listing = list_prefix(&*store, &prefix, &*follower, &contact, &mut state);
         let read = tokio::select! {
-            result = reading => result,
+            result = listing => result,
             // The listing may have been lost without an error.
             Ok(()) = regained.changed(), if !follower.is_sentinel() => continue,
-            () = until_left(&mut reads), if may_leave => continue,
+            () = wait_until_relayed(&mut reads), if may_cancel => continue,
         };
-        let ended = match read {
+        let outcome = match read {
             Ok(Some(revision)) => tokio::select! {
                 result = watch_changes(&*store, &prefix, &*follower, revision) => result,
                 // The watch may have been lost without an error.
                 Ok(()) = regained.changed(), if !follower.is_sentinel() => Ok(()),
-                () = until_left(&mut reads) => Ok(()),
+                () = wait_until_relayed(&mut reads) => Ok(()),
             },
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
         follower.unwatched();
-        let Err(error) = ended else { continue };
-        let pause = progress.failed(&*follower, &error);
+        let Err(error) = outcome else { continue };
+        let delay = state.record_failure(&*follower, &error);
         if follower.is_sentinel() {
             contact.note_lost();
         }
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             Ok(()) = regained.changed(), if !follower.is_sentinel() => {}
-            () = until_left(&mut reads) => {}
+            () = wait_until_relayed(&mut reads) => {}
         }
     }
 }
 
 /// Waits while relays deliver the prefix. Returns whether they did when called.
-async fn until_reads(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
+async fn wait_while_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
     let Some(reads) = reads else { return false };
-    let has_left = *reads.borrow_and_update() == StoreReading::LeftToRelays;
+    let was_relayed = *reads.borrow_and_update() == StoreReading::LeftToRelays;
     // The sender lives as long as the node.
     let _ = reads.wait_for(|reads| *reads != StoreReading::LeftToRelays).await;
-    has_left
+    was_relayed
 }
 
 /// Waits until relays deliver the prefix.
-async fn until_left(reads: &mut Option<watch::Receiver<StoreReading>>) {
+async fn wait_until_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) {
     let Some(reads) = reads else {
         return std::future::pending().await;
     };
@@ -270,68 +270,68 @@
 }
 
 /// Returns whether relays deliver the prefix.
-fn is_left(follower: &dyn Follower) -> bool {
+fn is_relayed(follower: &dyn Follower) -> bool {
     let reads = follower.reads();
     reads.is_some_and(|reads| *reads.borrow() == StoreReading::LeftToRelays)
 }
 
 /// Waits for a limited time for the decision where this node reads the catalog from.
 /// Returns whether relays deliver it.
-async fn leaves_to_relays(follower: &dyn Follower) -> bool {
+async fn await_source_decision(follower: &dyn Follower) -> bool {
     let Some(mut reads) = follower.reads() else {
         return false;
     };
     let decided = reads.wait_for(|reads| *reads != StoreReading::Undecided);
     // After the timeout the node reads the store, whatever is decided later.
-    let _ = tokio::time::timeout(DECISION_LIMIT, decided).await;
-    is_left(follower)
+    let _ = tokio::time::timeout(SOURCE_DECISION_TIMEOUT, decided).await;
+    is_relayed(follower)
 }
 
 /// Lists the prefix. Returns the revision from which to watch its changes, or `None` if
 /// relays deliver them.
-async fn read_once<S: Store>(
+async fn list_prefix<S: Store>(
     store: &S,
     prefix: &str,
     follower: &dyn Follower,
     contact: &StoreContact,
-    progress: &mut Progress,
+    state: &mut FollowState,
 ) -> Result<Option<StoreRevision>, StoreError> {
-    let is_first = !progress.has_read;
+    let is_first = !state.has_read;
     if is_first {
-        if let Some(part) = follower.part_read_first() {
-            let listing = store.list_serializable(&part, progress.silence).await?;
-            follower.part_learned(listing);
+        if let Some(initial) = follower.initial_prefix() {
+            let listing = store.list_serializable(&initial, state.listing_timeout).await?;
+            follower.initial_prefix_listed(listing);
         }
         // Nodes behind relays skip the full listing: the link to the store would be
         // saturated if all nodes of a large deployment listed it at the same time.
-        if leaves_to_relays(follower).await {
+        if await_source_decision(follower).await {
             return Ok(None);
         }
     }
     if contact.is_lost() && follower.is_sentinel() && is_first {
-        await_store(store, prefix).await?;
+        probe_store(store, prefix).await?;
     } else if contact.is_lost() && follower.is_sentinel() {
         // A serializable read is the cheapest check that the store has recovered.
-        store.list_serializable(prefix, progress.silence).await?;
+        store.list_serializable(prefix, state.listing_timeout).await?;
         // If the first call succeeds, the store was never down and only the relays have
         // lost it. Waiting for the relays would then delay fresh data.
-        if progress.lost_at.is_some() {
+        if state.outage_since.is_some() {
             follower.store_answers();
-            if leaves_to_relays(follower).await {
+            if await_source_decision(follower).await {
                 return Ok(None);
             }
         }
         // Lets the other followers read in parallel, since sequential listings would
         // delay the configuration.
-        progress.heard(follower, contact);
+        state.record_success(follower, contact);
     }
     let asked = clock::now();
-    let listing = store.list(prefix, progress.silence).await?;
+    let listing = store.list(prefix, state.listing_timeout).await?;
     let revision = listing.revision;
     follower.listed(listing);
     follower.complete(asked);
-    progress.heard(follower, contact);
-    Ok((!is_left(follower)).then_some(revision))
+    state.record_success(follower, contact);
+    Ok((!is_relayed(follower)).then_some(revision))
 }
 
 /// Watches the prefix for changes after `revision` until the watch is lost.
@@ -345,13 +345,13 @@
     loop {
         let asked = clock::now();
         let report = watch.next().await?;
-        let is_whole = report.changes.len() < LEAST_CUT_ANSWER;
+        let is_complete = report.changes.len() < MIN_TRUNCATED_CHANGES;
         if report.changes.is_empty() {
             follower.heard();
         } else {
             follower.changed(report.changes);
         }
-        if is_whole {
+        if is_complete {
             follower.complete(asked);
             follower.rest().await;
         }
@@ -363,7 +363,7 @@
 
 /// Probes the store on behalf of a node without data. Returns when any call succeeds;
 /// fails when a call fails and no other is in flight.
-async fn await_store<S: Store>(store: &S, prefix: &str) -> Result<(), StoreError> {
+async fn probe_store<S: Store>(store: &S, prefix: &str) -> Result<(), StoreError> {
     let mut calls = FuturesUnordered::new();
     let mut next_call = tokio::time::Instant::now();
     loop {
@@ -374,17 +374,17 @@
                 Err(error) if calls.is_empty() => return Err(error),
                 Err(error) => debug!("event=store_still_lost error={:?}", error.to_string()),
             },
-            () = tokio::time::sleep_until(next_call), if calls.len() < MOST_FIRST_CALLS => {
+            () = tokio::time::sleep_until(next_call), if calls.len() < MAX_PROBE_CALLS => {
                 calls.push(store.list_serializable(prefix, USUAL_SILENCE));
-                next_call += FIRST_CALL_PAUSE;
+                next_call += PROBE_CALL_INTERVAL;
             }
         }
     }
 }
 
 /// Ends an outage. Returns whether there was one.
-fn regained(follower: &dyn Follower, lost_at: &mut Option<Instant>) -> bool {
-    let was_lost = lost_at.take();
+fn end_outage(follower: &dyn Follower, outage_since: &mut Option<Instant>) -> bool {
+    let was_lost = outage_since.take();
     if let Some(lost) = was_lost {
         info!(
             "event=store_regained watch={} outage_ms={}",
