--- a/crates/millwind-engine/src/logging.rs
+++ b/crates/millwind-engine/src/logging.rs
@@ -25,7 +25,7 @@
 static WRITTEN: AtomicU64 = AtomicU64::new(0);
 
 /// Interval between two checks for unwritten lines.
-const FINISH_TICK: Duration = Duration::from_millis(2);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Returns the number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
@@ -39,7 +39,7 @@
     while WRITTEN.load(Ordering::Acquire) < QUEUED.load(Ordering::Acquire)
         && std::time::Instant::now() < deadline
     {
-        std::thread::sleep(FINISH_TICK);
+        std::thread::sleep(FLUSH_POLL_INTERVAL);
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 fn write_lines(receiver: &Receiver<String>) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(line) = receiver.recv() {
         let mut batch = line;
         let mut lines = 1;
@@ -88,12 +88,12 @@
             lines += 1;
         }
         let dropped = dropped_lines();
-        if dropped > told {
+        if dropped > reported {
             batch.push_str(&format!(
                 "level=warn event=log_lines_dropped count={} total={dropped}\n",
-                dropped - told
+                dropped - reported
             ));
-            told = dropped;
+            reported = dropped;
         }
         if std::io::stdout().write_all(batch.as_bytes()).is_err() {
             return;
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -22,15 +22,15 @@
 use crate::node::Engine;
 
 /// Timeout of a loan request to another node: a few round trips between regions.
-const LOAN_LIMIT: Duration = Duration::from_millis(200);
+const LOAN_TIMEOUT: Duration = Duration::from_millis(200);
 /// Number of nodes that may count for a tenant: the first by rendezvous hashing and its
 /// stand-in.
-const COUNTERS: usize = 2;
+const COUNTING_NODES: usize = 2;
 
 /// A new budget starts unspent if the set of nodes has not changed for this time, in
 /// milliseconds. It exceeds both the window in which quotas are enforced and the time in
 /// which nodes may disagree about the set of nodes.
-const UNSPENT_MS: u64 = 8_000;
+const UNSPENT_AFTER_MS: u64 = 8_000;
 
 /// Quota state of this node.
 #[derive(Debug, Default)]
@@ -51,7 +51,7 @@
 
     /// Drops the local budget of a tenant whose counting node was reached. Otherwise all
     /// nodes would spend their saved operations at once in the next network partition.
-    fn counted(&self, tenant: &TenantName) {
+    fn drop_uncounted(&self, tenant: &TenantName) {
         let mut uncounted = self.uncounted.lock().unwrap_or_else(PoisonError::into_inner);
         uncounted.remove(tenant);
     }
@@ -91,7 +91,7 @@
 }
 
 impl Engine {
-    fn quota_of(&self, tenant: &TenantName) -> Option<Quota> {
+    fn tenant_quota(&self, tenant: &TenantName) -> Option<Quota> {
         let config = self.directory.config()?;
         config.tenants.as_ref()?.quotas.get(tenant).copied()
     }
@@ -102,13 +102,13 @@
         let Some(tenant) = user.tenant() else {
             return Ok(());
         };
-        let Some(quota) = self.quota_of(tenant) else {
+        let Some(quota) = self.tenant_quota(tenant) else {
             return Ok(());
         };
         let borrower = self.quotas.borrower(tenant);
         borrower.arrived(clock::now());
         loop {
-            let answered = borrower.answered.notified();
+            let loan_answered = borrower.answered.notified();
             match self.try_admit(tenant, quota, &borrower) {
                 Admission::Admitted => return Ok(()),
                 Admission::Refused { retry_after_ms } => {
@@ -119,15 +119,15 @@
                 Admission::AskFirst => {}
             }
             let _waiting = borrower.wait();
-            answered.await;
+            loan_answered.await;
         }
     }
 
     fn try_admit(self: &Arc<Self>, tenant: &TenantName, quota: Quota, borrower: &Arc<Borrower>) -> Admission {
-        let (admission, must_ask) = borrower.try_admit(clock::now());
-        if must_ask {
-            let asking = self.clone().borrow(tenant.clone(), quota, borrower.clone());
-            tokio::spawn(asking);
+        let (admission, must_borrow) = borrower.try_admit(clock::now());
+        if must_borrow {
+            let request = self.clone().borrow(tenant.clone(), quota, borrower.clone());
+            tokio::spawn(request);
         }
         admission
     }
@@ -138,9 +138,9 @@
         tokio::task::yield_now().await;
         let asked = clock::now();
         let wanted = borrower.wanted(asked);
-        let (loan, lender) = self.ask_for_loan(&tenant, quota, wanted).await;
+        let (loan, lender) = self.request_loan(&tenant, quota, wanted).await;
         if lender != Lender::Nobody {
-            self.quotas.counted(&tenant);
+            self.quotas.drop_uncounted(&tenant);
         }
         self.metrics.quota_loans.inc();
         if loan.operations == 0 || lender == Lender::Nobody {
@@ -160,19 +160,19 @@
         }
     }
 
-    async fn ask_for_loan(&self, tenant: &TenantName, quota: Quota, wanted: u32) -> (Loan, Lender) {
-        for counter in self.registry.first_for(tenant.as_str(), COUNTERS) {
+    async fn request_loan(&self, tenant: &TenantName, quota: Quota, wanted: u32) -> (Loan, Lender) {
+        for counter in self.registry.first_for(tenant.as_str(), COUNTING_NODES) {
             if counter.is_self {
                 if let Some(loan) = self.lend(tenant, wanted) {
                     return (loan, Lender::Own);
                 }
                 continue;
             }
-            let asking = async {
+            let request = async {
                 let link = self.owners.link_to(counter.address).await?;
                 link.borrow(tenant, wanted).await
             };
-            if let Ok(Some(loan)) = tokio::time::timeout(LOAN_LIMIT, asking).await {
+            if let Ok(Some(loan)) = tokio::time::timeout(LOAN_TIMEOUT, request).await {
                 return (loan, Lender::Other);
             }
         }
@@ -188,14 +188,14 @@
     /// count for the tenant or the tenant has no quota. During a network partition the
     /// loan covers only the share of the nodes on this side.
     pub(crate) fn lend(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
-        let quota = self.quota_of(tenant)?;
-        let counters = self.registry.first_for(tenant.as_str(), COUNTERS);
+        let quota = self.tenant_quota(tenant)?;
+        let counters = self.registry.first_for(tenant.as_str(), COUNTING_NODES);
         let rank = counters.iter().position(|counter| counter.is_self)?;
         let other = counters.iter().find(|counter| !counter.is_self);
         let reach = self.peer_reach.known(other.map(|other| other.address));
         let part = quota.part(f64::from(lent_percent(rank == 0, reach)));
         // The set of nodes is stable, so no other node has counted for the tenant.
-        let beginning = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_MS {
+        let beginning = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_AFTER_MS {
             true => Beginning::Unspent,
             false => Beginning::FirstLoan,
         };
--- a/crates/millwind-engine/src/region_terms.rs
+++ b/crates/millwind-engine/src/region_terms.rs
@@ -49,14 +49,14 @@
     let mut pairs = 0;
     let mut example = None;
     let tenants = config.tenants.iter().flat_map(|tenants| &tenants.allowed_regions);
-    for (tenant, of_tenant) in tenants {
+    for (tenant, tenant_regions) in tenants {
         for (name, database) in &config.databases {
-            if database.allowed_regions.both(of_tenant) != AllowedRegions::Only(BTreeSet::new()) {
+            if database.allowed_regions.both(tenant_regions) != AllowedRegions::Only(BTreeSet::new()) {
                 continue;
             }
             pairs += 1;
             let names = (name.to_string(), tenant.to_string());
-            example = Some(example.map_or(names.clone(), |held: (String, String)| held.min(names)));
+            example = Some(example.map_or(names.clone(), |first: (String, String)| first.min(names)));
         }
     }
     (pairs, example)
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -20,12 +20,12 @@
 use crate::statement::{Command, Envelope, InstanceStatus};
 
 /// Interval between two checks for connections in use.
-const SETTLE_PAUSE: Duration = Duration::from_millis(10);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A leader that answered within this time is asked to step down, in milliseconds. The
 /// time covers slightly more than one health check interval.
-const REACHED_MS: u64 = 1_000;
+const RECENT_CONTACT_MS: u64 = 1_000;
 /// Timeout of status requests and orders to step down, in milliseconds.
-const QUESTION_MS: u64 = 300;
+const STATUS_TIMEOUT_MS: u64 = 300;
 
 /// Hands back this node's permit for a closed term. Returns whether the old leader has
 /// confirmed to this node that it stepped down.
@@ -38,8 +38,8 @@
         .instance(&InstanceName::from(closing.leader.as_str()));
     if let Some(known) = &leader {
         if closing.steps_down == 0 {
-            settle(engine, &known.record).await;
-        } else if is_reached(known.contact.last_success) {
+            wait_for_connections(engine, &known.record).await;
+        } else if is_recent_contact(known.contact.last_success) {
             step_down_in_background(engine, &known.record, term);
         }
     }
@@ -69,15 +69,15 @@
     });
 }
 
-fn is_reached(last_success: Option<Instant>) -> bool {
-    last_success.is_some_and(|success| clock::now().millis_since(success) < REACHED_MS)
+fn is_recent_contact(last_success: Option<Instant>) -> bool {
+    last_success.is_some_and(|success| clock::now().millis_since(success) < RECENT_CONTACT_MS)
 }
 
 /// Waits until no connection to the old leader is in use, for at most [`SETTLE_MS`].
-async fn settle(engine: &Engine, record: &InstanceRecord) {
+async fn wait_for_connections(engine: &Engine, record: &InstanceRecord) {
     let limit = clock::now().plus_millis(SETTLE_MS);
     while engine.pool(record).connections_in_use() > 0 && clock::now() < limit {
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
     }
 }
 
@@ -121,17 +121,17 @@
     record: &InstanceRecord,
     command: Command<'static>,
 ) -> Option<(InstanceStatus, PooledConnection)> {
-    let deadline = clock::now().plus_millis(QUESTION_MS);
+    let deadline = clock::now().plus_millis(STATUS_TIMEOUT_MS);
     let session = SessionState::default();
     let pool = engine.pool(record);
-    let asking = async {
+    let request = async {
         let mut connection = pool
             .acquire(Purpose::Probe, &ConnectionUser::System, &session, None, deadline)
             .await?;
         let reply = connection.exchange(&Envelope::own(command), deadline).await?;
         Ok::<_, LinkError>((reply, connection))
     };
-    match asking.await {
+    match request.await {
         Ok((reply, connection)) => Some((engine.backend_codec().read_status(&reply)?, connection)),
         Err(error) => {
             info!(
--- a/crates/millwind-engine/src/watch_list.rs
+++ b/crates/millwind-engine/src/watch_list.rs
@@ -15,7 +15,7 @@
 
 /// Maximum age of the set before all groups are evaluated again, in milliseconds. It
 /// bounds the time for which a missed change could leave a group unwatched.
-const MOST_AGE_MS: u64 = 5_000;
+const MAX_AGE_MS: u64 = 5_000;
 
 /// Versions of the inputs that affect all groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct WatchList {
     groups: Arc<HashSet<GroupName>>,
-    made: Option<(Inputs, Instant)>,
+    computed: Option<(Inputs, Instant)>,
 }
 
 impl WatchList {
@@ -40,17 +40,17 @@
         };
         let now = clock::now();
         let changed = engine.directory.take_changed_groups();
-        let is_current = |(made, at): (Inputs, Instant)| made == inputs && now.millis_since(at) < MOST_AGE_MS;
-        if !self.made.is_some_and(is_current) {
+        let is_current = |(used, at): (Inputs, Instant)| used == inputs && now.millis_since(at) < MAX_AGE_MS;
+        if !self.computed.is_some_and(is_current) {
             self.groups = Arc::new(watched_groups(engine));
-            self.made = Some((inputs, now));
+            self.computed = Some((inputs, now));
         } else if !changed.is_empty() {
-            self.judge(engine, changed);
+            self.update(engine, changed);
         }
         self.groups.clone()
     }
 
-    fn judge(&mut self, engine: &Engine, changed: HashSet<GroupName>) {
+    fn update(&mut self, engine: &Engine, changed: HashSet<GroupName>) {
         engine.metrics.groups_judged.inc_by(changed.len() as u64);
         let groups = Arc::make_mut(&mut self.groups);
         for group in changed {
