--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -85,8 +85,8 @@
     }
 
     /// Returns the share of reachable nodes and the state of the other counting node. A
-    /// node that was not probed yet is reported as answering, for which the least is
-    /// lent.
+    /// node that was not probed yet is reported as answering, the state in which the
+    /// least is lent.
     pub fn known(&self, other_counter: Option<SocketAddr>) -> Reach {
         let now = clock::now();
         let mut state = self.state();
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -218,7 +218,7 @@
             contact.heard(SENTINEL_TIMEOUT).await;
         }
         let mut regained = contact.regained.subscribe();
-        // The first listing is never cancelled, because the relays may be starting too.
+        // Relays do not cancel the first listing, because they may be starting too.
         let may_cancel = state.has_read;
         let listing = list_prefix(&*store, &prefix, &*follower, &contact, &mut state);
         let read = tokio::select! {
--- a/crates/millwind-engine/src/watch_list.rs
+++ b/crates/millwind-engine/src/watch_list.rs
@@ -14,7 +14,7 @@
 use crate::node::Engine;
 
 /// Maximum age of the set before all groups are evaluated again, in milliseconds. It
-/// bounds the time for which a missed change could leave a group unwatched.
+/// bounds the time for which a missed change could leave a group without a watcher.
 const MAX_AGE_MS: u64 = 5_000;
 
 /// Versions of the inputs that affect all groups.
