--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -1,5 +1,5 @@
-//! The system's own keys in the store: read by the relays, told on to the other
-//! nodes, and passed to everything that is kept there.
+//! Replica of the system's own keys in the store. Relays read the keys, peers exchange
+//! them, and every change is passed to the followers of the data kept there.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,22 +16,22 @@
 use crate::registry::Registry;
 use crate::store_watch::{Follower, StoreReading};
 
-/// Between two reports of the system's own keys: at a start every node
-/// registers.
-const PACE: Duration = Duration::from_millis(1_500);
+/// Interval between two watch responses for the system's own keys, which batches the
+/// registrations of nodes that start together.
+const BATCH_INTERVAL: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Default)]
 struct State {
-    /// By key; removed ones too, so that peers hear of the removal.
+    /// Documents by key. Removed ones are kept so that peers learn of the removal.
     documents: KeptDocuments,
-    /// Store revision up to which everything is known; none where nothing is known.
+    /// Store revision up to which all documents are known.
     known_revision: StoreRevision,
 }
 
-/// Follows the system's own keys on behalf of everything kept there.
+/// Follows the system's own keys and passes them to other followers.
 pub struct OwnKeys {
     followers: Vec<Arc<dyn Follower>>,
-    /// The nodes, where those of the own zone are read first.
+    /// Registry to fill first with the nodes of the own zone, if enabled.
     nodes: Option<Arc<Registry>>,
     reads_store: watch::Receiver<StoreReading>,
     state: Mutex<State>,
@@ -44,8 +44,8 @@
 }
 
 impl OwnKeys {
-    /// Passes everything on to all of `followers`; read from the store itself
-    /// while `reads_store` says so.
+    /// Creates a replica that passes all documents to `followers`. `reads_store` tells
+    /// whether the node reads them from the store.
     pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<StoreReading>) -> Self {
         OwnKeys {
             followers,
@@ -55,9 +55,9 @@
         }
     }
 
-    /// The same where a starting node reads the nodes of its own zone first: its relays
-    /// are among them, and tell it all the rest.
-    pub fn reading_zone_first(self, nodes: Arc<Registry>) -> Self {
+    /// Makes a starting node read the nodes of its own zone first. They include its
+    /// relays, which deliver the rest.
+    pub fn with_zone_first(self, nodes: Arc<Registry>) -> Self {
         OwnKeys {
             nodes: Some(nodes),
             ..self
@@ -68,61 +68,62 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Store revision up to which everything is known; none where nothing is known.
+    /// Returns the store revision up to which all documents are known, or
+    /// [`StoreRevision::NONE`] if nothing is known.
     pub fn known_revision(&self) -> StoreRevision {
         self.state().known_revision
     }
 
-    /// Documents that changed after `revision`, for a peer.
+    /// Returns the documents that changed after `revision`, to send to a peer.
     pub fn documents_after(&self, revision: StoreRevision) -> DocumentList {
         self.state().documents.after(revision)
     }
 
-    /// Takes in the documents that a peer told of, which knows all of them up
-    /// to `revision`.
+    /// Applies documents from a peer that knows all documents up to `revision`.
     pub fn learn(&self, documents: Vec<StoredDocument>, revision: StoreRevision) {
         if revision.is_none() {
             return;
         }
-        let entries: Vec<Entry> = documents.into_iter().map(entry_of).collect();
-        let (fresh, is_whole) = {
+        let entries: Vec<Entry> = documents.into_iter().map(to_entry).collect();
+        let (fresh, is_full_copy) = {
             let mut state = self.state();
             let is_new_era = revision.era > state.known_revision.era;
-            let is_whole = state.known_revision.is_none() || is_new_era;
+            let is_full_copy = state.known_revision.is_none() || is_new_era;
             if is_new_era {
-                // The other node has told all that the store holds since it was restored.
-                state.remove_all_but(&entries, revision);
+                // The store was restored from a backup and the peer sent its whole
+                // content, so documents that the peer did not send are gone.
+                state.remove_missing(&entries, revision);
             }
-            let news = |entry: &Entry| state.keep(entry);
-            let fresh: Vec<Entry> = entries.into_iter().filter(news).collect();
-            state.know(revision);
-            (fresh, is_whole)
+            let is_newer = |entry: &Entry| state.insert_if_newer(entry);
+            let fresh: Vec<Entry> = entries.into_iter().filter(is_newer).collect();
+            state.advance_revision(revision);
+            (fresh, is_full_copy)
         };
-        if is_whole {
+        if is_full_copy {
             let known = self.state().as_listing();
-            self.tell_listed(&known);
+            self.notify_listed(&known);
         } else if !fresh.is_empty() {
-            self.tell_changed(&fresh);
+            self.notify_changed(&fresh);
         }
     }
 
-    /// Takes in one document that a peer told of ahead of the store; others
-    /// that changed before it may still be unknown.
+    /// Applies a single document that a peer sent directly. Earlier changes of other
+    /// documents may still be unknown.
     pub fn told(&self, document: StoredDocument) {
-        let entry = entry_of(document);
-        self.state().keep(&entry);
-        // Followers hear of it also where the store, restored since, no longer holds it:
-        // a term that somebody has closed stays closed.
-        self.tell_changed(&[entry]);
+        let entry = to_entry(document);
+        self.state().insert_if_newer(&entry);
+        // Followers are notified even if a restored store no longer holds the document,
+        // so that a closed term stays closed.
+        self.notify_changed(&[entry]);
     }
 
-    fn tell_listed(&self, listing: &Listing) {
+    fn notify_listed(&self, listing: &Listing) {
         for follower in &self.followers {
             follower.listed(listing.clone());
         }
     }
 
-    fn tell_changed(&self, entries: &[Entry]) {
+    fn notify_changed(&self, entries: &[Entry]) {
         for follower in &self.followers {
             follower.changed(entries.to_vec());
         }
@@ -130,27 +131,27 @@
 }
 
 impl State {
-    /// Takes an entry in; false if it is known, or a newer one.
-    fn keep(&mut self, entry: &Entry) -> bool {
-        let held = self.documents.get(&entry.key);
-        if held.is_some_and(|held| held.revision >= entry.revision) {
+    /// Inserts an entry. Returns false if the same or a newer revision is known.
+    fn insert_if_newer(&mut self, entry: &Entry) -> bool {
+        let known = self.documents.get(&entry.key);
+        if known.is_some_and(|known| known.revision >= entry.revision) {
             return false;
         }
-        self.documents.insert(document_of(entry));
+        self.documents.insert(to_document(entry));
         true
     }
 
-    /// Everything that is there.
+    /// Returns all documents that are not removed.
     fn as_listing(&self) -> Listing {
         let present = self.documents.iter().filter(|document| document.removed == 0);
         Listing {
             revision: self.known_revision,
-            entries: present.cloned().map(entry_of).collect(),
+            entries: present.cloned().map(to_entry).collect(),
         }
     }
 
-    /// Everything is known up to `revision`.
-    fn know(&mut self, revision: StoreRevision) {
+    /// Records that all documents are known up to `revision`.
+    fn advance_revision(&mut self, revision: StoreRevision) {
         let known = self.known_revision;
         if revision.era > known.era && !known.is_none() {
             warn!(
@@ -161,14 +162,14 @@
         self.known_revision = known.max(revision);
     }
 
-    /// Marks everything as removed that a listing at `revision` does not hold.
-    fn remove_all_but(&mut self, entries: &[Entry], revision: StoreRevision) {
+    /// Marks all documents as removed that are missing from a listing at `revision`.
+    fn remove_missing(&mut self, entries: &[Entry], revision: StoreRevision) {
         let present: BTreeSet<&str> = entries.iter().map(|entry| entry.key.as_str()).collect();
         let is_gone = |document: &&StoredDocument| {
             document.removed == 0 && document.revision <= revision && !present.contains(document.key.as_str())
         };
-        let gone: Vec<_> = self.documents.iter().filter(is_gone).cloned().collect();
-        for document in gone {
+        let removed_documents: Vec<_> = self.documents.iter().filter(is_gone).cloned().collect();
+        for document in removed_documents {
             self.documents.insert(StoredDocument {
                 removed: 1,
                 revision,
@@ -179,7 +180,7 @@
     }
 }
 
-fn document_of(entry: &Entry) -> StoredDocument {
+fn to_document(entry: &Entry) -> StoredDocument {
     StoredDocument {
         key: entry.key.clone(),
         revision: entry.revision,
@@ -188,7 +189,7 @@
     }
 }
 
-fn entry_of(document: StoredDocument) -> Entry {
+fn to_entry(document: StoredDocument) -> Entry {
     Entry {
         key: document.key,
         value: (document.removed == 0).then_some(document.value),
@@ -201,11 +202,11 @@
         "own_keys"
     }
 
-    fn part_read_first(&self) -> Option<String> {
+    fn initial_prefix(&self) -> Option<String> {
         self.nodes.as_ref().map(|nodes| nodes.zone_prefix())
     }
 
-    fn part_learned(&self, listing: Listing) {
+    fn initial_prefix_listed(&self, listing: Listing) {
         if let Some(nodes) = &self.nodes {
             nodes.zone_learned(listing);
         }
@@ -216,20 +217,20 @@
     }
 
     fn rest(&self) -> BoxFuture<'_, ()> {
-        Box::pin(tokio::time::sleep(PACE))
+        Box::pin(tokio::time::sleep(BATCH_INTERVAL))
     }
 
     fn listed(&self, listing: Listing) {
         let known = {
             let mut state = self.state();
-            state.remove_all_but(&listing.entries, listing.revision);
+            state.remove_missing(&listing.entries, listing.revision);
             for entry in &listing.entries {
-                state.keep(entry);
+                state.insert_if_newer(entry);
             }
-            state.know(listing.revision);
+            state.advance_revision(listing.revision);
             state.as_listing()
         };
-        self.tell_listed(&known);
+        self.notify_listed(&known);
     }
 
     fn complete(&self, asked: Instant) {
@@ -242,12 +243,12 @@
         let fresh: Vec<Entry> = {
             let mut state = self.state();
             let newest = entries.iter().map(|entry| entry.revision).max();
-            state.know(newest.unwrap_or_default());
-            let news = |entry: &Entry| state.keep(entry);
-            entries.into_iter().filter(news).collect()
+            state.advance_revision(newest.unwrap_or_default());
+            let is_newer = |entry: &Entry| state.insert_if_newer(entry);
+            entries.into_iter().filter(is_newer).collect()
         };
         if !fresh.is_empty() {
-            self.tell_changed(&fresh);
+            self.notify_changed(&fresh);
         }
     }
 }
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -1,5 +1,5 @@
-//! Follows the platform's store: the operators' configuration, the instances'
-//! records, and the system's own keys.
+//! Follows key prefixes of the store: the operators' configuration, the instances'
+//! records and the system's own keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,66 +15,67 @@
 
 use crate::clock;
 
-/// Between the first two tries while the store does not answer; the pause
-/// doubles, since each call is paid for and loads a store in trouble.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// A node that knows nothing yet gives a listing up after this silence, and after
-/// twice as long the next time: a store that comes back does not answer what it
-/// was asked while it was out. Above the answers of a slow store (0.4 s, a hundred
-/// times the usual 4 ms).
-const FIRST_LISTING_SILENCE: Duration = Duration::from_millis(500);
-/// While its calls are unanswered, a node that knows nothing yet sends another one
-/// after this time: the store may be back and answer only new ones.
-const FIRST_CALL_PAUSE: Duration = Duration::from_millis(400);
-/// Such calls without an answer at the same time at most.
-const MOST_FIRST_CALLS: usize = 5;
-/// An answer of a watch with fewer changes than this holds all that there were, whatever
-/// the store cuts answers at (the users' platform: listings at some 500 entries).
-const LEAST_CUT_ANSWER: usize = 100;
-/// A starting node waits so long to learn whether it leaves the store to relays
-/// before it watches: a few times what listing the nodes takes.
-const DECISION_LIMIT: Duration = Duration::from_millis(500);
-/// A follower that waits for the one that asks a store which is out asks by itself
-/// after this time: what that one reads may be refused alone.
-const SENTINEL_PATIENCE: Duration = Duration::from_millis(5_000);
-/// Longest pause between two tries.
+/// Delay before the first retry while the store does not answer. Later delays double,
+/// because each call adds load to a store in trouble.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Timeout of a follower's first listing, doubled after each failure up to
+/// [`USUAL_SILENCE`]. A store that recovers from an outage does not answer earlier calls,
+/// so the first calls are abandoned early.
+const FIRST_LISTING_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between parallel probe calls of a node without data. A store that recovers
+/// may answer only new calls.
+const PROBE_CALL_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of probe calls in flight.
+const MAX_PROBE_CALLS: usize = 5;
+/// The store may truncate watch responses with at least this many changes; a shorter
+/// response is complete.
+const MIN_TRUNCATED_CHANGES: usize = 100;
+/// Maximum time that a starting node waits for the decision whether it reads the store or
+/// relies on relays.
+const SOURCE_DECISION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum time that a follower waits for the sentinel to reach the store before it calls
+/// the store itself. The store may refuse the sentinel's calls alone.
+const SENTINEL_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Maximum delay between two retries.
 pub const MOST_PAUSE: Duration = Duration::from_millis(1_500);
-/// The same for a node that others tell when the store is heard again.
+/// Maximum delay between two retries on a node that relays inform when the store has
+/// recovered.
 pub const MOST_PAUSE_BEHIND_RELAYS: Duration = Duration::from_millis(5_000);
 
-/// Whether this node reads the catalog from the store itself.
+/// Where this node reads the catalog from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreReading {
-    /// Not known yet: it lists the catalog, and does not watch it.
+    /// Not decided yet: the node lists the catalog but does not watch it.
     Undecided,
-    /// It reads the store.
+    /// The node reads the store.
     Reading,
-    /// Relays read it and tell this node.
+    /// The node receives the catalog from relays.
     LeftToRelays,
 }
 
-/// Whether the store is heard, shared by all followers of a node: the one whose
-/// keys change all the time notices an outage and its end, and asks a store that
-/// is out on behalf of the others.
+/// Connectivity of the store, shared by all followers of a node. The sentinel, whose keys
+/// change most often, detects an outage and its end, and probes the store on behalf of
+/// the other followers.
 #[derive(Debug, Default)]
 pub struct StoreContact {
-    /// The store is out as far as is known.
+    /// Whether the store is presumed unreachable.
     is_lost: watch::Sender<bool>,
-    /// Counts the ends of outages, and the needs for fresh news.
+    /// Incremented when an outage ends or fresh data is needed.
     regained: watch::Sender<u64>,
 }
 
 impl StoreContact {
-    /// The store does not answer, or is not known to.
+    /// Records that the store does not answer, or may not answer.
     pub fn note_lost(&self) {
         self.is_lost.send_replace(true);
     }
 
-    /// An outage is over, or fresh news are needed now: all followers read anew,
-    /// since watches may have been lost in silence.
+    /// Makes all followers read again after an outage or when fresh data is needed, since
+    /// a watch may have been lost without an error.
     pub fn note_regained(&self) {
         self.regained.send_modify(|count| *count += 1);
-        // Those that wait for this look no more than once.
+        // Wakes followers after the counter has changed, so that each of them reads only
+        // once.
         self.is_lost.send_replace(false);
     }
 
@@ -82,184 +83,185 @@
         *self.is_lost.borrow()
     }
 
-    /// Waits until the store is heard, for `limit` at most.
+    /// Waits until the store is reachable, or until `limit` has elapsed.
     async fn heard(&self, limit: Duration) {
         let mut is_lost = self.is_lost.subscribe();
-        // The sender lives as long as the node; at the limit the store is asked.
+        // The sender lives as long as the node. After the timeout the follower calls the
+        // store itself.
         let _ = tokio::time::timeout(limit, is_lost.wait_for(|is_lost| !is_lost)).await;
     }
 }
 
-/// Takes in what lies under one prefix of the store.
+/// Receives the contents and changes of one key prefix.
 pub trait Follower: Send + Sync + 'static {
-    /// Name in logs.
+    /// Returns the name used in log lines.
     fn name(&self) -> &'static str;
-    /// The whole prefix was read.
+    /// Handles a complete listing of the prefix.
     fn listed(&self, listing: Listing);
-    /// Keys have changed, in order.
+    /// Handles changed keys, in order.
     fn changed(&self, entries: Vec<Entry>);
-    /// A smaller prefix within the followed one that a starting node reads first, by a
-    /// serializable read: it tells whether the rest is left to relays. None where another
-    /// follower finds that out.
-    fn part_read_first(&self) -> Option<String> {
+    /// Returns a shorter prefix that a starting node reads first, with a serializable
+    /// read, to decide whether relays deliver the rest; `None` if another follower reads
+    /// the data for that decision.
+    fn initial_prefix(&self) -> Option<String> {
         None
     }
-    /// That part was read, as it was a moment ago.
-    fn part_learned(&self, _listing: Listing) {}
-    /// The store was heard, though nothing changed.
+    /// Handles the listing of the initial prefix, which may be slightly out of date.
+    fn initial_prefix_listed(&self, _listing: Listing) {}
+    /// Called when the store answers a watch without changes.
     fn heard(&self) {}
-    /// A store that was out, by failed calls of this node, answers again; it is
-    /// read next.
+    /// Called when the store answers again after this node's calls had failed, before the
+    /// prefix is read.
     fn store_answers(&self) {}
-    /// Everything that the store held at `asked` was told, and its changes are
-    /// watched.
+    /// Called when everything that the store held at `asked` was delivered and changes
+    /// are being watched.
     fn complete(&self, _asked: Instant) {}
-    /// Changes are no longer watched.
+    /// Called when changes are no longer watched.
     fn unwatched(&self) {}
-    /// Whether its keys change so often that it notices an outage on behalf of
-    /// all followers.
+    /// Returns whether the keys change often enough to detect an outage on behalf of all
+    /// followers.
     fn is_sentinel(&self) -> bool {
         false
     }
-    /// Whether this node follows the prefix itself, as it changes; none for
-    /// always.
+    /// Returns a receiver of where the node reads the prefix from, or `None` if it always
+    /// reads the store.
     fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
         None
     }
-    /// Longest pause between two tries while the store does not answer.
+    /// Returns the maximum delay between two retries while the store does not answer.
     fn most_pause(&self) -> Duration {
         MOST_PAUSE
     }
-    /// Waits between two reports, so that changes come in batches.
+    /// Waits between two watch responses, so that changes arrive in batches.
     fn rest(&self) -> BoxFuture<'_, ()> {
         Box::pin(std::future::ready(()))
     }
 }
 
-/// How far a follower has come with the store.
+/// State of a follower across listings and watches.
 #[derive(Debug)]
-struct Progress {
-    /// The prefix was read at least once, here or by relays.
+struct FollowState {
+    /// Whether the prefix was read at least once, by this node or by relays.
     has_read: bool,
-    /// Since when the store does not answer.
-    lost_at: Option<Instant>,
-    /// Silence after which the next listing is given up.
-    silence: Duration,
-    /// Pause after the next failure.
-    pause: Duration,
+    /// Time at which the store stopped answering.
+    outage_since: Option<Instant>,
+    /// Timeout of the next listing.
+    listing_timeout: Duration,
+    /// Delay after the next failure.
+    retry_delay: Duration,
 }
 
-impl Progress {
+impl FollowState {
     const fn new() -> Self {
-        Progress {
+        FollowState {
             has_read: false,
-            lost_at: None,
-            silence: FIRST_LISTING_SILENCE,
-            pause: RETRY_PAUSE,
+            outage_since: None,
+            listing_timeout: FIRST_LISTING_TIMEOUT,
+            retry_delay: INITIAL_RETRY_DELAY,
         }
     }
 
-    /// Relays have told what lies under the prefix meanwhile.
-    fn left_to_relays(&mut self) {
+    /// Records that relays delivered the prefix.
+    fn mark_relayed(&mut self) {
         self.has_read = true;
-        self.lost_at = None;
+        self.outage_since = None;
     }
 
-    /// Takes in a failure; the time to wait after it.
-    fn failed(&mut self, follower: &dyn Follower, error: &StoreError) -> Duration {
-        if self.lost_at.is_none() {
+    /// Records a failed call and returns the delay before the next one.
+    fn record_failure(&mut self, follower: &dyn Follower, error: &StoreError) -> Duration {
+        if self.outage_since.is_none() {
             warn!(
                 "event=store_lost watch={} error={:?}",
                 follower.name(),
                 error.to_string()
             );
-            self.lost_at = Some(clock::now());
-            self.pause = RETRY_PAUSE;
+            self.outage_since = Some(clock::now());
+            self.retry_delay = INITIAL_RETRY_DELAY;
         }
-        let pause = self.pause;
-        // A node that knows nothing yet cannot serve: it asks on.
+        let delay = self.retry_delay;
+        // A node without data cannot serve callers, so it keeps the shortest delay.
         if self.has_read {
-            self.pause = (pause * 2).min(follower.most_pause());
-            self.silence = USUAL_SILENCE;
+            self.retry_delay = (delay * 2).min(follower.most_pause());
+            self.listing_timeout = USUAL_SILENCE;
         } else {
-            self.silence = (self.silence * 2).min(USUAL_SILENCE);
+            self.listing_timeout = (self.listing_timeout * 2).min(USUAL_SILENCE);
         }
-        pause.mul_f64(rand::rng().random_range(0.75..1.25))
+        delay.mul_f64(rand::rng().random_range(0.75..1.25))
     }
 
-    /// The store has answered a listing.
-    fn heard(&mut self, follower: &dyn Follower, contact: &StoreContact) {
+    /// Records a successful listing.
+    fn record_success(&mut self, follower: &dyn Follower, contact: &StoreContact) {
         self.has_read = true;
-        let was_lost = regained(follower, &mut self.lost_at);
+        let was_lost = end_outage(follower, &mut self.outage_since);
         if follower.is_sentinel() && (was_lost || contact.is_lost()) {
             contact.note_regained();
         }
     }
 }
 
-/// Follows `prefix` for the life of the process: lists it, watches it, and
-/// lists it again whenever the watch has a gap.
+/// Lists and watches `prefix` for the lifetime of the process, and lists it again when
+/// the watch is interrupted.
 pub async fn follow<S: Store + 'static>(
     store: Arc<S>,
     prefix: String,
     follower: Arc<dyn Follower>,
     contact: Arc<StoreContact>,
 ) {
-    let mut progress = Progress::new();
+    let mut state = FollowState::new();
     let mut reads = follower.reads();
     loop {
         follower.unwatched();
-        if until_reads(&mut reads).await {
-            progress.left_to_relays();
+        if wait_while_relayed(&mut reads).await {
+            state.mark_relayed();
         }
         if contact.is_lost() && !follower.is_sentinel() {
-            contact.heard(SENTINEL_PATIENCE).await;
+            contact.heard(SENTINEL_TIMEOUT).await;
         }
         let mut regained = contact.regained.subscribe();
-        // The first reading ends in any case: relays may be starting as well.
-        let may_leave = progress.has_read;
-        let reading = read_once(&*store, &prefix, &*follower, &contact, &mut progress);
+        // Relays do not cancel the first listing, because they may be starting too.
+        let may_cancel = state.has_read;
+        let listing = list_prefix(&*store, &prefix, &*follower, &contact, &mut state);
         let read = tokio::select! {
-            result = reading => result,
-            // The listing may have been lost in silence.
+            result = listing => result,
+            // The listing may have been lost without an error.
             Ok(()) = regained.changed(), if !follower.is_sentinel() => continue,
-            () = until_left(&mut reads), if may_leave => continue,
+            () = wait_until_relayed(&mut reads), if may_cancel => continue,
         };
-        let ended = match read {
+        let outcome = match read {
             Ok(Some(revision)) => tokio::select! {
                 result = watch_changes(&*store, &prefix, &*follower, revision) => result,
-                // The watch may have been lost in silence.
+                // The watch may have been lost without an error.
                 Ok(()) = regained.changed(), if !follower.is_sentinel() => Ok(()),
-                () = until_left(&mut reads) => Ok(()),
+                () = wait_until_relayed(&mut reads) => Ok(()),
             },
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
         follower.unwatched();
-        let Err(error) = ended else { continue };
-        let pause = progress.failed(&*follower, &error);
+        let Err(error) = outcome else { continue };
+        let delay = state.record_failure(&*follower, &error);
         if follower.is_sentinel() {
             contact.note_lost();
         }
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             Ok(()) = regained.changed(), if !follower.is_sentinel() => {}
-            () = until_left(&mut reads) => {}
+            () = wait_until_relayed(&mut reads) => {}
         }
     }
 }
 
-/// Waits while this node leaves the prefix to relays; true if it had to wait.
-async fn until_reads(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
+/// Waits while relays deliver the prefix. Returns whether they did when called.
+async fn wait_while_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
     let Some(reads) = reads else { return false };
-    let has_left = *reads.borrow_and_update() == StoreReading::LeftToRelays;
+    let was_relayed = *reads.borrow_and_update() == StoreReading::LeftToRelays;
     // The sender lives as long as the node.
     let _ = reads.wait_for(|reads| *reads != StoreReading::LeftToRelays).await;
-    has_left
+    was_relayed
 }
 
-/// Waits until this node leaves the prefix to relays.
-async fn until_left(reads: &mut Option<watch::Receiver<StoreReading>>) {
+/// Waits until relays deliver the prefix.
+async fn wait_until_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) {
     let Some(reads) = reads else {
         return std::future::pending().await;
     };
@@ -267,71 +269,69 @@
     let _ = reads.wait_for(|reads| *reads == StoreReading::LeftToRelays).await;
 }
 
-/// Whether this node leaves the prefix to relays.
-fn is_left(follower: &dyn Follower) -> bool {
+/// Returns whether relays deliver the prefix.
+fn is_relayed(follower: &dyn Follower) -> bool {
     let reads = follower.reads();
     reads.is_some_and(|reads| *reads.borrow() == StoreReading::LeftToRelays)
 }
 
-/// Waits until it is known whether this node reads the store, but not for long;
-/// true if it leaves it to relays.
-async fn leaves_to_relays(follower: &dyn Follower) -> bool {
+/// Waits for a limited time for the decision where this node reads the catalog from.
+/// Returns whether relays deliver it.
+async fn await_source_decision(follower: &dyn Follower) -> bool {
     let Some(mut reads) = follower.reads() else {
         return false;
     };
     let decided = reads.wait_for(|reads| *reads != StoreReading::Undecided);
-    // At the limit it reads the store, whatever follows later.
-    let _ = tokio::time::timeout(DECISION_LIMIT, decided).await;
-    is_left(follower)
+    // After the timeout the node reads the store, whatever is decided later.
+    let _ = tokio::time::timeout(SOURCE_DECISION_TIMEOUT, decided).await;
+    is_relayed(follower)
 }
 
-/// Lists the prefix; the revision from which its changes are to be watched, or none
-/// if they are left to relays.
-async fn read_once<S: Store>(
+/// Lists the prefix. Returns the revision from which to watch its changes, or `None` if
+/// relays deliver them.
+async fn list_prefix<S: Store>(
     store: &S,
     prefix: &str,
     follower: &dyn Follower,
     contact: &StoreContact,
-    progress: &mut Progress,
+    state: &mut FollowState,
 ) -> Result<Option<StoreRevision>, StoreError> {
-    let is_first = !progress.has_read;
+    let is_first = !state.has_read;
     if is_first {
-        if let Some(part) = follower.part_read_first() {
-            let listing = store.list_serializable(&part, progress.silence).await?;
-            follower.part_learned(listing);
+        if let Some(initial) = follower.initial_prefix() {
+            let listing = store.list_serializable(&initial, state.listing_timeout).await?;
+            follower.initial_prefix_listed(listing);
         }
-        // What relays tell need not be read: a full listing by each of 985 nodes that
-        // start at the same moment is 3.4 GB, half a minute of a link of 1 Gbit/s (by the
-        // sizes of 3,000 instances' records, 1,000 groups and as many nodes).
-        if leaves_to_relays(follower).await {
+        // Nodes behind relays skip the full listing: the link to the store would be
+        // saturated if all nodes of a large deployment listed it at the same time.
+        if await_source_decision(follower).await {
             return Ok(None);
         }
     }
     if contact.is_lost() && follower.is_sentinel() && is_first {
-        await_store(store, prefix).await?;
+        probe_store(store, prefix).await?;
     } else if contact.is_lost() && follower.is_sentinel() {
-        // The cheapest way to see that the store is back.
-        store.list_serializable(prefix, progress.silence).await?;
-        // Where the first call is answered the store was not out: the relays are
-        // the ones that don't hear it, and waiting for their word would make this
-        // node's news a second older.
-        if progress.lost_at.is_some() {
+        // A serializable read is the cheapest check that the store has recovered.
+        store.list_serializable(prefix, state.listing_timeout).await?;
+        // If the first call succeeds, the store was never down and only the relays have
+        // lost it. Waiting for the relays would then delay fresh data.
+        if state.outage_since.is_some() {
             follower.store_answers();
-            if leaves_to_relays(follower).await {
+            if await_source_decision(follower).await {
                 return Ok(None);
             }
         }
-        // The others read at the same time: one after the other, a configuration
-        // would come a listing later.
-        progress.heard(follower, contact);
+        // Lets the other followers read in parallel, since sequential listings would
+        // delay the configuration.
+        state.record_success(follower, contact);
     }
     let asked = clock::now();
-    let listing = store.list(prefix, progress.silence).await?;
+    let listing = store.list(prefix, state.listing_timeout).await?;
     let revision = listing.revision;
     follower.listed(listing);
     follower.complete(asked);
-    progress.heard(follower, contact);
-    Ok((!is_left(follower)).then_some(revision))
+    state.record_success(follower, contact);
+    Ok((!is_relayed(follower)).then_some(revision))
 }
 
 /// Watches the prefix for changes after `revision` until the watch is lost.
@@ -345,25 +345,25 @@
     loop {
         let asked = clock::now();
         let report = watch.next().await?;
-        let is_whole = report.changes.len() < LEAST_CUT_ANSWER;
+        let is_complete = report.changes.len() < MIN_TRUNCATED_CHANGES;
         if report.changes.is_empty() {
             follower.heard();
         } else {
             follower.changed(report.changes);
         }
-        if is_whole {
+        if is_complete {
             follower.complete(asked);
             follower.rest().await;
         }
-        // What a cut answer lacks is asked for at once: with a rest in between a node
-        // before 3,000 instances would take in 250 heartbeats a second of 600, and fall
-        // behind until the store's history is over.
+        // After a truncated response the rest is requested without a pause, since a node
+        // with many instances would otherwise fall behind until the store compacts the
+        // revisions that it still needs.
     }
 }
 
-/// Asks whether the store is back for a node that cannot serve without: asks again
-/// while earlier calls have no answer, and fails once none is under way.
-async fn await_store<S: Store>(store: &S, prefix: &str) -> Result<(), StoreError> {
+/// Probes the store on behalf of a node without data. Returns when any call succeeds;
+/// fails when a call fails and no other is in flight.
+async fn probe_store<S: Store>(store: &S, prefix: &str) -> Result<(), StoreError> {
     let mut calls = FuturesUnordered::new();
     let mut next_call = tokio::time::Instant::now();
     loop {
@@ -374,17 +374,17 @@
                 Err(error) if calls.is_empty() => return Err(error),
                 Err(error) => debug!("event=store_still_lost error={:?}", error.to_string()),
             },
-            () = tokio::time::sleep_until(next_call), if calls.len() < MOST_FIRST_CALLS => {
+            () = tokio::time::sleep_until(next_call), if calls.len() < MAX_PROBE_CALLS => {
                 calls.push(store.list_serializable(prefix, USUAL_SILENCE));
-                next_call += FIRST_CALL_PAUSE;
+                next_call += PROBE_CALL_INTERVAL;
             }
         }
     }
 }
 
-/// Notes that the store is heard; true if it was not before.
-fn regained(follower: &dyn Follower, lost_at: &mut Option<Instant>) -> bool {
-    let was_lost = lost_at.take();
+/// Ends an outage. Returns whether there was one.
+fn end_outage(follower: &dyn Follower, outage_since: &mut Option<Instant>) -> bool {
+    let was_lost = outage_since.take();
     if let Some(lost) = was_lost {
         info!(
             "event=store_regained watch={} outage_ms={}",
