--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/cold_places.rs
@@ -304,13 +304,13 @@
         // Lets concurrent statements register first, so that one loan covers them all.
         tokio::task::yield_now().await;
         let wanted = borrower.wanted(clock::now());
-        let (loan, asked) = self.request_loan(&record, wanted).await;
+        let (loan, asked) = self.request_credits(&record, wanted).await;
         borrower.lent(loan, asked, clock::now());
     }
 
     /// Requests `wanted` credits from the owners in turn. Returns the first loan, or an
     /// empty one if no owner lends, with the time at which it was requested.
-    async fn request_loan(self: &Arc<Self>, record: &InstanceRecord, wanted: u32) -> (Loan, Instant) {
+    async fn request_credits(self: &Arc<Self>, record: &InstanceRecord, wanted: u32) -> (Loan, Instant) {
         let mut owners = self.eligible_lenders(record);
         let last = locked(&self.cold_places.last_lenders).get(&record.name).copied();
         owners.sort_by_key(|owner| Some(owner.address) != last);
