--- a/crates/millwind-core/examples/session.rs
+++ b/crates/millwind-core/examples/session.rs
@@ -42,18 +42,18 @@
     let primary = InstanceName::from("a");
     let replica = InstanceName::from("b");
     println!("commit registered: {:?}", tracker.register(1, written));
-    let sequence = tracker.draw();
+    let sequence = tracker.next_sequence();
     println!(
         "a has received the commit: {:?}",
-        tracker.observe(&primary, sequence, Term(1), LogPosition(100))
+        tracker.record_status(&primary, sequence, Term(1), LogPosition(100))
     );
     println!(
         "b has not received the commit: {:?}",
-        tracker.observe(&replica, sequence, Term(1), LogPosition(60))
+        tracker.record_status(&replica, sequence, Term(1), LogPosition(60))
     );
-    let sequence = tracker.draw();
+    let sequence = tracker.next_sequence();
     println!(
         "b has received the commit: {:?}",
-        tracker.observe(&replica, sequence, Term(1), LogPosition(100))
+        tracker.record_status(&replica, sequence, Term(1), LogPosition(100))
     );
 }
--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -33,7 +33,7 @@
     /// Weight of the tenant in the fair queue; zero counts as one.
     pub weight: u32,
     /// Priority of the request: a full queue evicts requests of lower value first.
-    pub value: u32,
+    pub priority: u32,
     /// Time by which the request must be answered.
     pub deadline: Instant,
 }
@@ -107,9 +107,9 @@
             return Admission::Granted;
         }
         if self.estimated_completion(now) > ticket.deadline {
-            return Admission::Refused(ErrorKind::WindowTooShort);
+            return Admission::Refused(ErrorKind::DeadlineTooShort);
         }
-        if self.queued >= self.limits.queue_length && !self.evict_lowest_value(ticket.value, evicted) {
+        if self.queued >= self.limits.queue_length && !self.evict_lowest_value(ticket.priority, evicted) {
             return Admission::Refused(ErrorKind::QueueFull);
         }
         self.enqueue(ticket);
@@ -130,7 +130,7 @@
                 queue
                     .waiting
                     .iter()
-                    .map(move |ticket| (ticket.value, tenant.clone()))
+                    .map(move |ticket| (ticket.priority, tenant.clone()))
             })
             .min();
         let Some((lowest_value, tenant)) = lowest else {
@@ -145,7 +145,7 @@
         let Some(index) = queue
             .waiting
             .iter()
-            .rposition(|ticket| ticket.value == lowest_value)
+            .rposition(|ticket| ticket.priority == lowest_value)
         else {
             return false;
         };
--- a/crates/millwind-core/src/affinity.rs
+++ b/crates/millwind-core/src/affinity.rs
@@ -10,7 +10,7 @@
 /// Returns the indexes of `targets` in the order of preference of `tenant`.
 ///
 /// Uses rendezvous hashing: removing a target reassigns only the tenants that preferred it.
-pub fn order<Name: AsRef<str>>(tenant: &str, targets: &[Name]) -> Vec<usize> {
+pub fn rendezvous_order<Name: AsRef<str>>(tenant: &str, targets: &[Name]) -> Vec<usize> {
     let weight = |index: &usize| {
         let target = targets[*index].as_ref();
         xxh3_64(format!("{tenant}/{target}").as_bytes())
--- a/crates/millwind-core/src/catalog_freshness.rs
+++ b/crates/millwind-core/src/catalog_freshness.rs
@@ -33,23 +33,23 @@
     }
 
     /// Records that this node no longer watches the configuration, which ages from now on.
-    pub fn configuration_unwatched(&mut self) {
+    pub fn configuration_watch_ended(&mut self) {
         if self.is_configuration_watched {
-            self.configuration = self.configuration.max(self.as_of());
+            self.configuration = self.configuration.max(self.current_as_of());
             self.is_configuration_watched = false;
         }
     }
 
     /// Records that another node has transferred its whole catalog, which matched the store
     /// at `heard`.
-    pub fn told(&mut self, heard: Instant) {
+    pub fn received_from_peer(&mut self, heard: Instant) {
         self.instances = self.instances.max(Some(heard));
         self.configuration = self.configuration.max(Some(heard));
     }
 
     /// Returns the time at which the catalog was last known to match the store; `None` if
     /// the instances or the configuration are unknown.
-    pub fn as_of(&self) -> Option<Instant> {
+    pub fn current_as_of(&self) -> Option<Instant> {
         let instances = self.instances?;
         if self.is_configuration_watched {
             return Some(instances);
--- a/crates/millwind-core/src/catalog_relay.rs
+++ b/crates/millwind-core/src/catalog_relay.rs
@@ -41,7 +41,7 @@
 
 /// Returns the number of relays for a zone of `zone_nodes` nodes in a deployment of
 /// `all_nodes` nodes; `None` if every node reads the store itself.
-pub fn relays_of_zone(zone_nodes: usize, all_nodes: usize) -> Option<usize> {
+pub fn relay_count(zone_nodes: usize, all_nodes: usize) -> Option<usize> {
     let is_large = all_nodes >= MIN_NODES_FOR_RELAYS;
     is_large.then(|| zone_nodes.div_ceil(NODES_PER_RELAY).max(MIN_RELAYS_PER_ZONE))
 }
@@ -50,9 +50,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelayTimes {
     /// Interval at which a relay reads the store, in milliseconds.
-    pub pace_ms: u64,
+    pub read_interval_ms: u64,
     /// Age from which a catalog no longer counts as fresh, in milliseconds.
-    pub fresh_ms: u64,
+    pub max_fresh_age_ms: u64,
     /// Whether relays are fast enough for the time limit on configuration changes.
     pub allow_relays: bool,
 }
@@ -60,12 +60,12 @@
 impl RelayTimes {
     /// Returns the timing with which a configuration is in force on every node within
     /// `config_bound_ms`.
-    pub fn within(config_bound_ms: u64) -> Self {
+    pub fn for_config_bound(config_bound_ms: u64) -> Self {
         let pace_ms = (config_bound_ms * READ_INTERVAL_PERCENT / 100).min(MAX_READ_INTERVAL_MS);
         let max_fresh_ms = config_bound_ms * MAX_FRESH_PERCENT / 100;
         RelayTimes {
-            pace_ms,
-            fresh_ms: (pace_ms + FRESHNESS_ALLOWANCE_MS).min(max_fresh_ms),
+            read_interval_ms: pace_ms,
+            max_fresh_age_ms: (pace_ms + FRESHNESS_ALLOWANCE_MS).min(max_fresh_ms),
             allow_relays: config_bound_ms >= MIN_CONFIG_BOUND_MS,
         }
     }
@@ -77,26 +77,26 @@
     /// Whether the node considers itself a relay, or the deployment has no relays.
     pub is_relay: bool,
     /// Time at which another node last contacted this node as a relay.
-    pub asked: Option<Instant>,
+    pub contacted_as_relay_at: Option<Instant>,
     /// Whether the node's catalog is complete enough to serve.
     pub is_complete: bool,
     /// Time since which the node knows the other nodes and therefore the relays.
-    pub known_since: Instant,
+    pub members_known_since: Instant,
     /// Time at which the node's catalog, read directly or through other nodes, was last
     /// known to match the store.
-    pub heard: Option<Instant>,
+    pub matched_store_at: Option<Instant>,
     /// Time of the last answer from a relay.
     pub relay_answered: Option<Instant>,
 }
 
 impl CatalogState {
     /// Whether the node must read the store itself at `now`.
-    pub fn must_read(&self, now: Instant, times: &RelayTimes) -> bool {
+    pub fn must_read_store(&self, now: Instant, times: &RelayTimes) -> bool {
         if self.is_relay {
             return true;
         }
         let is_asked = self
-            .asked
+            .contacted_as_relay_at
             .is_some_and(|asked| now.millis_since(asked) < RELAY_DUTY_MS);
         if is_asked {
             return true;
@@ -105,18 +105,21 @@
         if self.is_fresh(now, times) {
             return false;
         }
-        let waited = now.millis_since(self.known_since);
+        let waited = now.millis_since(self.members_known_since);
         if self.is_complete {
-            return waited >= FIRST_ANSWER_WAIT_MS.min(times.fresh_ms);
+            return waited >= FIRST_ANSWER_WAIT_MS.min(times.max_fresh_age_ms);
         }
         // A relay that answers is alive and reads the store.
-        let silence = now.millis_since(self.known_since.max(self.relay_answered.unwrap_or_default()));
+        let silence = now.millis_since(
+            self.members_known_since
+                .max(self.relay_answered.unwrap_or_default()),
+        );
         silence >= START_WAIT_MS || waited >= MAX_START_WAIT_MS
     }
 
     /// Whether the catalog recently matched the store.
     fn is_fresh(&self, now: Instant, times: &RelayTimes) -> bool {
-        self.heard
-            .is_some_and(|heard| now.millis_since(heard) < times.fresh_ms)
+        self.matched_store_at
+            .is_some_and(|heard| now.millis_since(heard) < times.max_fresh_age_ms)
     }
 }
--- a/crates/millwind-core/src/concurrency_limit.rs
+++ b/crates/millwind-core/src/concurrency_limit.rs
@@ -21,11 +21,11 @@
 
 /// How the execution of a statement on an instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TurnEnd {
+pub enum ExecutionEnd {
     /// The instance ran the statement, with any result.
     Ran,
     /// The instance was busy and rejected the statement.
-    TurnedAway,
+    Rejected,
     /// It is unknown whether the instance ran the statement.
     Unknown,
 }
@@ -56,11 +56,13 @@
 
     /// Adjusts the limit after a statement has ended. `was_at_limit` tells whether the limit
     /// was reached while the statement ran.
-    pub fn ended(&mut self, now: Instant, end: TurnEnd, was_at_limit: bool) {
+    pub fn record_end(&mut self, now: Instant, end: ExecutionEnd, was_at_limit: bool) {
         match end {
-            TurnEnd::Ran if was_at_limit => self.limit = (self.limit + 1.0 / self.limit).min(self.maximum),
-            TurnEnd::TurnedAway => self.decrease(now),
-            TurnEnd::Ran | TurnEnd::Unknown => {}
+            ExecutionEnd::Ran if was_at_limit => {
+                self.limit = (self.limit + 1.0 / self.limit).min(self.maximum)
+            }
+            ExecutionEnd::Rejected => self.decrease(now),
+            ExecutionEnd::Ran | ExecutionEnd::Unknown => {}
         }
     }
 
--- a/crates/millwind-core/src/confirmation.rs
+++ b/crates/millwind-core/src/confirmation.rs
@@ -86,7 +86,7 @@
     }
 
     /// Draws the next sequence number for a finished commit or a status request.
-    pub fn draw(&mut self) -> Sequence {
+    pub fn next_sequence(&mut self) -> Sequence {
         self.last_drawn.0 += 1;
         self.last_drawn
     }
@@ -94,7 +94,7 @@
     /// Registers a finished commit at `position`. Returns the verdict if the commit can be
     /// decided already; otherwise [`Self::observe`] returns it later.
     pub fn register(&mut self, id: u64, position: Position) -> Option<Verdict> {
-        let sequence = self.draw();
+        let sequence = self.next_sequence();
         let commit = PendingCommit {
             id,
             position,
@@ -114,7 +114,7 @@
 
     /// Records that `instance`, in reply to the status request numbered `asked`, reported
     /// `term` and the log position `received`. Returns the commits that this decides.
-    pub fn observe(
+    pub fn record_status(
         &mut self,
         instance: &InstanceName,
         asked: Sequence,
--- a/crates/millwind-core/src/connection_queue.rs
+++ b/crates/millwind-core/src/connection_queue.rs
@@ -12,21 +12,21 @@
 
 /// A request that waits for a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// Priority; lower ranks are served first.
     pub rank: u8,
     /// Whether the free connection belongs to the request's user.
     pub is_same_user: bool,
     /// Number of later requests that have overtaken this one.
-    pub passed_over: u8,
+    pub overtaken_count: u8,
 }
 
 /// Returns the index of the request to serve next; `None` if no request waits. `waiting`
 /// must be ordered by rank and then by arrival.
-pub fn next_in_line(waiting: impl IntoIterator<Item = Waiting>) -> Option<usize> {
+pub fn select_next(waiting: impl IntoIterator<Item = WaitingRequest>) -> Option<usize> {
     let mut waiting = waiting.into_iter().enumerate();
     let (_, first) = waiting.next()?;
-    if first.is_same_user || first.passed_over >= MAX_OVERTAKES {
+    if first.is_same_user || first.overtaken_count >= MAX_OVERTAKES {
         return Some(0);
     }
     let same_rank = waiting.take_while(|(_, other)| other.rank == first.rank);
--- a/crates/millwind-core/src/control.rs
+++ b/crates/millwind-core/src/control.rs
@@ -10,7 +10,7 @@
 //! Ages in a report are relative to the time at which the node sent its digest, so that a
 //! delayed report does not appear fresh.
 
-mod standings;
+mod rollout_state;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,7 +25,7 @@
 use crate::owner_table::{OwnerCandidate, OwnerTable};
 use crate::placement;
 
-pub use standings::Standing;
+pub use rollout_state::RolloutState;
 
 /// Interval at which a node sends digests to a relay of its zone, in milliseconds.
 pub const DIGEST_INTERVAL_MS: u64 = 2_500;
@@ -145,8 +145,8 @@
     }
 
     /// Announces to all relays that this node has stopped serving.
-    pub fn depart(&mut self) -> Vec<Outgoing> {
-        let goodbye = self.membership.goodbye();
+    pub fn announce_departure(&mut self) -> Vec<Outgoing> {
+        let goodbye = self.membership.stopped_message();
         let mut out = Vec::new();
         let zones: Vec<String> = self.membership.zones().keys().cloned().collect();
         for relay in zones.iter().flat_map(|zone| self.relays_without_self(zone)) {
@@ -230,7 +230,7 @@
                 out.push(Outgoing {
                     to: NodeName::from(""),
                     address: address.clone(),
-                    message: self.membership.join(),
+                    message: self.membership.join_message(),
                 });
             }
         }
@@ -323,9 +323,9 @@
 
     /// Records a contact with the platform that was requested at `asked` and is complete up
     /// to `revision`. Ignored if the configuration in force is older.
-    pub fn platform_heard(&mut self, asked: Instant, revision: u64) {
+    pub fn record_platform_contact(&mut self, asked: Instant, revision: u64) {
         if self.config.revision() >= revision {
-            self.gate.platform_contact(asked);
+            self.gate.record_platform_contact(asked);
         }
     }
 
@@ -340,7 +340,7 @@
     ) -> Vec<Outgoing> {
         let before = self.config.revision();
         let is_changed = self.config.apply_snapshot(revision, documents);
-        self.platform_heard(asked, revision);
+        self.record_platform_contact(asked, revision);
         self.after_apply(now, is_changed, before)
     }
 
@@ -471,7 +471,7 @@
         }
         self.send(from, report, &mut out);
         if self.has_persistent_mismatch(now, from, members_hash) {
-            self.send(from, self.membership.table(), &mut out);
+            self.send(from, self.membership.table_message(), &mut out);
         }
         out
     }
@@ -501,7 +501,7 @@
             return Vec::new();
         };
         for report in zones {
-            self.gate.zone_report(asked, report);
+            self.gate.record_zone_report(asked, report);
         }
         self.adopt_platform_contact(asked, digest, platform_age_ms);
         self.pull_if_different(from, digest)
@@ -514,7 +514,7 @@
             return;
         }
         if let Some(at) = asked.0.checked_sub(u64::from(platform_age_ms) * 1_000) {
-            self.gate.platform_contact(Instant(at));
+            self.gate.record_platform_contact(Instant(at));
         }
     }
 
--- a/crates/millwind-core/src/control/standings.rs
+++ b/crates/millwind-core/src/control/rollout_state.rs
@@ -10,7 +10,7 @@
 
 /// Rollout state of one revision on one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum RolloutState {
     /// The node has this revision or a later one in force.
     InForce,
     /// The node has stopped serving and cannot use an older revision.
@@ -27,12 +27,12 @@
     /// revision has had no contact with the platform since the change. Once the freshness
     /// bound has passed since the change came into force on this node, such a node no
     /// longer serves, unless an outage affects most zones of its scope.
-    pub fn standings(
+    pub fn rollout_states(
         &self,
         now: Instant,
         revision: u64,
         reports: &BTreeMap<String, NodeRevision>,
-    ) -> BTreeMap<String, Standing> {
+    ) -> BTreeMap<String, RolloutState> {
         let bound = FRESHNESS_BOUND_MS + FRESHNESS_MARGIN_MS;
         let applied = self
             .applied_revisions
@@ -47,11 +47,11 @@
                     .is_some_and(|report| report.revision >= revision);
                 let has_left = record.liveness == Liveness::Dead && record.leaving == 1;
                 let standing = if confirmed {
-                    Standing::InForce
+                    RolloutState::InForce
                 } else if has_left || is_past_bound && self.scope_is_reachable(now, record) {
-                    Standing::Stopped
+                    RolloutState::Stopped
                 } else {
-                    Standing::Pending
+                    RolloutState::Pending
                 };
                 (record.node.clone(), standing)
             })
--- a/crates/millwind-core/src/data_residency.rs
+++ b/crates/millwind-core/src/data_residency.rs
@@ -65,7 +65,7 @@
 
     /// Returns the regions that both `self` and `other` allow, for example a database and a
     /// tenant.
-    pub fn both(&self, other: &AllowedRegions) -> AllowedRegions {
+    pub fn intersection(&self, other: &AllowedRegions) -> AllowedRegions {
         match (self, other) {
             (AllowedRegions::Any, other) => other.clone(),
             (own, AllowedRegions::Any) => own.clone(),
--- a/crates/millwind-core/src/eligibility.rs
+++ b/crates/millwind-core/src/eligibility.rs
@@ -20,7 +20,7 @@
 
 /// Why an instance or a forwarding node is not eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Ineligible {
+pub enum IneligibleReason {
     /// The customer does not allow the region.
     RegionNotAllowed,
     /// The instance's zone is being evacuated.
@@ -29,28 +29,31 @@
     Leaving,
 }
 
-impl Ineligible {
+impl IneligibleReason {
     /// Name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
-            Ineligible::RegionNotAllowed => "region_not_allowed",
-            Ineligible::ZoneEvacuated => "zone_evacuated",
-            Ineligible::Leaving => "leaving",
+            IneligibleReason::RegionNotAllowed => "region_not_allowed",
+            IneligibleReason::ZoneEvacuated => "zone_evacuated",
+            IneligibleReason::Leaving => "leaving",
         }
     }
 }
 
 /// Checks whether a statement restricted to `regions` may run on `instance`; fails with
 /// the first reason that excludes the instance.
-pub fn judge_instance(regions: &AllowedRegions, instance: &InstanceFacts<'_>) -> Result<(), Ineligible> {
+pub fn check_instance(
+    regions: &AllowedRegions,
+    instance: &InstanceFacts<'_>,
+) -> Result<(), IneligibleReason> {
     if !regions.allows(instance.region) {
-        return Err(Ineligible::RegionNotAllowed);
+        return Err(IneligibleReason::RegionNotAllowed);
     }
     if instance.is_evacuated {
-        return Err(Ineligible::ZoneEvacuated);
+        return Err(IneligibleReason::ZoneEvacuated);
     }
     if instance.is_leaving {
-        return Err(Ineligible::Leaving);
+        return Err(IneligibleReason::Leaving);
     }
     Ok(())
 }
@@ -60,9 +63,12 @@
 ///
 /// The node that accepts a client connection may run in any region and cannot tell where
 /// the client is, so it forwards statements only to nodes in allowed regions.
-pub fn judge_carrier(regions: &AllowedRegions, region: Option<&RegionName>) -> Result<(), Ineligible> {
+pub fn check_forwarding(
+    regions: &AllowedRegions,
+    region: Option<&RegionName>,
+) -> Result<(), IneligibleReason> {
     match regions.allows(region) {
         true => Ok(()),
-        false => Err(Ineligible::RegionNotAllowed),
+        false => Err(IneligibleReason::RegionNotAllowed),
     }
 }
--- a/crates/millwind-core/src/error_kind.rs
+++ b/crates/millwind-core/src/error_kind.rs
@@ -15,7 +15,7 @@
 
 /// Whether the caller should repeat a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum RetryAdvice {
     /// The same request may be repeated through any node.
     Yes,
     /// Repeating the request unchanged fails again.
@@ -42,7 +42,7 @@
     /// The instance's admission queue is full.
     QueueFull = 6,
     /// The request cannot finish before its deadline.
-    WindowTooShort = 7,
+    DeadlineTooShort = 7,
     /// No primary of the group was found before the request's deadline.
     NoPrimary = 8,
     /// The chosen instance is no longer the primary.
@@ -83,7 +83,7 @@
     /// Known effect of the request.
     pub effect: Effect,
     /// Whether the caller should repeat the request.
-    pub repeat: Repeat,
+    pub repeat: RetryAdvice,
     /// Time to wait before repeating the request, in milliseconds; zero if waiting does not
     /// help.
     pub retry_after_ms: u32,
@@ -100,7 +100,7 @@
         ErrorKind::NotServing,
         ErrorKind::Draining,
         ErrorKind::QueueFull,
-        ErrorKind::WindowTooShort,
+        ErrorKind::DeadlineTooShort,
         ErrorKind::NoPrimary,
         ErrorKind::NotPrimary,
         ErrorKind::ReplicaBehind,
@@ -137,7 +137,7 @@
             ErrorKind::NotServing => "not_serving",
             ErrorKind::Draining => "draining",
             ErrorKind::QueueFull => "queue_full",
-            ErrorKind::WindowTooShort => "window_too_short",
+            ErrorKind::DeadlineTooShort => "window_too_short",
             ErrorKind::NoPrimary => "no_primary",
             ErrorKind::NotPrimary => "not_primary",
             ErrorKind::ReplicaBehind => "replica_behind",
@@ -159,7 +159,7 @@
     /// Returns the answer for this kind.
     pub const fn answer(self) -> Answer {
         use Effect::{NotRun, RolledBack, Unknown};
-        use Repeat::{No, WithRequestId, Yes};
+        use RetryAdvice::{No, WithRequestId, Yes};
         match self {
             ErrorKind::UnknownTenant => row("3D000", NotRun, No, 0, "no such tenant"),
             ErrorKind::AuthenticationFailed => row("28P01", NotRun, No, 0, "authentication failed"),
@@ -167,7 +167,7 @@
             ErrorKind::NotServing => row("57P03", NotRun, Yes, 1_000, "node has no current configuration"),
             ErrorKind::Draining => row("57P01", NotRun, Yes, 10, "node is stopping; reconnect elsewhere"),
             ErrorKind::QueueFull => row("53300", NotRun, Yes, 200, "admission queue is full"),
-            ErrorKind::WindowTooShort => {
+            ErrorKind::DeadlineTooShort => {
                 row("57014", NotRun, Yes, 200, "request cannot finish in its window")
             }
             ErrorKind::NoPrimary => row("57P03", NotRun, Yes, 500, "group has no primary"),
@@ -236,7 +236,7 @@
 const fn row(
     sqlstate: &'static str,
     effect: Effect,
-    repeat: Repeat,
+    repeat: RetryAdvice,
     retry_after_ms: u32,
     text: &'static str,
 ) -> Answer {
--- a/crates/millwind-core/src/evacuation.rs
+++ b/crates/millwind-core/src/evacuation.rs
@@ -27,15 +27,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EvacuationChange {
     /// Zones whose evacuation has started.
-    pub begun: Vec<ZoneName>,
+    pub started: Vec<ZoneName>,
     /// Zones whose evacuation was withdrawn.
-    pub taken_back: Vec<ZoneName>,
+    pub withdrawn: Vec<ZoneName>,
 }
 
 impl EvacuationChange {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
-        self.begun.is_empty() && self.taken_back.is_empty()
+        self.started.is_empty() && self.withdrawn.is_empty()
     }
 }
 
@@ -52,7 +52,7 @@
 
 /// An evacuation request and the earliest time at which it may have been made.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DatedEvacuation {
+pub struct EvacuationRequest {
     /// Zone to evacuate.
     pub zone: ZoneName,
     /// Earliest time at which the evacuation may have been requested.
@@ -66,19 +66,19 @@
     pub fn apply(&mut self, zones: &[ZoneName], revision: StoreRevision, since: Instant) -> EvacuationChange {
         let dated: Vec<_> = zones
             .iter()
-            .map(|zone| DatedEvacuation {
+            .map(|zone| EvacuationRequest {
                 zone: zone.clone(),
                 since,
             })
             .collect();
-        self.apply_dated(&dated, revision, since)
+        self.apply_requests(&dated, revision, since)
     }
 
     /// Like [`Evacuations::apply`], but each request carries its own time. Withdrawals are
     /// dated `now`.
-    pub fn apply_dated(
+    pub fn apply_requests(
         &mut self,
-        requests: &[DatedEvacuation],
+        requests: &[EvacuationRequest],
         revision: StoreRevision,
         now: Instant,
     ) -> EvacuationChange {
@@ -109,7 +109,10 @@
             let since = self.since.entry(request.zone.clone()).or_insert(request.since);
             *since = (*since).min(request.since);
         }
-        EvacuationChange { begun, taken_back }
+        EvacuationChange {
+            started: begun,
+            withdrawn: taken_back,
+        }
     }
 
     /// Applies the changes of one watch notification received at `now`. Changes received
@@ -120,7 +123,7 @@
         }
         let mut requests: Vec<_> = self
             .zones()
-            .map(|(zone, since)| DatedEvacuation {
+            .map(|(zone, since)| EvacuationRequest {
                 zone: zone.clone(),
                 since,
             })
@@ -132,14 +135,14 @@
             let is_listed = requests.iter().any(|request| request.zone == event.zone);
             match event.is_requested {
                 true if is_listed => {}
-                true => requests.push(DatedEvacuation {
+                true => requests.push(EvacuationRequest {
                     zone: event.zone.clone(),
                     since: now,
                 }),
                 false => requests.retain(|request| request.zone != event.zone),
             }
         }
-        self.apply_dated(&requests, newest, now)
+        self.apply_requests(&requests, newest, now)
     }
 
     /// Whether a listing of the requests was received.
@@ -149,7 +152,7 @@
 
     /// Time at which this node learned that the evacuation of `zone` was withdrawn; `None`
     /// if `zone` is being evacuated or never was as far as this node knows.
-    pub fn returned_at(&self, zone: &ZoneName) -> Option<Instant> {
+    pub fn withdrawn_at(&self, zone: &ZoneName) -> Option<Instant> {
         self.withdrawn_at.get(zone).copied()
     }
 
--- a/crates/millwind-core/src/failover.rs
+++ b/crates/millwind-core/src/failover.rs
@@ -16,7 +16,7 @@
     /// replace the leader. Half of it suffices if the leader refuses connections.
     pub suspect_ms: u64,
     /// Time without contact after which a node replaces the leader without confirmation.
-    pub alone_ms: u64,
+    pub unconfirmed_ms: u64,
     /// Heartbeat age that confirms a suspected failure.
     pub heartbeat_ms: u64,
 }
@@ -27,11 +27,11 @@
     /// Time since which every attempt of this node to contact the leader has failed.
     pub failing_since: Option<Instant>,
     /// The leader's host refused or reset a connection, so its process is not merely slow.
-    pub is_refusing: bool,
+    pub refuses_connections: bool,
     /// The leader has announced its shutdown or is no longer in the list of instances.
     pub is_leaving: bool,
     /// The leader's zone is being evacuated and another zone has a healthy replica.
-    pub must_leave_zone: bool,
+    pub is_zone_evacuated: bool,
     /// Age of the leader's last heartbeat in the store; `None` if the store is unreachable.
     pub heartbeat_age_ms: Option<u64>,
     /// Number of peers that recently reported reaching the leader.
@@ -85,13 +85,13 @@
 impl ReplaceReason {
     /// Whether the leader still answers health checks, so that only nodes that run
     /// statements on it can detect the failure.
-    pub const fn is_by_statements(self) -> bool {
+    pub const fn is_detected_by_statements(self) -> bool {
         matches!(self, ReplaceReason::Unresponsive | ReplaceReason::Outlier)
     }
 
     /// Whether the leader is still running, so that the handover need not lose commits.
-    pub const fn is_of_live_leader(self) -> bool {
-        self.is_by_statements()
+    pub const fn is_leader_alive(self) -> bool {
+        self.is_detected_by_statements()
             || matches!(
                 self,
                 ReplaceReason::Leaving | ReplaceReason::Evacuated | ReplaceReason::Relocating
@@ -99,7 +99,7 @@
     }
 
     /// Whether a healthy leader is moved away from its zone or region.
-    pub const fn is_move(self) -> bool {
+    pub const fn is_planned_move(self) -> bool {
         matches!(self, ReplaceReason::Evacuated | ReplaceReason::Relocating)
     }
 
@@ -122,7 +122,7 @@
 /// Decides whether to replace the leader.
 ///
 /// Never returns [`LeaderVerdict::Replace`] to a node that reaches no replica.
-pub fn judge_leader(now: Instant, evidence: &LeaderEvidence, times: &FailoverTimes) -> LeaderVerdict {
+pub fn evaluate_leader(now: Instant, evidence: &LeaderEvidence, times: &FailoverTimes) -> LeaderVerdict {
     if evidence.replicas_reached == 0 {
         return match evidence.failing_since {
             Some(_) => LeaderVerdict::Suspected,
@@ -133,7 +133,7 @@
         return LeaderVerdict::Replace(ReplaceReason::Leaving);
     }
     let Some(failing_since) = evidence.failing_since else {
-        if evidence.must_leave_zone {
+        if evidence.is_zone_evacuated {
             return LeaderVerdict::Replace(ReplaceReason::Evacuated);
         }
         return evaluate_statements(now, evidence, times);
@@ -142,7 +142,7 @@
     if evidence.peers_reaching > evidence.peers_failing {
         return LeaderVerdict::Suspected;
     }
-    if evidence.is_refusing && unreachable_ms * 2 >= times.suspect_ms {
+    if evidence.refuses_connections && unreachable_ms * 2 >= times.suspect_ms {
         return LeaderVerdict::Replace(ReplaceReason::ConnectionRefused);
     }
     if unreachable_ms < times.suspect_ms {
@@ -157,7 +157,7 @@
     {
         return LeaderVerdict::Replace(ReplaceReason::HeartbeatStale);
     }
-    if unreachable_ms >= times.alone_ms {
+    if unreachable_ms >= times.unconfirmed_ms {
         return LeaderVerdict::Replace(ReplaceReason::Unconfirmed);
     }
     LeaderVerdict::Suspected
@@ -174,7 +174,7 @@
     let Some(since) = evidence.unresponsive_since else {
         return LeaderVerdict::Healthy;
     };
-    if now.millis_since(since) >= times.alone_ms {
+    if now.millis_since(since) >= times.unconfirmed_ms {
         return LeaderVerdict::Replace(ReplaceReason::Unresponsive);
     }
     LeaderVerdict::Healthy
@@ -193,14 +193,14 @@
     pub is_evacuated: bool,
     /// Share of the statements requiring the leader that may run in the replica's region,
     /// in any unit; equal for all candidates if customers allow every region.
-    pub allowed_worth: u64,
+    pub servable_share: u64,
     /// Whether the replica has just started and accepts few statements.
     pub is_cold: bool,
     /// Whether an earlier promotion order, which may still be in progress, names the
     /// replica; breaks ties.
-    pub is_named: bool,
+    pub is_named_in_order: bool,
     /// Whether the replica runs in the zone of this node; breaks ties.
-    pub is_near: bool,
+    pub is_in_own_zone: bool,
 }
 
 /// Returns the replica to promote, or `None` if too few replicas have answered or none
@@ -237,10 +237,14 @@
             let received_if_lossy = must_hold.is_none().then_some(successor.received);
             let serving_order = (
                 !successor.is_evacuated,
-                successor.allowed_worth,
+                successor.servable_share,
                 !successor.is_cold,
             );
-            let tie_breakers = (successor.received, successor.is_named, successor.is_near);
+            let tie_breakers = (
+                successor.received,
+                successor.is_named_in_order,
+                successor.is_in_own_zone,
+            );
             (
                 !successor.is_leaving,
                 received_if_lossy,
--- a/crates/millwind-core/src/freshness.rs
+++ b/crates/millwind-core/src/freshness.rs
@@ -95,7 +95,7 @@
 
     /// Records a contact with the platform at `at`, made by this node or passed on by a peer
     /// whose configuration is not newer than this node's.
-    pub fn platform_contact(&mut self, at: Instant) {
+    pub fn record_platform_contact(&mut self, at: Instant) {
         self.platform_contact = self.platform_contact.max(Some(at));
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Records the report of a zone. The ages in the report count from `asked`.
-    pub fn zone_report(&mut self, asked: Instant, report: &ZoneReport) {
+    pub fn record_zone_report(&mut self, asked: Instant, report: &ZoneReport) {
         let reported_at = minus_age(asked, report.age_ms);
         let contact = (report.platform_age_ms != UNKNOWN_AGE_MS)
             .then(|| minus_age(reported_at.unwrap_or_default(), report.platform_age_ms))
--- a/crates/millwind-core/src/group_view.rs
+++ b/crates/millwind-core/src/group_view.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that `instance` did not answer, and drops its last status.
-    pub fn unreachable(&mut self, instance: &InstanceName) {
+    pub fn mark_unreachable(&mut self, instance: &InstanceName) {
         if let Some(member) = self.members.get_mut(instance) {
             member.status = None;
         }
--- a/crates/millwind-core/src/incarnation.rs
+++ b/crates/millwind-core/src/incarnation.rs
@@ -18,7 +18,7 @@
 
 /// The fields of an instance's record from which a restart is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LifeSigns {
+pub struct RestartSigns {
     /// The incarnation, if the record names one.
     pub incarnation: Option<Incarnation>,
     /// Number of times this incarnation has written its record, if the record has the count.
@@ -31,7 +31,7 @@
 
 /// The reason to conclude that an instance has restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifeEvidence {
+pub enum RestartEvidence {
     /// The records name different incarnations, or only one of them names an incarnation.
     Incarnation,
     /// The heartbeat count went down.
@@ -42,14 +42,14 @@
     ShutdownWithdrawn,
 }
 
-impl LifeEvidence {
+impl RestartEvidence {
     /// Returns the name used in logs.
     pub const fn name(self) -> &'static str {
         match self {
-            LifeEvidence::Incarnation => "incarnation",
-            LifeEvidence::Heartbeat => "heartbeat",
-            LifeEvidence::Address => "address",
-            LifeEvidence::ShutdownWithdrawn => "returned",
+            RestartEvidence::Incarnation => "incarnation",
+            RestartEvidence::Heartbeat => "heartbeat",
+            RestartEvidence::Address => "address",
+            RestartEvidence::ShutdownWithdrawn => "returned",
         }
     }
 }
@@ -63,20 +63,20 @@
 /// decision rests on what a running process never does: lower its heartbeat count, change its
 /// address or withdraw its announced shutdown. A false positive only discards state that is
 /// soon learnt again; a missed restart can lose commits.
-pub fn began_anew(previous: &LifeSigns, current: &LifeSigns) -> Option<LifeEvidence> {
+pub fn restart_evidence(previous: &RestartSigns, current: &RestartSigns) -> Option<RestartEvidence> {
     if previous.incarnation != current.incarnation {
-        return Some(LifeEvidence::Incarnation);
+        return Some(RestartEvidence::Incarnation);
     }
     if previous.incarnation.is_some() {
         return None;
     }
     if previous.address != current.address {
-        return Some(LifeEvidence::Address);
+        return Some(RestartEvidence::Address);
     }
     if previous.is_leaving && !current.is_leaving {
-        return Some(LifeEvidence::ShutdownWithdrawn);
+        return Some(RestartEvidence::ShutdownWithdrawn);
     }
     let heartbeat_went_down =
         matches!((previous.heartbeat, current.heartbeat), (Some(held), Some(new)) if new < held);
-    heartbeat_went_down.then_some(LifeEvidence::Heartbeat)
+    heartbeat_went_down.then_some(RestartEvidence::Heartbeat)
 }
--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -32,13 +32,13 @@
 pub const PERMIT_MS: u64 = 10_000;
 /// How long answers to statements in flight are still accepted after a term closes, in
 /// milliseconds: longer than most statements take, and much shorter than [`PERMIT_MS`].
-pub const SETTLE_MS: u64 = 400;
+pub const DRAIN_MS: u64 = 400;
 
 /// Validity of a node's permit for a leader's term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
     /// Answers count, and new statements may be sent.
-    Good,
+    Valid,
     /// The term is being closed: answers still count, but no new statements may be sent.
     Draining,
     /// The term is closed: answers no longer count.
@@ -50,7 +50,7 @@
 impl Permit {
     /// Returns whether an answer that arrives now counts.
     pub const fn covers_answer(self) -> bool {
-        matches!(self, Permit::Good | Permit::Draining)
+        matches!(self, Permit::Valid | Permit::Draining)
     }
 }
 
@@ -81,7 +81,7 @@
         self.newest_closed = term;
         self.closed_at = now;
         let permit_end = confirmed.map_or(now, |confirmed| confirmed.plus_millis(PERMIT_MS));
-        self.draining_until = now.plus_millis(SETTLE_MS).min(permit_end);
+        self.draining_until = now.plus_millis(DRAIN_MS).min(permit_end);
         true
     }
 
@@ -104,11 +104,11 @@
     /// Returns the permit for a leader of `term` at `now`, on a node that last read all closed
     /// terms at `confirmed`.
     pub fn permit(&self, term: Term, now: Instant, confirmed: Option<Instant>) -> Permit {
-        if !is_confirmed(now, confirmed) {
+        if !are_permits_valid(now, confirmed) {
             return Permit::Expired;
         }
         if term > self.newest_closed {
-            return Permit::Good;
+            return Permit::Valid;
         }
         let is_draining = term > self.handed_back && now < self.draining_until;
         match is_draining {
@@ -119,7 +119,7 @@
 }
 
 /// Returns whether a read of all closed terms at `confirmed` keeps permits valid at `now`.
-pub fn is_confirmed(now: Instant, confirmed: Option<Instant>) -> bool {
+pub fn are_permits_valid(now: Instant, confirmed: Option<Instant>) -> bool {
     confirmed.is_some_and(|confirmed| now < confirmed.plus_millis(PERMIT_MS))
 }
 
--- a/crates/millwind-core/src/lead_relocation.rs
+++ b/crates/millwind-core/src/lead_relocation.rs
@@ -19,7 +19,7 @@
 pub const RETRY_COOLDOWN_MS: u64 = 10_000;
 /// How long the leader is not moved back to a region that it was moved out of, in
 /// milliseconds. The restriction ends early if the allowed regions change.
-pub const RETURN_PAUSE_MS: u64 = 600_000;
+pub const RETURN_COOLDOWN_MS: u64 = 600_000;
 /// Minimum weight served after a move, in percent of the weight served before, so that
 /// demand that fluctuates around an even split does not move the leader.
 const MIN_WEIGHT_AFTER_PERCENT: u64 = 150;
@@ -31,7 +31,7 @@
 const MAX_WEIGHT: u64 = 4;
 
 /// Returns the weight of one statement of this priority.
-pub fn worth_of(priority: u8) -> u64 {
+pub fn statement_weight(priority: u8) -> u64 {
     MAX_WEIGHT.saturating_sub(u64::from(priority)).max(1)
 }
 
@@ -54,7 +54,7 @@
 
     /// Adds all demand of `other`.
     pub fn merge(&mut self, other: &LeaderDemand) {
-        for (regions, weight) in other.terms() {
+        for (regions, weight) in other.weights_by_regions() {
             self.add(regions, weight);
         }
     }
@@ -65,30 +65,32 @@
     }
 
     /// Iterates over the sets of allowed regions and their total weights.
-    pub fn terms(&self) -> impl Iterator<Item = (&AllowedRegions, u64)> {
+    pub fn weights_by_regions(&self) -> impl Iterator<Item = (&AllowedRegions, u64)> {
         self.by_regions.iter().map(|(regions, weight)| (regions, *weight))
     }
 
     /// Returns the total weight that a leader in `region` serves.
     pub fn served_in(&self, region: Option<&RegionName>) -> u64 {
-        let served = self.terms().filter(|(regions, _)| regions.allows(region));
+        let served = self
+            .weights_by_regions()
+            .filter(|(regions, _)| regions.allows(region));
         served.fold(0, |sum, (_, weight)| sum.saturating_add(weight))
     }
 }
 
 /// State of a group's leadership on which the relocation decision is based.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeadFacts<'a> {
+pub struct LeadershipState<'a> {
     /// The leader's region, or `None` if its zone is not configured.
     pub region: Option<&'a RegionName>,
     /// Time since the leader was last seen to change, in milliseconds.
     pub unchanged_ms: u64,
     /// Time since the last attempt to relocate the leader, in milliseconds.
-    pub tried_ms: Option<u64>,
+    pub since_attempt_ms: Option<u64>,
     /// Regions of the replicas that may take over.
     pub candidates: &'a BTreeSet<RegionName>,
     /// Regions that the leader was recently moved out of, under the current allowed regions.
-    pub left: &'a BTreeSet<RegionName>,
+    pub left_regions: &'a BTreeSet<RegionName>,
 }
 
 /// A decision to move the leader.
@@ -97,15 +99,17 @@
     /// The target region.
     pub region: RegionName,
     /// Weight that the leader serves in its current region.
-    pub worth_before: u64,
+    pub weight_before: u64,
     /// Weight that the leader would serve in the target region.
-    pub worth_after: u64,
+    pub weight_after: u64,
 }
 
 /// Returns where to move the leader, or `None` if the leader stays.
-pub fn judge_relocation(demand: &LeaderDemand, lead: &LeadFacts<'_>) -> Option<Relocation> {
+pub fn decide_relocation(demand: &LeaderDemand, lead: &LeadershipState<'_>) -> Option<Relocation> {
     let is_in_cooldown = lead.unchanged_ms < RELOCATION_COOLDOWN_MS
-        || lead.tried_ms.is_some_and(|tried_ms| tried_ms < RETRY_COOLDOWN_MS);
+        || lead
+            .since_attempt_ms
+            .is_some_and(|tried_ms| tried_ms < RETRY_COOLDOWN_MS);
     if is_in_cooldown {
         return None;
     }
@@ -113,13 +117,13 @@
     let targets = lead
         .candidates
         .iter()
-        .filter(|region| !lead.left.contains(*region));
+        .filter(|region| !lead.left_regions.contains(*region));
     let weights = targets.map(|region| (demand.served_in(Some(region)), region));
     let (worth_after, region) = weights.max()?;
     justifies_move(worth_before, worth_after).then(|| Relocation {
         region: region.clone(),
-        worth_before,
-        worth_after,
+        weight_before: worth_before,
+        weight_after: worth_after,
     })
 }
 
--- a/crates/millwind-core/src/leader_observation.rs
+++ b/crates/millwind-core/src/leader_observation.rs
@@ -94,7 +94,7 @@
     /// Returns the lowest position that covers `written`, a session's commit that was
     /// acknowledged before `acknowledged`. That is `written` itself, or the position of a later
     /// leader under which the commit has either survived or been rolled back for all sessions.
-    pub fn covering(&self, written: Position, acknowledged: Instant) -> Position {
+    pub fn covering_position(&self, written: Position, acknowledged: Instant) -> Position {
         let superseding = self
             .entries
             .iter()
--- a/crates/millwind-core/src/lender_lease.rs
+++ b/crates/millwind-core/src/lender_lease.rs
@@ -1,7 +1,7 @@
 //! Lease that allows one owner of an instance at a time to lend statement slots there: the
 //! owner that holds the votes of a majority of the owners.
 //!
-//! Each owner votes for one lender at a time, and a vote is valid for [`WORD_MS`]. The
+//! Each owner votes for one lender at a time, and a vote is valid for [`VOTE_MS`]. The
 //! lender counts that time from when it sent the request, so no two lenders hold a majority
 //! at the same time, even if owners are partitioned, paused or restarted. A restarted owner
 //! does not vote at first, because it may have voted before the restart.
@@ -10,7 +10,7 @@
 
 /// How long a vote is valid, in milliseconds: longer than a few round trips between regions,
 /// and short enough that another owner takes over within about a second if the lender fails.
-pub const WORD_MS: u64 = 1_000;
+pub const VOTE_MS: u64 = 1_000;
 /// Remaining lease time below which the lender asks for votes again, in milliseconds.
 const RENEW_BEFORE_MS: u64 = 600;
 /// Extra delay per rank before an owner without a majority asks again, in milliseconds: a
@@ -20,33 +20,33 @@
 
 /// An owner's vote for the lender of an instance.
 #[derive(Debug, Clone, Default)]
-pub struct Word {
+pub struct LenderVote {
     granted: Option<(String, Instant)>,
 }
 
-impl Word {
+impl LenderVote {
     /// Votes for `lender` unless a vote for another lender is still valid. Returns whether
     /// `lender` has the vote.
-    pub fn give(&mut self, lender: &str, now: Instant) -> bool {
+    pub fn grant(&mut self, lender: &str, now: Instant) -> bool {
         let is_taken = self
             .granted
             .as_ref()
             .is_some_and(|(holder, until)| holder != lender && now < *until);
         if !is_taken {
-            self.granted = Some((lender.to_owned(), now.plus_millis(WORD_MS)));
+            self.granted = Some((lender.to_owned(), now.plus_millis(VOTE_MS)));
         }
         !is_taken
     }
 }
 
-/// Returns whether an owner may vote: it has been an owner for at least [`WORD_MS`], so any
+/// Returns whether an owner may vote: it has been an owner for at least [`VOTE_MS`], so any
 /// earlier vote of this owner or of its predecessor has expired.
-pub fn may_give(owner_since: Instant, now: Instant) -> bool {
-    now.millis_since(owner_since) >= WORD_MS
+pub fn may_vote(owner_since: Instant, now: Instant) -> bool {
+    now.millis_since(owner_since) >= VOTE_MS
 }
 
 /// Returns whether `votes` are a majority of `owners`.
-pub fn is_most(votes: usize, owners: usize) -> bool {
+pub fn is_majority(votes: usize, owners: usize) -> bool {
     votes * 2 > owners
 }
 
@@ -89,7 +89,7 @@
     ///
     /// Returns true if the lease was newly obtained. The lender must then discard what its budget
     /// has accumulated, because another owner may have lent in the meantime.
-    pub fn answered(
+    pub fn record_votes(
         &mut self,
         votes: usize,
         owners: usize,
@@ -98,13 +98,13 @@
         now: Instant,
     ) -> bool {
         let was_held = self.state(now) != LeaseState::NotHeld;
-        if !is_most(votes, owners) {
-            let pause_ms = WORD_MS + rank as u64 * RANK_BACKOFF_MS;
+        if !is_majority(votes, owners) {
+            let pause_ms = VOTE_MS + rank as u64 * RANK_BACKOFF_MS;
             self.ask_not_before = (!was_held).then(|| now.plus_millis(pause_ms));
             return false;
         }
         self.ask_not_before = None;
-        let until = asked.plus_millis(WORD_MS);
+        let until = asked.plus_millis(VOTE_MS);
         self.until = Some(self.until.map_or(until, |held| held.max(until)));
         !was_held && self.state(now) != LeaseState::NotHeld
     }
--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -18,23 +18,23 @@
     /// Refill rate, in operations per second.
     pub rate_per_s: f64,
     /// Maximum number of operations that accumulate while they are not lent.
-    pub most_saved: f64,
+    pub max_saved: f64,
     /// Operations in a new budget if another node may have lent a moment ago.
-    pub first_loan: f64,
+    pub initial_operations: f64,
 }
 
 /// Parameters of a borrowing node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BorrowingTerms {
+pub struct BorrowingSettings {
     /// How long a loan may be used, counted from its request, in milliseconds.
     pub loan_ms: u64,
     /// Length of the windows over which usage is counted, in milliseconds.
     pub use_window_ms: u64,
     /// Share of one window's usage that is borrowed ahead of demand, in percent. Zero for
     /// short-lived loans, because unused operations are lost.
-    pub ahead_percent: u32,
+    pub prefetch_percent: u32,
     /// How long a node waits after a denied loan before it asks again, in milliseconds.
-    pub denied_pause_ms: u64,
+    pub denied_backoff_ms: u64,
 }
 
 /// A lender's answer to a request for operations.
@@ -48,13 +48,13 @@
 
 /// Initial content of a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Beginning {
+pub enum InitialBudget {
     /// Nothing, because many nodes may create such a budget at the same moment.
     Empty,
-    /// [`Supply::first_loan`], because another node may have lent the full supply a moment ago.
-    FirstLoan,
-    /// [`Supply::most_saved`], because no node has lent from this supply recently.
-    Unspent,
+    /// [`Supply::initial_operations`], because another node may have lent the full supply a moment ago.
+    Reduced,
+    /// [`Supply::max_saved`], because no node has lent from this supply recently.
+    Full,
 }
 
 /// The operations that a lender has left to lend.
@@ -71,12 +71,12 @@
 
 impl Budget {
     /// Creates a budget at `now`.
-    pub fn new(supply: Supply, beginning: Beginning, now: Instant) -> Self {
+    pub fn new(supply: Supply, beginning: InitialBudget, now: Instant) -> Self {
         Budget {
             available: match beginning {
-                Beginning::Empty => 0.0,
-                Beginning::FirstLoan => supply.first_loan,
-                Beginning::Unspent => supply.most_saved,
+                InitialBudget::Empty => 0.0,
+                InitialBudget::Reduced => supply.initial_operations,
+                InitialBudget::Full => supply.max_saved,
             },
             last_refill: now,
             refused: 0,
@@ -101,7 +101,7 @@
         let elapsed_us = now.0.saturating_sub(self.last_refill.0);
         self.last_refill = self.last_refill.max(now);
         let added = supply.rate_per_s * elapsed_us as f64 / 1_000_000.0;
-        self.available = (self.available + added).min(supply.most_saved);
+        self.available = (self.available + added).min(supply.max_saved);
     }
 
     fn count_refusals(&mut self, refused: u64, now: Instant) {
@@ -138,13 +138,13 @@
         retry_after_ms: u32,
     },
     /// The lender must be asked for a loan first.
-    AskFirst,
+    LoanRequired,
 }
 
 /// One node's loans from one lender.
 #[derive(Debug)]
 pub struct Allowance {
-    terms: BorrowingTerms,
+    terms: BorrowingSettings,
     /// Operations left in each loan, and when the loan expires.
     loans: VecDeque<(u32, Instant)>,
     /// After a denied loan: until when callers are refused, and their retry delay in milliseconds.
@@ -156,7 +156,7 @@
 
 impl Allowance {
     /// Creates an allowance without loans.
-    pub fn new(terms: BorrowingTerms) -> Self {
+    pub fn new(terms: BorrowingSettings) -> Self {
         Allowance {
             terms,
             loans: VecDeque::new(),
@@ -168,7 +168,7 @@
     }
 
     /// Counts an operation that a caller requests.
-    pub fn arrived(&mut self, now: Instant) {
+    pub fn count_request(&mut self, now: Instant) {
         self.advance_usage_window(now);
         self.used += 1;
     }
@@ -185,13 +185,13 @@
         }
         match self.denied {
             Some((until, retry_after_ms)) if now < until => Admission::Refused { retry_after_ms },
-            _ => Admission::AskFirst,
+            _ => Admission::LoanRequired,
         }
     }
 
     /// Returns the number of operations to request from the lender: one for each of the
     /// `waiting` callers, and a share of recent usage ahead of demand.
-    pub fn wanted(&mut self, waiting: u32, now: Instant) -> u32 {
+    pub fn operations_to_request(&mut self, waiting: u32, now: Instant) -> u32 {
         self.advance_usage_window(now);
         let ahead = self.ahead_of_demand();
         (waiting + ahead).max(1)
@@ -199,7 +199,7 @@
 
     /// Returns whether to borrow ahead of demand before the present loans are used up: less than
     /// half of the share requested ahead of demand is left, and no denial is in force.
-    pub fn is_low(&mut self, now: Instant) -> bool {
+    pub fn should_borrow_ahead(&mut self, now: Instant) -> bool {
         self.advance_usage_window(now);
         let valid = self.loans.iter().filter(|(_, until)| *until > now);
         let left: u32 = valid.map(|(left, _)| *left).sum();
@@ -208,19 +208,19 @@
     }
 
     /// Records the lender's answer to a request sent at `asked`.
-    pub fn lent(&mut self, loan: Loan, asked: Instant, now: Instant) {
+    pub fn record_loan(&mut self, loan: Loan, asked: Instant, now: Instant) {
         if loan.operations > 0 {
             self.loans
                 .push_back((loan.operations, asked.plus_millis(self.terms.loan_ms)));
             self.denied = None;
         } else {
-            self.denied = Some((now.plus_millis(self.terms.denied_pause_ms), loan.retry_after_ms));
+            self.denied = Some((now.plus_millis(self.terms.denied_backoff_ms), loan.retry_after_ms));
         }
     }
 
     fn ahead_of_demand(&self) -> u32 {
         let used = u64::from(self.used.max(self.used_in_previous_window));
-        (used * u64::from(self.terms.ahead_percent) / 100) as u32
+        (used * u64::from(self.terms.prefetch_percent) / 100) as u32
     }
 
     fn advance_usage_window(&mut self, now: Instant) {
--- a/crates/millwind-core/src/membership.rs
+++ b/crates/millwind-core/src/membership.rs
@@ -182,7 +182,7 @@
             .map(|record| NodeName::from(record.node.as_str()))
             .collect();
         let count = MINIMUM_RELAYS.max(names.len() / NODES_PER_RELAY);
-        placement::relays(zone, names.iter(), count)
+        placement::select_relays(zone, names.iter(), count)
             .into_iter()
             .cloned()
             .collect()
@@ -207,7 +207,7 @@
     }
 
     /// Returns the message by which this node announces that it has stopped.
-    pub fn goodbye(&self) -> ControlMessage {
+    pub fn stopped_message(&self) -> ControlMessage {
         ControlMessage::Table {
             members: vec![MemberRecord {
                 incarnation: self.own.incarnation + 1,
@@ -229,14 +229,14 @@
     }
 
     /// Returns the message by which a new node introduces itself to a seed.
-    pub fn join(&self) -> ControlMessage {
+    pub fn join_message(&self) -> ControlMessage {
         ControlMessage::Join {
             record: self.own.clone(),
         }
     }
 
     /// Returns a message with the whole table.
-    pub fn table(&self) -> ControlMessage {
+    pub fn table_message(&self) -> ControlMessage {
         ControlMessage::Table {
             members: self.records().cloned().collect(),
         }
@@ -431,7 +431,7 @@
             }
             ControlMessage::Join { record } => {
                 self.merge(now, record.clone(), Spread::Yes);
-                let table = self.table();
+                let table = self.table_message();
                 self.send(from, table, &mut out);
             }
             ControlMessage::Table { members } => {
--- a/crates/millwind-core/src/outlier.rs
+++ b/crates/millwind-core/src/outlier.rs
@@ -39,14 +39,14 @@
 
 impl StatementHealth {
     /// Records that a statement was sent.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn record_sent(&mut self, now: Instant) {
         self.in_flight += 1;
         self.unanswered += 1;
         self.silent_since.get_or_insert(now);
     }
 
     /// Records a response from the instance, successful or not.
-    pub fn answered(&mut self, now: Instant) {
+    pub fn record_response(&mut self, now: Instant) {
         self.unanswered = 0;
         self.abandoned = 0;
         if self.silent_since.is_some() {
@@ -56,7 +56,7 @@
 
     /// Records that a statement is no longer in flight; `was_answered` is false if it was
     /// abandoned without a response.
-    pub fn ended(&mut self, was_answered: bool) {
+    pub fn record_end(&mut self, was_answered: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !was_answered {
             self.abandoned += 1;
@@ -67,13 +67,13 @@
     }
 
     /// Records a successful statement.
-    pub fn succeeded(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.decay(now);
         self.succeeded += 1.0;
     }
 
     /// Records a statement that failed because of the instance or its connection.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.decay(now);
         self.failed += 1.0;
     }
@@ -87,20 +87,20 @@
     }
 
     /// Returns the number of statements in flight.
-    pub fn under_way(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
     /// Returns whether another statement may be sent. While the instance is unresponsive,
     /// at most one statement is in flight, as a probe for recovery.
-    pub fn admits(&self, now: Instant, mean_us: u64) -> bool {
+    pub fn admits_statement(&self, now: Instant, mean_us: u64) -> bool {
         let is_unresponsive = self.abandoned > 0 || self.unresponsive_since(now, mean_us).is_some();
         self.in_flight == 0 || !is_unresponsive
     }
 
     /// Returns whether more than one statement was sent since the last response. A single
     /// lost response does not indicate that the next statement will fail.
-    pub fn is_repeatedly_silent(&self) -> bool {
+    pub fn has_repeated_silence(&self) -> bool {
         self.unanswered > 1
     }
 
--- a/crates/millwind-core/src/owner_ranking.rs
+++ b/crates/millwind-core/src/owner_ranking.rs
@@ -11,7 +11,7 @@
 use std::cmp::Reverse;
 
 use crate::data_residency::{AllowedRegions, Topology};
-use crate::eligibility::judge_carrier;
+use crate::eligibility::check_forwarding;
 use crate::ids::ZoneName;
 
 /// Number of backup owners that are taken from the instance's region before any from other
@@ -21,7 +21,7 @@
 
 /// Location of a node relative to an instance, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Nearness {
+pub enum Proximity {
     /// The node is in the instance's zone.
     Zone,
     /// The node is in another zone of the instance's region.
@@ -30,16 +30,16 @@
     Elsewhere,
 }
 
-impl Nearness {
+impl Proximity {
     /// Returns the location of a node in zone `node` relative to an instance in zone
     /// `instance`.
-    pub fn between(topology: &Topology, instance: &ZoneName, node: &ZoneName) -> Nearness {
+    pub fn between(topology: &Topology, instance: &ZoneName, node: &ZoneName) -> Proximity {
         if instance == node {
-            return Nearness::Zone;
+            return Proximity::Zone;
         }
         match (topology.region_of(instance), topology.region_of(node)) {
-            (Some(own), Some(other)) if own == other => Nearness::Region,
-            _ => Nearness::Elsewhere,
+            (Some(own), Some(other)) if own == other => Proximity::Region,
+            _ => Proximity::Elsewhere,
         }
     }
 }
@@ -50,7 +50,7 @@
     /// The node's rendezvous weight for the instance; higher weights are preferred.
     pub weight: u64,
     /// The node's location relative to the instance.
-    pub nearness: Nearness,
+    pub nearness: Proximity,
     /// Whether the statement may be forwarded through this node: the node is in an allowed
     /// region, or is the node that the client is connected to.
     pub is_allowed: bool,
@@ -59,18 +59,18 @@
 impl OwnerCandidate {
     /// Returns whether a statement restricted to `regions` may be forwarded through a node
     /// in `zone`.
-    pub fn is_carrier(regions: &AllowedRegions, topology: &Topology, zone: &ZoneName) -> bool {
-        judge_carrier(regions, topology.region_of(zone)).is_ok()
+    pub fn may_forward(regions: &AllowedRegions, topology: &Topology, zone: &ZoneName) -> bool {
+        check_forwarding(regions, topology.region_of(zone)).is_ok()
     }
 }
 
 /// The number of nodes to select.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnersSought {
+pub struct OwnerCounts {
     /// Number of owners.
     pub owners: usize,
     /// Number of backup owners.
-    pub stand_ins: usize,
+    pub backup_owners: usize,
 }
 
 /// The selected nodes, as indices into the candidates, in order of preference.
@@ -79,7 +79,7 @@
     /// Owners of connections.
     pub owners: Vec<usize>,
     /// Backup owners, used while no owner is reachable.
-    pub stand_ins: Vec<usize>,
+    pub backup_owners: Vec<usize>,
 }
 
 /// Selects the owners and backup owners of an instance from all nodes.
@@ -88,7 +88,7 @@
 /// through some of them has fewer. Backup owners that are not allowed are replaced by the
 /// next allowed node in order of preference, so that a route exists as long as any allowed
 /// node is up.
-pub fn rank_owners(candidates: &[OwnerCandidate], sought: OwnersSought) -> RankedOwners {
+pub fn rank_owners(candidates: &[OwnerCandidate], sought: OwnerCounts) -> RankedOwners {
     let mut ranked: Vec<usize> = (0..candidates.len()).collect();
     ranked.sort_unstable_by_key(|index| {
         let candidate = &candidates[*index];
@@ -98,23 +98,26 @@
     let is_allowed = |index: &usize| candidates[*index].is_allowed;
     let owners: Vec<usize> = ranked.into_iter().filter(is_allowed).collect();
     let allowed: Vec<usize> = remaining.into_iter().filter(is_allowed).collect();
-    let stand_ins = rank_backup_owners(candidates, &allowed, sought.stand_ins);
-    RankedOwners { owners, stand_ins }
+    let backup_owners = rank_backup_owners(candidates, &allowed, sought.backup_owners);
+    RankedOwners {
+        owners,
+        backup_owners,
+    }
 }
 
 /// Selects up to `count` backup owners from `remaining`, which is sorted by nearness and
 /// weight.
 fn rank_backup_owners(candidates: &[OwnerCandidate], remaining: &[usize], count: usize) -> Vec<usize> {
-    let with_nearness = |nearness: Nearness| {
+    let with_nearness = |nearness: Proximity| {
         let matches = move |index: &&usize| candidates[**index].nearness == nearness;
         remaining.iter().filter(matches).copied()
     };
-    let preferred_regional = with_nearness(Nearness::Region).take(REGIONAL_BACKUP_OWNERS);
-    let other_regional = with_nearness(Nearness::Region).skip(REGIONAL_BACKUP_OWNERS);
+    let preferred_regional = with_nearness(Proximity::Region).take(REGIONAL_BACKUP_OWNERS);
+    let other_regional = with_nearness(Proximity::Region).skip(REGIONAL_BACKUP_OWNERS);
     preferred_regional
-        .chain(with_nearness(Nearness::Elsewhere))
+        .chain(with_nearness(Proximity::Elsewhere))
         .chain(other_regional)
-        .chain(with_nearness(Nearness::Zone))
+        .chain(with_nearness(Proximity::Zone))
         .take(count)
         .collect()
 }
--- a/crates/millwind-core/src/owner_table.rs
+++ b/crates/millwind-core/src/owner_table.rs
@@ -23,13 +23,13 @@
     /// Returns the owner of an instance in `zone` of `region`, or `None` if there are no
     /// candidates.
     pub fn owner(&self, instance: &InstanceName, zone: &ZoneName, region: &RegionName) -> Option<&NodeName> {
-        self.owner_except(instance, zone, region, &BTreeSet::new())
+        self.owner_excluding(instance, zone, region, &BTreeSet::new())
     }
 
     /// Returns the owner like [`OwnerTable::owner`], but skips the nodes in `excluded`.
     /// Used for nodes that were just found unreachable, before the membership reflects the
     /// failure.
-    pub fn owner_except(
+    pub fn owner_excluding(
         &self,
         instance: &InstanceName,
         zone: &ZoneName,
--- a/crates/millwind-core/src/placement.rs
+++ b/crates/millwind-core/src/placement.rs
@@ -58,7 +58,11 @@
 }
 
 /// Returns the `count` members that act as relays for `key`, highest score first.
-pub fn relays<'a>(key: &str, members: impl Iterator<Item = &'a NodeName>, count: usize) -> Vec<&'a NodeName> {
+pub fn select_relays<'a>(
+    key: &str,
+    members: impl Iterator<Item = &'a NodeName>,
+    count: usize,
+) -> Vec<&'a NodeName> {
     let mut scored: Vec<_> = members.map(|node| (score(node.as_str(), key), node)).collect();
     scored.sort_by(|left, right| right.cmp(left));
     scored.truncate(count);
--- a/crates/millwind-core/src/quota.rs
+++ b/crates/millwind-core/src/quota.rs
@@ -7,9 +7,9 @@
 //! almost empty, and a part of the burst is reserved for operations that run later than
 //! they were admitted.
 
-use crate::lending::{BorrowingTerms, Supply};
+use crate::lending::{BorrowingSettings, Supply};
 
-pub use crate::lending::{Admission, Allowance, Beginning, Budget, Loan};
+pub use crate::lending::{Admission, Allowance, Budget, InitialBudget, Loan};
 
 /// A tenant's limits, summed over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 pub const BACKUP_LENDER_PERCENT: u32 = 25;
 /// Percentage of the quota that the nodes that reach no lender may use together; each node
 /// gets an equal part.
-pub const UNCOUNTED_PERCENT: u32 = 50;
+pub const UNREACHED_LENDER_PERCENT: u32 = 50;
 /// Lifetime of a loan from the time of the request, in milliseconds.
 const LOAN_LIFETIME_MS: u64 = 1_000;
 /// Length of the window over which use is counted, in milliseconds.
@@ -47,11 +47,11 @@
 const DENIED_RETRY_DELAY_MS: u64 = 150;
 
 /// Terms under which nodes borrow operations from a tenant's budget.
-const BORROWING_TERMS: BorrowingTerms = BorrowingTerms {
+const BORROWING_TERMS: BorrowingSettings = BorrowingSettings {
     loan_ms: LOAN_LIFETIME_MS,
     use_window_ms: USE_WINDOW_MS,
-    ahead_percent: PREFETCH_PERCENT,
-    denied_pause_ms: DENIED_RETRY_DELAY_MS,
+    prefetch_percent: PREFETCH_PERCENT,
+    denied_backoff_ms: DENIED_RETRY_DELAY_MS,
 };
 
 impl Default for Allowance {
@@ -63,59 +63,59 @@
 
 /// The state of a tenant's other lender, as seen by one of its two lenders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OtherCounter {
+pub enum PeerLender {
     /// The other lender responds.
-    Heard,
+    Reachable,
     /// The other lender's process has terminated, so that it lends nothing.
-    Gone,
+    Terminated,
     /// The other lender does not respond. It may be partitioned and lend to the nodes on
     /// its side.
-    Silent,
+    Unresponsive,
 }
 
 /// The connectivity of a lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct LenderReach {
     /// Percentage of all nodes that the lender reaches, including itself.
     pub percent: u32,
     /// State of the other lender.
-    pub other: OtherCounter,
+    pub other: PeerLender,
 }
 
 /// Returns the percentage of a quota that a lender may lend. `is_first` is true for the
 /// primary lender and false for the backup lender.
 ///
-/// Nodes that reach neither lender use [`UNCOUNTED_PERCENT`] of the quota together, so the
+/// Nodes that reach neither lender use [`UNREACHED_LENDER_PERCENT`] of the quota together, so the
 /// lender deducts the parts of the nodes that it does not reach. While the other lender may
 /// be active on the other side of a network partition, each lender lends in proportion to
 /// the nodes that it reaches. Otherwise the two sides together would exceed the quota.
-pub fn lent_percent(is_first: bool, reach: Reach) -> u32 {
+pub fn lendable_percent(is_first: bool, reach: LenderReach) -> u32 {
     let reached = reach.percent.min(100);
     match (is_first, reach.other) {
-        (false, OtherCounter::Heard) => BACKUP_LENDER_PERCENT,
-        (_, OtherCounter::Silent) => reached,
-        (true, OtherCounter::Heard) | (_, OtherCounter::Gone) => {
-            100 - (100 - reached) * UNCOUNTED_PERCENT / 100
+        (false, PeerLender::Reachable) => BACKUP_LENDER_PERCENT,
+        (_, PeerLender::Unresponsive) => reached,
+        (true, PeerLender::Reachable) | (_, PeerLender::Terminated) => {
+            100 - (100 - reached) * UNREACHED_LENDER_PERCENT / 100
         }
     }
 }
 
 impl Quota {
     /// Returns the supply for `percent` of the rate and the burst.
-    pub fn part(self, percent: f64) -> Supply {
+    pub fn share(self, percent: f64) -> Supply {
         let rate_per_s = self.rate_per_s as f64 * percent / 100.0;
         let burst = self.burst as f64 * percent / 100.0;
-        let most_saved = (burst * LENDABLE_BURST_PERCENT as f64 / 100.0).max(1.0);
-        let first_loan = rate_per_s * INITIAL_LOAN_PERCENT as f64 / 100.0;
+        let max_saved = (burst * LENDABLE_BURST_PERCENT as f64 / 100.0).max(1.0);
+        let initial_operations = rate_per_s * INITIAL_LOAN_PERCENT as f64 / 100.0;
         Supply {
             rate_per_s,
-            most_saved,
-            first_loan: first_loan.max(MIN_INITIAL_LOAN).min(most_saved),
+            max_saved,
+            initial_operations: initial_operations.max(MIN_INITIAL_LOAN).min(max_saved),
         }
     }
 
     /// Returns the supply for the full quota.
-    pub fn whole(self) -> Supply {
-        self.part(100.0)
+    pub fn full(self) -> Supply {
+        self.share(100.0)
     }
 }
--- a/crates/millwind-core/src/routing.rs
+++ b/crates/millwind-core/src/routing.rs
@@ -25,11 +25,11 @@
     /// Most recent replay lag in milliseconds, used as the expected catch-up time.
     pub lag_ms: u64,
     /// Term starts reported together with the position.
-    pub history: Vec<TermStart>,
+    pub term_starts: Vec<TermStart>,
     /// Whether the instance is being decommissioned and receives no new requests.
     pub leaving: bool,
     /// Time until which the instance is skipped after a failure.
-    pub banned_until: Instant,
+    pub excluded_until: Instant,
 }
 
 /// The gateway's own location.
@@ -81,7 +81,7 @@
 
 impl Reason {
     /// Returns whether a candidate with this reason may serve the read.
-    pub const fn eligible(self) -> bool {
+    pub const fn is_eligible(self) -> bool {
         !matches!(
             self,
             Reason::Leaving | Reason::Discarded | Reason::NotAllowed | Reason::RegionNotAllowed
@@ -121,7 +121,7 @@
 
 /// A ranked candidate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Choice {
+pub struct RankedCandidate {
     /// The instance.
     pub instance: InstanceName,
     /// Reason for the candidate's rank.
@@ -136,21 +136,21 @@
     /// Position from the session's token for this group, if the session has one.
     pub token: Option<Position>,
     /// Longest time that the read may wait for a replica to catch up, in milliseconds.
-    pub wait_ms: u64,
+    pub max_wait_ms: u64,
     /// The tenant's read policy.
     pub policy: ReadPolicy,
     /// Regions in which the read may run.
     pub regions: AllowedRegions,
 }
 
-/// Returns the group's instances ranked for a read, best first. Ineligible instances come
+/// Returns the group's instances ranked for a read, best first. IneligibleReason instances come
 /// last and keep their reason, so that it can be reported.
 pub fn order_for_read(
     now: Instant,
     locality: &Locality,
     hints: &[InstanceHint],
     request: &ReadRequest,
-) -> Vec<Choice> {
+) -> Vec<RankedCandidate> {
     let mut ranked: Vec<_> = hints
         .iter()
         .map(|hint| {
@@ -161,7 +161,7 @@
     ranked.sort_by_key(|entry| entry.0);
     ranked
         .into_iter()
-        .map(|(_, hint, reason)| Choice {
+        .map(|(_, hint, reason)| RankedCandidate {
             instance: hint.instance.clone(),
             reason,
             primary: hint.primary,
@@ -176,7 +176,7 @@
     if hint.leaving {
         return Reason::Leaving;
     }
-    if hint.banned_until > now {
+    if hint.excluded_until > now {
         return Reason::Banned;
     }
     if hint.primary {
@@ -194,12 +194,14 @@
     let Some(token) = request.token else {
         return Reason::Covers;
     };
-    match coverage(position, &hint.history, token) {
+    match coverage(position, &hint.term_starts, token) {
         Coverage::Covered => Reason::Covers,
         Coverage::Discarded => Reason::Discarded,
         // The time since the lag was reported counts towards catching up. Otherwise a
         // replica that was slow once would never be selected again.
-        Coverage::Behind if hint.lag_ms.saturating_sub(now.millis_since(reported_at)) <= request.wait_ms => {
+        Coverage::Behind
+            if hint.lag_ms.saturating_sub(now.millis_since(reported_at)) <= request.max_wait_ms =>
+        {
             Reason::CatchesUp
         }
         Coverage::Behind => Reason::TooFarBehind,
--- a/crates/millwind-core/src/selection.rs
+++ b/crates/millwind-core/src/selection.rs
@@ -30,7 +30,7 @@
     /// Statements that the instance runs concurrently.
     pub slots: u32,
     /// Whether the instance runs in this node's zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether the instance is the group's leader.
     pub is_leader: bool,
     /// Whether the instance failed or lagged recently.
@@ -47,7 +47,7 @@
         if self.is_leader {
             cost = cost * LEADER_COST_PERCENT / 100;
         }
-        if !self.is_near {
+        if !self.is_same_zone {
             cost = cost * REMOTE_ZONE_COST_PERCENT / 100;
         }
         if self.is_cold {
--- a/crates/millwind-core/src/session_state.rs
+++ b/crates/millwind-core/src/session_state.rs
@@ -24,15 +24,15 @@
     /// Whether the statement reads or writes.
     pub access: Access,
     /// The statement's text without its name.
-    pub shape: String,
+    pub text: String,
 }
 
 impl PreparedStatement {
     /// Returns the name of the statement on shared connections.
     pub fn shared_name(&self) -> String {
         match self.access {
-            Access::Read => format!("r_{}", self.shape),
-            Access::Write => format!("w_{}", self.shape),
+            Access::Read => format!("r_{}", self.text),
+            Access::Write => format!("w_{}", self.text),
         }
     }
 }
@@ -77,7 +77,7 @@
     ///
     /// A value that the session does not set requires a reset, which prevents state from
     /// leaking between sessions.
-    pub fn steps_to(
+    pub fn preparation_steps(
         &self,
         session: &SessionState,
         needed: Option<&PreparedStatement>,
--- a/crates/millwind-core/src/tenant.rs
+++ b/crates/millwind-core/src/tenant.rs
@@ -328,7 +328,7 @@
             classes: self.classes.clone(),
             read_policy: self.read_policy,
             allowed_regions: AllowedRegions::from_list(self.allowed_regions.iter().cloned())
-                .both(&AllowedRegions::from_list(tenant.allowed_regions.iter().cloned())),
+                .intersection(&AllowedRegions::from_list(tenant.allowed_regions.iter().cloned())),
         })
     }
 
--- a/crates/millwind-core/src/warm_up.rs
+++ b/crates/millwind-core/src/warm_up.rs
@@ -2,11 +2,11 @@
 //! to one. An instance is cold, and therefore slower, for a while after its start.
 
 use crate::Instant;
-use crate::lending::{BorrowingTerms, Supply};
+use crate::lending::{BorrowingSettings, Supply};
 
 /// The warm-up limits of a group's instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WarmUpTerms {
+pub struct WarmUpLimits {
     /// Time for which an instance is cold after its start, in milliseconds.
     pub duration_ms: u64,
     /// Statements per second that all nodes together may send to a cold instance.
@@ -34,17 +34,17 @@
 
 /// Whether an instance is warm or cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Warmth {
+pub enum WarmUpStatus {
     /// The instance accepts the normal load.
     Warm,
     /// The instance is cold until this time.
     ColdUntil(Instant),
 }
 
-impl Warmth {
+impl WarmUpStatus {
     /// Returns whether the instance is cold at `now`.
     pub fn is_cold(self, now: Instant) -> bool {
-        matches!(self, Warmth::ColdUntil(until) if now < until)
+        matches!(self, WarmUpStatus::ColdUntil(until) if now < until)
     }
 }
 
@@ -55,7 +55,7 @@
 /// the record. Each read yields an upper bound for the end of the warm-up; the earliest
 /// bound applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sight {
+pub struct WarmUpObservation {
     /// End of the warm-up according to the records of the instance.
     reported_until: Instant,
     /// Remaining warm-up time in the last record read, in milliseconds.
@@ -83,12 +83,12 @@
 /// after it.
 const CONFIRMING_HEARTBEATS: u8 = 2;
 
-impl Sight {
+impl WarmUpObservation {
     /// Creates the state of an instance that this node first observes at `now`, with a
     /// reported remaining warm-up time of `reported_ms`. An instance that reports zero is
     /// taken as warm, because it may have been running for a long time.
-    pub fn first(reported_ms: u64, now: Instant) -> Self {
-        Sight {
+    pub fn first_observed(reported_ms: u64, now: Instant) -> Self {
+        WarmUpObservation {
             reported_until: now.plus_millis(reported_ms),
             reported_ms,
             assumed_start: None,
@@ -98,21 +98,21 @@
 
     /// Creates the state of an instance whose process was observed to restart at `now`. If
     /// the instance reports no remaining warm-up time, the start is assumed to be `now`.
-    pub fn new_life(reported_ms: u64, now: Instant) -> Self {
-        Sight {
+    pub fn restarted(reported_ms: u64, now: Instant) -> Self {
+        WarmUpObservation {
             assumed_start: (reported_ms == 0).then_some(now),
-            ..Sight::first(reported_ms, now)
+            ..WarmUpObservation::first_observed(reported_ms, now)
         }
     }
 
     /// Returns the state after another record of the same process was read. A reported time
     /// longer than before means that the process has restarted, even if the record does not
     /// identify a new process.
-    pub fn read_again(self, reported_ms: u64, now: Instant) -> Self {
+    pub fn record_reread(self, reported_ms: u64, now: Instant) -> Self {
         if reported_ms > self.reported_ms {
-            return Sight::new_life(reported_ms, now);
+            return WarmUpObservation::restarted(reported_ms, now);
         }
-        Sight {
+        WarmUpObservation {
             reported_until: self.reported_until.min(now.plus_millis(reported_ms)),
             reported_ms,
             ..self
@@ -121,8 +121,8 @@
 
     /// Returns the state of an instance that is used again at `now` after a period without
     /// use: the instance is treated as cold from `now` on.
-    pub fn unused_until(self, now: Instant) -> Self {
-        Sight {
+    pub fn resumed_at(self, now: Instant) -> Self {
+        WarmUpObservation {
             assumed_start: Some(now),
             ..self
         }
@@ -133,25 +133,25 @@
     /// connections before its record is read, so the instance is treated as cold for the
     /// full warm-up time, unless later heartbeats show that the old process is still
     /// running.
-    pub fn doubted(self, heartbeat: Option<u64>, now: Instant) -> Self {
+    pub fn suspect_termination(self, heartbeat: Option<u64>, now: Instant) -> Self {
         let suspicion = SuspectedTermination {
             since: now,
             heartbeat,
             later_heartbeats: 0,
         };
-        Sight {
+        WarmUpObservation {
             suspicion: Some(suspicion),
             ..self
         }
     }
 
     /// Returns whether the process is suspected to have terminated.
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_termination_suspected(&self) -> bool {
         self.suspicion.is_some()
     }
 
     /// Returns the state after a record of the same process with this heartbeat was read.
-    pub fn heard(self, heartbeat: Option<u64>) -> Self {
+    pub fn heartbeat_received(self, heartbeat: Option<u64>) -> Self {
         let Some(suspicion) = self.suspicion else {
             return self;
         };
@@ -164,7 +164,7 @@
             later_heartbeats,
             ..suspicion
         };
-        Sight {
+        WarmUpObservation {
             suspicion: (later_heartbeats < CONFIRMING_HEARTBEATS).then_some(updated),
             ..self
         }
@@ -172,9 +172,9 @@
 
     /// Returns whether the instance is warm under the warm-up limits of its group. Without
     /// limits, every instance is warm.
-    pub fn warmth(&self, terms: Option<WarmUpTerms>, now: Instant) -> Warmth {
+    pub fn warmth(&self, terms: Option<WarmUpLimits>, now: Instant) -> WarmUpStatus {
         let Some(terms) = terms else {
-            return Warmth::Warm;
+            return WarmUpStatus::Warm;
         };
         let latest_start = self
             .assumed_start
@@ -182,8 +182,8 @@
         let assumed_until = latest_start.map(|start| start.plus_millis(terms.duration_ms));
         let until = assumed_until.map_or(self.reported_until, |assumed| assumed.max(self.reported_until));
         match now < until {
-            true => Warmth::ColdUntil(until),
-            false => Warmth::Warm,
+            true => WarmUpStatus::ColdUntil(until),
+            false => WarmUpStatus::Warm,
         }
     }
 }
@@ -192,7 +192,7 @@
 /// request, in milliseconds. The lifetime covers a few round trips between regions. A
 /// longer lifetime reduces the lendable rate, because permits of one second may still be
 /// used in the next.
-pub const PLACE_MS: u64 = 150;
+pub const CREDIT_LIFETIME_MS: u64 = 150;
 /// Length of the window over which statements are counted, in milliseconds.
 const COUNTING_WINDOW_MS: u64 = 1_000;
 /// Delay before a node whose request was denied asks again, in milliseconds.
@@ -205,37 +205,37 @@
 
 /// Terms under which nodes borrow permits. Nothing is requested ahead of need, because
 /// permits are scarce and a permit that its borrower does not use is lost.
-pub const BORROWING: BorrowingTerms = BorrowingTerms {
-    loan_ms: PLACE_MS,
+pub const BORROWING_SETTINGS: BorrowingSettings = BorrowingSettings {
+    loan_ms: CREDIT_LIFETIME_MS,
     use_window_ms: COUNTING_WINDOW_MS,
-    ahead_percent: 0,
-    denied_pause_ms: DENIED_RETRY_DELAY_MS,
+    prefetch_percent: 0,
+    denied_backoff_ms: DENIED_RETRY_DELAY_MS,
 };
 
 /// Returns the maximum number of statements that all nodes together may send to a cold
 /// instance within any second.
-pub fn most_arrivals(terms: WarmUpTerms, tolerance: WarmUpTolerance) -> u64 {
+pub fn max_statements_per_s(terms: WarmUpLimits, tolerance: WarmUpTolerance) -> u64 {
     let tolerated = terms.statements_per_s * tolerance.overage_percent as f64 / 100.0;
     (tolerated + tolerance.slack as f64) as u64
 }
 
 /// Returns the supply of permits that one lender may lend for a cold instance.
 ///
-/// Permits used within a given second were lent within that second or within [`PLACE_MS`]
+/// Permits used within a given second were lent within that second or within [`CREDIT_LIFETIME_MS`]
 /// before it. In that period, a budget lends at most its saved permits plus those that its
-/// rate adds, which is less than [`most_arrivals`] plus one. A budget starts empty, so that
+/// rate adds, which is less than [`max_statements_per_s`] plus one. A budget starts empty, so that
 /// the bound also holds when the lender changes.
-pub fn supply(terms: WarmUpTerms, tolerance: WarmUpTolerance) -> Supply {
-    let max_statements = most_arrivals(terms, tolerance) as f64;
-    let most_saved = (max_statements * SAVED_PERMITS_PERCENT / 100.0).max(1.0);
-    let lending_window_s = (COUNTING_WINDOW_MS + PLACE_MS) as f64 / 1_000.0;
+pub fn credit_supply(terms: WarmUpLimits, tolerance: WarmUpTolerance) -> Supply {
+    let max_statements = max_statements_per_s(terms, tolerance) as f64;
+    let max_saved = (max_statements * SAVED_PERMITS_PERCENT / 100.0).max(1.0);
+    let lending_window_s = (COUNTING_WINDOW_MS + CREDIT_LIFETIME_MS) as f64 / 1_000.0;
     let rate_per_s = match max_statements < 1.0 {
         true => 0.0,
-        false => (max_statements + 1.0 - most_saved) / lending_window_s * ROUNDING_MARGIN,
+        false => (max_statements + 1.0 - max_saved) / lending_window_s * ROUNDING_MARGIN,
     };
     Supply {
         rate_per_s,
-        most_saved,
-        first_loan: 0.0,
+        max_saved,
+        initial_operations: 0.0,
     }
 }
--- a/crates/millwind-core/tests/affinity.rs
+++ b/crates/millwind-core/tests/affinity.rs
@@ -1,6 +1,6 @@
 //! Tests of tenant affinity.
 
-use millwind_core::affinity::order;
+use millwind_core::affinity::rendezvous_order;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -14,9 +14,9 @@
 fn removed_owner_moves_only_its_own_tenants() {
     for number in 0..TENANTS {
         let tenant = format!("t{number}");
-        let mut owners = order(&tenant, &OWNERS);
+        let mut owners = rendezvous_order(&tenant, &OWNERS);
         let first = owners[0];
-        let without_last = order(&tenant, &OWNERS[..2]);
+        let without_last = rendezvous_order(&tenant, &OWNERS[..2]);
         if first < 2 {
             assert_eq!(without_last[0], first, "{tenant} moved");
         }
@@ -49,7 +49,7 @@
 #[test]
 fn affinity_opens_fewer_connections() {
     let at_random = count_opened(|_, random| random.random_range(0..OWNERS.len()));
-    let with_affinity = count_opened(|tenant, _| order(&format!("t{tenant}"), &OWNERS)[0]);
+    let with_affinity = count_opened(|tenant, _| rendezvous_order(&format!("t{tenant}"), &OWNERS)[0]);
     println!(
         "connections opened for {STATEMENTS} statements: {at_random} at random owners, {with_affinity} with affinity"
     );
--- a/crates/millwind-core/tests/catalog_freshness.rs
+++ b/crates/millwind-core/tests/catalog_freshness.rs
@@ -11,11 +11,11 @@
 #[test]
 fn fresh_instances_do_not_refresh_the_configuration() {
     let mut freshness = CatalogFreshness::default();
-    freshness.told(at(1_000));
+    freshness.received_from_peer(at(1_000));
     freshness.instances_heard(at(5_000));
-    assert_eq!(freshness.as_of(), Some(at(1_000)));
+    assert_eq!(freshness.current_as_of(), Some(at(1_000)));
     freshness.configuration_read(at(4_900));
-    assert_eq!(freshness.as_of(), Some(at(5_000)));
+    assert_eq!(freshness.current_as_of(), Some(at(5_000)));
 }
 
 #[test]
@@ -24,17 +24,17 @@
     freshness.instances_heard(at(1_000));
     freshness.configuration_read(at(1_000));
     freshness.instances_heard(at(3_000));
-    freshness.configuration_unwatched();
+    freshness.configuration_watch_ended();
     freshness.instances_heard(at(9_000));
-    assert_eq!(freshness.as_of(), Some(at(3_000)));
+    assert_eq!(freshness.current_as_of(), Some(at(3_000)));
 }
 
 #[test]
 fn freshness_requires_both_documents() {
     let mut freshness = CatalogFreshness::default();
-    assert_eq!(freshness.as_of(), None);
+    assert_eq!(freshness.current_as_of(), None);
     freshness.instances_heard(at(1_000));
-    assert_eq!(freshness.as_of(), None);
+    assert_eq!(freshness.current_as_of(), None);
 }
 
 #[derive(Debug, Clone)]
@@ -73,18 +73,18 @@
                     last_known = now;
                 }
                 Event::Unwatched => {
-                    freshness.configuration_unwatched();
+                    freshness.configuration_watch_ended();
                     is_watched = false;
                 }
                 Event::Told(age) => {
-                    freshness.told(at(now - age));
+                    freshness.received_from_peer(at(now - age));
                     last_known = last_known.max(now - age);
                 }
             }
             if is_watched {
                 last_known = now;
             }
-            if let Some(as_of) = freshness.as_of() {
+            if let Some(as_of) = freshness.current_as_of() {
                 prop_assert!(as_of <= at(last_known), "{as_of:?} after {last_known}");
             }
         }
--- a/crates/millwind-core/tests/catalog_relay.rs
+++ b/crates/millwind-core/tests/catalog_relay.rs
@@ -1,7 +1,7 @@
 //! Tests of the choice of nodes that read the catalog from the store.
 
 use millwind_core::Instant;
-use millwind_core::catalog_relay::{CatalogState, RelayTimes, relays_of_zone};
+use millwind_core::catalog_relay::{CatalogState, RelayTimes, relay_count};
 use proptest::prelude::*;
 
 const NOW: Instant = Instant::from_millis(100_000);
@@ -9,35 +9,35 @@
 fn state() -> CatalogState {
     CatalogState {
         is_relay: false,
-        asked: None,
+        contacted_as_relay_at: None,
         is_complete: true,
-        known_since: Instant::from_millis(1_000),
-        heard: Some(NOW),
+        members_known_since: Instant::from_millis(1_000),
+        matched_store_at: Some(NOW),
         relay_answered: None,
     }
 }
 
 fn times() -> RelayTimes {
-    RelayTimes::within(5_000)
+    RelayTimes::for_config_bound(5_000)
 }
 
 #[test]
 fn small_deployment_has_no_relays() {
-    assert_eq!(relays_of_zone(3, 7), None);
-    assert_eq!(relays_of_zone(23, 23), None);
+    assert_eq!(relay_count(3, 7), None);
+    assert_eq!(relay_count(23, 23), None);
 }
 
 #[test]
 fn number_of_relays_grows_with_zone_size() {
-    assert_eq!(relays_of_zone(12, 73), Some(2));
-    assert_eq!(relays_of_zone(100, 300), Some(3));
-    assert_eq!(relays_of_zone(182, 910), Some(6));
-    assert_eq!(relays_of_zone(1, 73), Some(2));
+    assert_eq!(relay_count(12, 73), Some(2));
+    assert_eq!(relay_count(100, 300), Some(3));
+    assert_eq!(relay_count(182, 910), Some(6));
+    assert_eq!(relay_count(1, 73), Some(2));
 }
 
 #[test]
 fn node_with_fresh_catalog_does_not_read_store() {
-    assert!(!state().must_read(NOW, &times()));
+    assert!(!state().must_read_store(NOW, &times()));
 }
 
 #[test]
@@ -46,24 +46,27 @@
         is_relay: true,
         ..state()
     };
-    assert!(relay.must_read(NOW, &times()));
+    assert!(relay.must_read_store(NOW, &times()));
     let asked = CatalogState {
-        asked: Some(Instant::from_millis(95_000)),
+        contacted_as_relay_at: Some(Instant::from_millis(95_000)),
         ..state()
     };
-    assert!(asked.must_read(NOW, &times()));
+    assert!(asked.must_read_store(NOW, &times()));
     let asked_long_ago = CatalogState {
-        asked: Some(Instant::from_millis(90_000)),
+        contacted_as_relay_at: Some(Instant::from_millis(90_000)),
         ..state()
     };
-    assert!(!asked_long_ago.must_read(NOW, &times()));
+    assert!(!asked_long_ago.must_read_store(NOW, &times()));
 }
 
 #[test]
 fn node_with_stale_catalog_reads_store() {
     for heard in [None, Some(Instant::from_millis(97_000))] {
-        let stale = CatalogState { heard, ..state() };
-        assert!(stale.must_read(NOW, &times()), "{heard:?}");
+        let stale = CatalogState {
+            matched_store_at: heard,
+            ..state()
+        };
+        assert!(stale.must_read_store(NOW, &times()), "{heard:?}");
     }
 }
 
@@ -71,18 +74,18 @@
 fn node_with_incomplete_catalog_waits_briefly_for_relays() {
     let starting = CatalogState {
         is_complete: false,
-        heard: None,
-        known_since: Instant::from_millis(99_600),
+        matched_store_at: None,
+        members_known_since: Instant::from_millis(99_600),
         ..state()
     };
-    assert!(!starting.must_read(NOW, &times()));
-    assert!(starting.must_read(NOW.plus_millis(150), &times()));
+    assert!(!starting.must_read_store(NOW, &times()));
+    assert!(starting.must_read_store(NOW.plus_millis(150), &times()));
     // A fresh catalog contains everything in the store, even if it is incomplete.
     let with_fresh_catalog = CatalogState {
-        heard: Some(NOW),
+        matched_store_at: Some(NOW),
         ..starting
     };
-    assert!(!with_fresh_catalog.must_read(NOW.plus_millis(150), &times()));
+    assert!(!with_fresh_catalog.must_read_store(NOW.plus_millis(150), &times()));
 }
 
 /// A starting node must not read the store while relays answer, since they may still be
@@ -91,36 +94,36 @@
 fn node_with_incomplete_catalog_waits_longer_for_answering_relays() {
     let starting = CatalogState {
         is_complete: false,
-        heard: None,
-        known_since: Instant::from_millis(98_000),
+        matched_store_at: None,
+        members_known_since: Instant::from_millis(98_000),
         relay_answered: Some(Instant::from_millis(99_900)),
         ..state()
     };
-    assert!(!starting.must_read(NOW, &times()));
-    assert!(starting.must_read(NOW.plus_millis(400), &times()));
+    assert!(!starting.must_read_store(NOW, &times()));
+    assert!(starting.must_read_store(NOW.plus_millis(400), &times()));
     let still_answered = CatalogState {
         relay_answered: Some(NOW.plus_millis(1_000)),
         ..starting
     };
-    assert!(!still_answered.must_read(NOW.plus_millis(999), &times()));
-    assert!(still_answered.must_read(NOW.plus_millis(1_000), &times()));
+    assert!(!still_answered.must_read_store(NOW.plus_millis(999), &times()));
+    assert!(still_answered.must_read_store(NOW.plus_millis(1_000), &times()));
 }
 
 #[test]
 fn starting_node_waits_for_first_relay_answer() {
     let starting = CatalogState {
-        heard: None,
-        known_since: Instant::from_millis(99_500),
+        matched_store_at: None,
+        members_known_since: Instant::from_millis(99_500),
         ..state()
     };
-    assert!(!starting.must_read(NOW, &times()));
-    assert!(starting.must_read(NOW.plus_millis(600), &times()));
+    assert!(!starting.must_read_store(NOW, &times()));
+    assert!(starting.must_read_store(NOW.plus_millis(600), &times()));
 }
 
 #[test]
 fn short_config_bound_disables_relays() {
-    assert!(!RelayTimes::within(1_500).allow_relays);
-    assert!(RelayTimes::within(2_000).allow_relays);
+    assert!(!RelayTimes::for_config_bound(1_500).allow_relays);
+    assert!(RelayTimes::for_config_bound(2_000).allow_relays);
 }
 
 proptest! {
@@ -128,10 +131,10 @@
     /// in force, even after one comparison with another node.
     #[test]
     fn missed_configuration_is_read_within_the_bound(config_bound_ms in 500_u64..60_000) {
-        let times = RelayTimes::within(config_bound_ms);
+        let times = RelayTimes::for_config_bound(config_bound_ms);
         prop_assume!(times.allow_relays);
         let comparison_ms = 800;
-        prop_assert!(times.fresh_ms + comparison_ms <= config_bound_ms);
-        prop_assert!(times.pace_ms < times.fresh_ms);
+        prop_assert!(times.max_fresh_age_ms + comparison_ms <= config_bound_ms);
+        prop_assert!(times.read_interval_ms < times.max_fresh_age_ms);
     }
 }
--- a/crates/millwind-core/tests/concurrency_limit.rs
+++ b/crates/millwind-core/tests/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Tests of the adaptive concurrency limit.
 
 use millwind_core::Instant;
-use millwind_core::concurrency_limit::{ConcurrencyLimit, TurnEnd};
+use millwind_core::concurrency_limit::{ConcurrencyLimit, ExecutionEnd};
 use proptest::prelude::*;
 
 const NOW: Instant = Instant::from_millis(10_000);
@@ -16,11 +16,11 @@
 fn limit_grows_only_while_reached() {
     let mut limit = ConcurrencyLimit::new(5);
     for _ in 0..100 {
-        limit.ended(NOW, TurnEnd::Ran, false);
+        limit.record_end(NOW, ExecutionEnd::Ran, false);
     }
     assert_eq!(limit.allowed(), 5);
     for _ in 0..6 {
-        limit.ended(NOW, TurnEnd::Ran, true);
+        limit.record_end(NOW, ExecutionEnd::Ran, true);
     }
     assert_eq!(limit.allowed(), 6);
 }
@@ -29,10 +29,10 @@
 fn burst_of_rejections_decreases_limit_once() {
     let mut limit = ConcurrencyLimit::new(10);
     for _ in 0..20 {
-        limit.ended(NOW, TurnEnd::TurnedAway, true);
+        limit.record_end(NOW, ExecutionEnd::Rejected, true);
     }
     assert_eq!(limit.allowed(), 7);
-    limit.ended(NOW.plus_millis(60), TurnEnd::TurnedAway, true);
+    limit.record_end(NOW.plus_millis(60), ExecutionEnd::Rejected, true);
     assert_eq!(limit.allowed(), 4);
 }
 
@@ -48,11 +48,11 @@
         for (pause_ms, end, was_at_limit) in ends {
             now = now.plus_millis(pause_ms);
             let end = match end {
-                0 => TurnEnd::Ran,
-                1 => TurnEnd::TurnedAway,
-                _ => TurnEnd::Unknown,
+                0 => ExecutionEnd::Ran,
+                1 => ExecutionEnd::Rejected,
+                _ => ExecutionEnd::Unknown,
             };
-            limit.ended(now, end, was_at_limit);
+            limit.record_end(now, end, was_at_limit);
             prop_assert!(limit.allowed() >= 1);
             prop_assert!(limit.allowed() <= 2 * slots.max(1) as usize);
         }
--- a/crates/millwind-core/tests/connection_queue.rs
+++ b/crates/millwind-core/tests/connection_queue.rs
@@ -2,15 +2,15 @@
 
 use std::collections::VecDeque;
 
-use millwind_core::connection_queue::{Waiting, next_in_line};
+use millwind_core::connection_queue::{WaitingRequest, select_next};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn waiting(rank: u8, is_same_user: bool, passed_over: u8) -> Waiting {
-    Waiting {
+fn waiting(rank: u8, is_same_user: bool, passed_over: u8) -> WaitingRequest {
+    WaitingRequest {
         rank,
         is_same_user,
-        passed_over,
+        overtaken_count: passed_over,
     }
 }
 
@@ -22,15 +22,15 @@
         waiting(1, true, 0),
         waiting(2, true, 0),
     ];
-    assert_eq!(next_in_line(queue), Some(2));
-    assert_eq!(next_in_line([queue[0], queue[3]]), Some(0));
-    assert_eq!(next_in_line([]), None);
+    assert_eq!(select_next(queue), Some(2));
+    assert_eq!(select_next([queue[0], queue[3]]), Some(0));
+    assert_eq!(select_next([]), None);
 }
 
 #[test]
 fn head_of_queue_is_overtaken_a_limited_number_of_times() {
     let queue = [waiting(1, false, 4), waiting(1, true, 0)];
-    assert_eq!(next_in_line(queue), Some(0));
+    assert_eq!(select_next(queue), Some(0));
 }
 
 /// Load of a node with connections to a leader that serves all reads of its group.
@@ -40,7 +40,7 @@
 
 /// Returns the number of connections opened with the given selection function and the
 /// highest number of times that a request was overtaken.
-fn simulate_connections(select: impl Fn(&[Waiting]) -> usize) -> (usize, u8) {
+fn simulate_connections(select: impl Fn(&[WaitingRequest]) -> usize) -> (usize, u8) {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut queue: VecDeque<(usize, u8)> = VecDeque::new();
     let (mut connected_tenant, mut opened, mut max_overtaken) = (0, 0, 0);
@@ -71,7 +71,7 @@
 fn preferring_the_same_user_opens_fewer_connections() {
     let (by_arrival, _) = simulate_connections(|_| 0);
     let (by_user, max_overtaken) =
-        simulate_connections(|queue| next_in_line(queue.iter().copied()).unwrap_or(0));
+        simulate_connections(|queue| select_next(queue.iter().copied()).unwrap_or(0));
     println!("connections opened: {by_arrival} in order of arrival, {by_user} with the same user first");
     assert!(by_user * 100 < by_arrival * 70, "{by_user} and {by_arrival}");
     // Requests behind the head can be overtaken more often than the head.
--- a/crates/millwind-core/tests/control_fuzz.rs
+++ b/crates/millwind-core/tests/control_fuzz.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use millwind_core::Instant;
-use millwind_core::control::{ControlPlane, Standing};
+use millwind_core::control::{ControlPlane, RolloutState};
 use millwind_core::membership::{MembershipTimes, Outgoing};
 use millwind_wire::ControlMessage;
 use millwind_wire::control::{Liveness, MemberRecord, NodeRevision, WireDocument};
@@ -175,7 +175,7 @@
                 let stored = self.stored;
                 let plane = &mut self.nodes[index].plane;
                 let outgoing = plane.platform_changes(now, stored, &[document(stored)]);
-                plane.platform_heard(now, stored);
+                plane.record_platform_contact(now, stored);
                 self.post(index, outgoing);
             }
             let outgoing = self.nodes[index].plane.tick(now);
@@ -231,9 +231,13 @@
             );
         }
         let plane = &self.nodes[0].plane;
-        let standings = plane.standings(self.now, revision, &reports);
+        let standings = plane.rollout_states(self.now, revision, &reports);
         let known = standings.len() == NODES;
-        if known && standings.values().all(|standing| *standing != Standing::Pending) {
+        if known
+            && standings
+                .values()
+                .all(|standing| *standing != RolloutState::Pending)
+        {
             self.reported_in_force = self.reported_in_force.max(revision);
         }
     }
--- a/crates/millwind-core/tests/data_residency.rs
+++ b/crates/millwind-core/tests/data_residency.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use millwind_core::data_residency::{AllowedRegions, Topology};
-use millwind_core::eligibility::{Ineligible, InstanceFacts, judge_carrier, judge_instance};
+use millwind_core::eligibility::{IneligibleReason, InstanceFacts, check_forwarding, check_instance};
 use millwind_core::ids::{RegionName, ZoneName};
 use proptest::prelude::*;
 
@@ -38,7 +38,7 @@
 
 #[test]
 fn disjoint_lists_allow_no_region() {
-    let none = only(&["north"]).both(&only(&["south"]));
+    let none = only(&["north"]).intersection(&only(&["south"]));
     assert!(!none.is_any());
     assert!(REGIONS.iter().all(|name| !none.allows(Some(&region(name)))));
     assert!(!none.allows(None));
@@ -63,11 +63,11 @@
     fn intersection_allows_what_both_allow(left in any_list(), right in any_list(), region_name in any_region()) {
         let (left, right) = (AllowedRegions::from_list(left), AllowedRegions::from_list(right));
         let region_name = region_name.as_ref();
-        let both = left.both(&right);
+        let both = left.intersection(&right);
         prop_assert_eq!(both.allows(region_name), left.allows(region_name) && right.allows(region_name));
-        prop_assert_eq!(&both, &right.both(&left));
-        prop_assert_eq!(&both.both(&left), &both);
-        prop_assert_eq!(&left.both(&AllowedRegions::Any), &left);
+        prop_assert_eq!(&both, &right.intersection(&left));
+        prop_assert_eq!(&both.intersection(&left), &both);
+        prop_assert_eq!(&left.intersection(&AllowedRegions::Any), &left);
     }
 
     /// An instance outside the allowed regions is never eligible; one inside is eligible
@@ -83,9 +83,9 @@
         let is_allowed = listed.is_empty() || region_name.as_ref().is_some_and(|region_name| listed.contains(region_name));
         let allowed = AllowedRegions::from_list(list);
         let facts = InstanceFacts { region: region_name.as_ref(), is_evacuated, is_leaving };
-        let eligibility_result = judge_instance(&allowed, &facts);
-        prop_assert_eq!(eligibility_result == Err(Ineligible::RegionNotAllowed), !is_allowed);
+        let eligibility_result = check_instance(&allowed, &facts);
+        prop_assert_eq!(eligibility_result == Err(IneligibleReason::RegionNotAllowed), !is_allowed);
         prop_assert_eq!(eligibility_result.is_ok(), is_allowed && !is_evacuated && !is_leaving);
-        prop_assert_eq!(judge_carrier(&allowed, region_name.as_ref()).is_ok(), is_allowed);
+        prop_assert_eq!(check_forwarding(&allowed, region_name.as_ref()).is_ok(), is_allowed);
     }
 }
--- a/crates/millwind-core/tests/evacuation.rs
+++ b/crates/millwind-core/tests/evacuation.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use millwind_core::Instant;
-use millwind_core::evacuation::{DatedEvacuation, EvacuationEvent, Evacuations};
+use millwind_core::evacuation::{EvacuationEvent, EvacuationRequest, Evacuations};
 use millwind_core::ids::ZoneName;
 use millwind_wire::store_revision::StoreRevision;
 use proptest::prelude::*;
@@ -37,12 +37,12 @@
     known.apply(&[zone("a"), zone("b")], revision_of(5), at(100));
     assert!(known.is_known());
     let change = known.apply(&[zone("b")], revision_of(6), at(200));
-    assert_eq!(change.taken_back, [zone("a")]);
-    assert_eq!(known.returned_at(&zone("a")), Some(at(200)));
+    assert_eq!(change.withdrawn, [zone("a")]);
+    assert_eq!(known.withdrawn_at(&zone("a")), Some(at(200)));
     assert_eq!(known.since(&zone("b")), Some(at(100)));
     let change = known.apply(&[zone("a"), zone("b")], revision_of(7), at(300));
-    assert_eq!(change.begun, [zone("a")]);
-    assert_eq!(known.returned_at(&zone("a")), None);
+    assert_eq!(change.started, [zone("a")]);
+    assert_eq!(known.withdrawn_at(&zone("a")), None);
 }
 
 #[test]
@@ -60,12 +60,12 @@
     let mut known = Evacuations::default();
     known.apply(&[zone("a")], StoreRevision::new(1, 50), at(100));
     let change = known.apply(&[zone("b")], StoreRevision::new(2, 40), at(200));
-    assert_eq!((change.begun, change.taken_back), (vec![zone("b")], vec![]));
+    assert_eq!((change.started, change.withdrawn), (vec![zone("b")], vec![]));
     assert!(known.includes(&zone("a")));
     // A listing from before the restore is older regardless of its revision number.
     assert!(known.apply(&[], StoreRevision::new(1, 60), at(250)).is_empty());
     let change = known.apply(&[zone("b")], StoreRevision::new(2, 41), at(300));
-    assert_eq!(change.taken_back, [zone("a")]);
+    assert_eq!(change.withdrawn, [zone("a")]);
 }
 
 #[test]
@@ -77,23 +77,23 @@
     // The listing already includes this change.
     assert!(known.apply_events(&[event("a", false, 4)], at(150)).is_empty());
     let change = known.apply_events(&[event("b", true, 6), event("c", true, 6)], at(200));
-    assert_eq!(change.begun, [zone("b"), zone("c")]);
+    assert_eq!(change.started, [zone("b"), zone("c")]);
     assert_eq!(known.since(&zone("a")), Some(at(100)));
     let change = known.apply_events(&[event("b", false, 7)], at(300));
-    assert_eq!(change.taken_back, [zone("b")]);
+    assert_eq!(change.withdrawn, [zone("b")]);
 }
 
 #[test]
 fn earliest_request_time_is_kept() {
     let mut known = Evacuations::default();
     known.apply(&[zone("a")], revision_of(5), at(900));
-    let earlier = DatedEvacuation {
+    let earlier = EvacuationRequest {
         zone: zone("a"),
         since: at(400),
     };
     assert!(
         known
-            .apply_dated(&[earlier], revision_of(5), at(1_000))
+            .apply_requests(&[earlier], revision_of(5), at(1_000))
             .is_empty()
     );
     assert_eq!(known.since(&zone("a")), Some(at(400)));
--- a/crates/millwind-core/tests/failover.rs
+++ b/crates/millwind-core/tests/failover.rs
@@ -2,14 +2,14 @@
 
 use millwind_core::Instant;
 use millwind_core::failover::{
-    FailoverTimes, LeaderEvidence, LeaderVerdict, ReplaceReason, Successor, choose_successor, judge_leader,
+    FailoverTimes, LeaderEvidence, LeaderVerdict, ReplaceReason, Successor, choose_successor, evaluate_leader,
 };
 use millwind_core::ids::InstanceName;
 use millwind_core::position::Position;
 
 const TIMES: FailoverTimes = FailoverTimes {
     suspect_ms: 400,
-    alone_ms: 1_200,
+    unconfirmed_ms: 1_200,
     heartbeat_ms: 2_400,
 };
 
@@ -30,28 +30,28 @@
         ..LeaderEvidence::default()
     };
     let now = Instant::from_millis(1);
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
 }
 
 #[test]
 fn unconfirmed_failure_takes_longer_than_confirmed_failure() {
     let (now, mut evidence) = failing_for(500);
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
     evidence.peers_failing = 1;
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::ConfirmedByPeers));
     let (now, evidence) = failing_for(1_300);
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Unconfirmed));
 }
 
 #[test]
 fn leader_is_kept_while_most_peers_reach_it() {
     let (now, mut evidence) = failing_for(60_000);
-    evidence.is_refusing = true;
+    evidence.refuses_connections = true;
     evidence.peers_reaching = 2;
     evidence.peers_failing = 1;
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
 }
 
 #[test]
@@ -59,17 +59,17 @@
     let (now, mut evidence) = failing_for(60_000);
     evidence.replicas_reached = 0;
     evidence.is_leaving = true;
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Suspected);
 }
 
 #[test]
 fn stale_heartbeat_confirms_but_does_not_raise_suspicion() {
     let (now, mut evidence) = failing_for(500);
     evidence.heartbeat_age_ms = Some(2_500);
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::HeartbeatStale));
     evidence.failing_since = None;
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
 }
 
 fn replica(name: &str, number: u64) -> Successor {
@@ -78,10 +78,10 @@
         received: Position::new(1, number),
         is_leaving: false,
         is_evacuated: false,
-        allowed_worth: 0,
+        servable_share: 0,
         is_cold: false,
-        is_named: false,
-        is_near: false,
+        is_named_in_order: false,
+        is_in_own_zone: false,
     }
 }
 
@@ -124,9 +124,9 @@
     assert_eq!(chosen.instance.as_str(), "b");
     let beyond_all_replicas = Some(Position::new(1, 13));
     assert!(choose_successor(&answered, 2, 0, beyond_all_replicas).is_none());
-    assert!(ReplaceReason::Unresponsive.is_of_live_leader());
-    assert!(ReplaceReason::Leaving.is_of_live_leader());
-    assert!(!ReplaceReason::ConnectionRefused.is_of_live_leader());
+    assert!(ReplaceReason::Unresponsive.is_leader_alive());
+    assert!(ReplaceReason::Leaving.is_leader_alive());
+    assert!(!ReplaceReason::ConnectionRefused.is_leader_alive());
 }
 
 #[test]
@@ -138,12 +138,12 @@
         unresponsive_since: Some(Instant::from_millis(99_000)),
         ..LeaderEvidence::default()
     };
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
     evidence.unresponsive_since = Some(Instant::from_millis(98_800));
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Unresponsive));
     evidence.healthy_replicas = 0;
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
 }
 
 #[test]
@@ -155,7 +155,7 @@
         is_outlier: true,
         ..LeaderEvidence::default()
     };
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Outlier));
 }
 
@@ -165,20 +165,20 @@
     let mut evidence = LeaderEvidence {
         replicas_reached: 2,
         healthy_replicas: 2,
-        must_leave_zone: true,
+        is_zone_evacuated: true,
         ..LeaderEvidence::default()
     };
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::Evacuated));
-    assert!(ReplaceReason::Evacuated.is_of_live_leader());
+    assert!(ReplaceReason::Evacuated.is_leader_alive());
     // An unreachable leader is not treated as alive, so the handover does not wait for it.
     evidence.failing_since = Some(Instant::from_millis(98_000));
     evidence.peers_failing = 2;
-    let verdict = judge_leader(now, &evidence, &TIMES);
+    let verdict = evaluate_leader(now, &evidence, &TIMES);
     assert_eq!(verdict, LeaderVerdict::Replace(ReplaceReason::ConfirmedByPeers));
     evidence = LeaderEvidence {
-        must_leave_zone: true,
+        is_zone_evacuated: true,
         ..LeaderEvidence::default()
     };
-    assert_eq!(judge_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
+    assert_eq!(evaluate_leader(now, &evidence, &TIMES), LeaderVerdict::Healthy);
 }
--- a/crates/millwind-core/tests/incarnation.rs
+++ b/crates/millwind-core/tests/incarnation.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use millwind_core::incarnation::{Incarnation, LifeEvidence, LifeSigns, began_anew};
+use millwind_core::incarnation::{Incarnation, RestartEvidence, RestartSigns, restart_evidence};
 use proptest::prelude::*;
 
-fn life_signs(started_ms: Option<u64>, heartbeat: Option<u64>) -> LifeSigns {
-    LifeSigns {
+fn life_signs(started_ms: Option<u64>, heartbeat: Option<u64>) -> RestartSigns {
+    RestartSigns {
         incarnation: started_ms.map(Incarnation),
         heartbeat,
         address: SocketAddr::from(([127, 0, 0, 1], 5_001)),
@@ -21,7 +21,10 @@
         life_signs(Some(3_000), Some(1)),
         life_signs(Some(1_000), Some(10)),
     ] {
-        assert_eq!(began_anew(&previous, &current), Some(LifeEvidence::Incarnation));
+        assert_eq!(
+            restart_evidence(&previous, &current),
+            Some(RestartEvidence::Incarnation)
+        );
     }
 }
 
@@ -29,28 +32,34 @@
 fn the_same_incarnation_is_no_restart_even_if_heartbeat_or_address_changes() {
     let previous = life_signs(Some(2_000), Some(9));
     let mut current = life_signs(Some(2_000), Some(1));
-    assert_eq!(began_anew(&previous, &current), None);
+    assert_eq!(restart_evidence(&previous, &current), None);
     current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
-    assert_eq!(began_anew(&previous, &current), None);
+    assert_eq!(restart_evidence(&previous, &current), None);
 }
 
 #[test]
 fn gaining_or_losing_the_incarnation_is_a_restart() {
     let unnamed = life_signs(None, Some(9));
     let named = life_signs(Some(2_000), Some(10));
-    assert_eq!(began_anew(&unnamed, &named), Some(LifeEvidence::Incarnation));
-    assert_eq!(began_anew(&named, &unnamed), Some(LifeEvidence::Incarnation));
+    assert_eq!(
+        restart_evidence(&unnamed, &named),
+        Some(RestartEvidence::Incarnation)
+    );
+    assert_eq!(
+        restart_evidence(&named, &unnamed),
+        Some(RestartEvidence::Incarnation)
+    );
 }
 
 #[test]
 fn without_an_incarnation_a_lower_heartbeat_is_a_restart() {
     let previous = life_signs(None, Some(9));
-    assert_eq!(began_anew(&previous, &life_signs(None, Some(9))), None);
-    assert_eq!(began_anew(&previous, &life_signs(None, Some(10))), None);
-    assert_eq!(began_anew(&previous, &life_signs(None, None)), None);
+    assert_eq!(restart_evidence(&previous, &life_signs(None, Some(9))), None);
+    assert_eq!(restart_evidence(&previous, &life_signs(None, Some(10))), None);
+    assert_eq!(restart_evidence(&previous, &life_signs(None, None)), None);
     assert_eq!(
-        began_anew(&previous, &life_signs(None, Some(1))),
-        Some(LifeEvidence::Heartbeat)
+        restart_evidence(&previous, &life_signs(None, Some(1))),
+        Some(RestartEvidence::Heartbeat)
     );
 }
 
@@ -59,11 +68,14 @@
     let mut previous = life_signs(None, None);
     let mut current = previous;
     current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
-    assert_eq!(began_anew(&previous, &current), Some(LifeEvidence::Address));
+    assert_eq!(
+        restart_evidence(&previous, &current),
+        Some(RestartEvidence::Address)
+    );
     previous.is_leaving = true;
     assert_eq!(
-        began_anew(&previous, &life_signs(None, None)),
-        Some(LifeEvidence::ShutdownWithdrawn)
+        restart_evidence(&previous, &life_signs(None, None)),
+        Some(RestartEvidence::ShutdownWithdrawn)
     );
 }
 
@@ -74,7 +86,7 @@
         current in 0_u64..5,
         heartbeats in prop::array::uniform2(prop::option::of(0_u64..5)),
     ) {
-        let evidence = began_anew(
+        let evidence = restart_evidence(
             &life_signs(Some(previous), heartbeats[0]),
             &life_signs(Some(current), heartbeats[1]),
         );
--- a/crates/millwind-core/tests/lead_permit.rs
+++ b/crates/millwind-core/tests/lead_permit.rs
@@ -2,7 +2,7 @@
 
 use millwind_core::Instant;
 use millwind_core::lead_permit::{
-    ClosedTerms, PERMIT_MS, Permit, Revocation, SETTLE_MS, may_promote, term_to_close,
+    ClosedTerms, DRAIN_MS, PERMIT_MS, Permit, Revocation, may_promote, term_to_close,
 };
 use millwind_core::position::Term;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 fn a_permit_expires_without_a_recent_read_of_closed_terms() {
     let terms = ClosedTerms::default();
     let last = START.plus_millis(PERMIT_MS - 1);
-    assert_eq!(terms.permit(Term(1), last, Some(START)), Permit::Good);
+    assert_eq!(terms.permit(Term(1), last, Some(START)), Permit::Valid);
     let after = START.plus_millis(PERMIT_MS);
     assert_eq!(terms.permit(Term(1), after, Some(START)), Permit::Expired);
     assert_eq!(terms.permit(Term(1), START, None), Permit::Expired);
@@ -27,11 +27,11 @@
         !terms.close(Term(3), START.plus_millis(100), Some(START)),
         "closing a closed term again must return false"
     );
-    let soon = START.plus_millis(SETTLE_MS - 1);
+    let soon = START.plus_millis(DRAIN_MS - 1);
     assert_eq!(terms.permit(Term(3), soon, Some(START)), Permit::Draining);
-    let later = START.plus_millis(SETTLE_MS);
+    let later = START.plus_millis(DRAIN_MS);
     assert_eq!(terms.permit(Term(3), later, Some(START)), Permit::Closed);
-    assert_eq!(terms.permit(Term(4), later, Some(START)), Permit::Good);
+    assert_eq!(terms.permit(Term(4), later, Some(START)), Permit::Valid);
 }
 
 #[test]
--- a/crates/millwind-core/tests/lead_relocation.rs
+++ b/crates/millwind-core/tests/lead_relocation.rs
@@ -5,8 +5,8 @@
 use millwind_core::data_residency::AllowedRegions;
 use millwind_core::ids::RegionName;
 use millwind_core::lead_relocation::{
-    LeadFacts, LeaderDemand, RELOCATION_COOLDOWN_MS, RETRY_COOLDOWN_MS, Relocation, judge_relocation,
-    worth_of,
+    LeaderDemand, LeadershipState, RELOCATION_COOLDOWN_MS, RETRY_COOLDOWN_MS, Relocation, decide_relocation,
+    statement_weight,
 };
 use proptest::prelude::*;
 
@@ -33,17 +33,17 @@
 }
 
 /// Decides for a leader in the north whose cooldown has passed.
-fn decide(demand: &LeaderDemand, change: impl FnOnce(&mut LeadFacts<'_>)) -> Option<Relocation> {
+fn decide(demand: &LeaderDemand, change: impl FnOnce(&mut LeadershipState<'_>)) -> Option<Relocation> {
     let (north, candidates, left) = (region("north"), regions(&["south", "east"]), regions(&[]));
-    let mut facts = LeadFacts {
+    let mut facts = LeadershipState {
         region: Some(&north),
         unchanged_ms: RELOCATION_COOLDOWN_MS,
-        tried_ms: None,
+        since_attempt_ms: None,
         candidates: &candidates,
-        left: &left,
+        left_regions: &left,
     };
     change(&mut facts);
-    judge_relocation(demand, &facts)
+    decide_relocation(demand, &facts)
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let demand = demand(&[(&["south"], 40), (&["east"], 10), (&["south", "east"], 5)]);
     let moved = decide(&demand, |_| ()).unwrap();
     assert_eq!(moved.region, region("south"));
-    assert_eq!((moved.worth_before, moved.worth_after), (0, 45));
+    assert_eq!((moved.weight_before, moved.weight_after), (0, 45));
 }
 
 #[test]
@@ -79,9 +79,11 @@
     let demand = demand(&[(&["south"], 40)]);
     let early = decide(&demand, |facts| facts.unchanged_ms = RELOCATION_COOLDOWN_MS - 1);
     assert_eq!(early, None);
-    let tried = decide(&demand, |facts| facts.tried_ms = Some(RETRY_COOLDOWN_MS - 1));
+    let tried = decide(&demand, |facts| {
+        facts.since_attempt_ms = Some(RETRY_COOLDOWN_MS - 1)
+    });
     assert_eq!(tried, None);
-    assert!(decide(&demand, |facts| facts.tried_ms = Some(RETRY_COOLDOWN_MS)).is_some());
+    assert!(decide(&demand, |facts| facts.since_attempt_ms = Some(RETRY_COOLDOWN_MS)).is_some());
 }
 
 #[test]
@@ -92,7 +94,7 @@
 
 #[test]
 fn weight_falls_with_the_priority_but_stays_positive() {
-    let weights: Vec<_> = (0..6).map(worth_of).collect();
+    let weights: Vec<_> = (0..6).map(statement_weight).collect();
     assert_eq!(weights, [4, 3, 2, 1, 1, 1]);
 }
 
@@ -105,14 +107,14 @@
     for (north, south) in [(0, 50), (50, 0), (0, 50), (50, 0)] {
         let demand = demand(&[(&["north"], north), (&["south"], south)]);
         let (present, candidates) = (region(leader_region), regions(&["north", "south"]));
-        let facts = LeadFacts {
+        let facts = LeadershipState {
             region: Some(&present),
             unchanged_ms: RELOCATION_COOLDOWN_MS,
-            tried_ms: None,
+            since_attempt_ms: None,
             candidates: &candidates,
-            left: &left,
+            left_regions: &left,
         };
-        if let Some(moved) = judge_relocation(&demand, &facts) {
+        if let Some(moved) = decide_relocation(&demand, &facts) {
             left.insert(present);
             leader_region = REGIONS.iter().find(|name| moved.region == region(name)).unwrap();
             moves += 1;
@@ -132,11 +134,11 @@
             demand.add(&only(names), *weight);
         }
         if let Some(moved) = decide(&demand, |_| ()) {
-            prop_assert!(moved.worth_after > moved.worth_before);
-            prop_assert_eq!(moved.worth_after, demand.served_in(Some(&moved.region)));
-            prop_assert!(moved.worth_after >= demand.served_in(Some(&region("south"))));
-            prop_assert!(moved.worth_after >= demand.served_in(Some(&region("east"))));
-            prop_assert_eq!(moved.worth_before, demand.served_in(Some(&region("north"))));
+            prop_assert!(moved.weight_after > moved.weight_before);
+            prop_assert_eq!(moved.weight_after, demand.served_in(Some(&moved.region)));
+            prop_assert!(moved.weight_after >= demand.served_in(Some(&region("south"))));
+            prop_assert!(moved.weight_after >= demand.served_in(Some(&region("east"))));
+            prop_assert_eq!(moved.weight_before, demand.served_in(Some(&region("north"))));
         }
     }
 }
--- a/crates/millwind-core/tests/leader_observation.rs
+++ b/crates/millwind-core/tests/leader_observation.rs
@@ -28,7 +28,10 @@
     observations.record(at(1_200), Position::new(1, 95));
     assert_eq!(observations.floor(at(0)), Some(Position::new(2, 80)));
     let written = Position::new(1, 88);
-    assert_eq!(observations.covering(written, at(900)), Position::new(2, 80));
+    assert_eq!(
+        observations.covering_position(written, at(900)),
+        Position::new(2, 80)
+    );
 }
 
 #[test]
@@ -46,9 +49,12 @@
     let written = Position::new(1, 90);
     observations.record(at(1_000), Position::new(1, 80));
     // A request sent before the acknowledgement proves nothing about the commit.
-    assert_eq!(observations.covering(written, at(1_500)), written);
+    assert_eq!(observations.covering_position(written, at(1_500)), written);
     observations.record(at(2_000), Position::new(1, 85));
-    assert_eq!(observations.covering(written, at(1_500)), Position::new(1, 85));
+    assert_eq!(
+        observations.covering_position(written, at(1_500)),
+        Position::new(1, 85)
+    );
 }
 
 /// One step in a group's history.
--- a/crates/millwind-core/tests/owner_ranking.rs
+++ b/crates/millwind-core/tests/owner_ranking.rs
@@ -5,16 +5,16 @@
 
 use millwind_core::data_residency::{AllowedRegions, Topology};
 use millwind_core::ids::{RegionName, ZoneName};
-use millwind_core::owner_ranking::{Nearness, OwnerCandidate, OwnersSought, rank_owners};
+use millwind_core::owner_ranking::{OwnerCandidate, OwnerCounts, Proximity, rank_owners};
 use proptest::prelude::*;
 
-const COUNTS: OwnersSought = OwnersSought {
+const COUNTS: OwnerCounts = OwnerCounts {
     owners: 3,
-    stand_ins: 5,
+    backup_owners: 5,
 };
-const NEARNESS: [Nearness; 3] = [Nearness::Zone, Nearness::Region, Nearness::Elsewhere];
+const NEARNESS: [Proximity; 3] = [Proximity::Zone, Proximity::Region, Proximity::Elsewhere];
 
-fn candidate(weight: u64, nearness: Nearness) -> OwnerCandidate {
+fn candidate(weight: u64, nearness: Proximity) -> OwnerCandidate {
     OwnerCandidate {
         weight,
         nearness,
@@ -41,36 +41,36 @@
     let zone = |name: &str| ZoneName(name.to_owned());
     let north = |name: &str| (zone(name), RegionName::from("north"));
     let topology = Topology::new([north("north-1"), north("north-2")]);
-    let nearness = |instance: &str, node: &str| Nearness::between(&topology, &zone(instance), &zone(node));
-    assert_eq!(nearness("north-1", "north-1"), Nearness::Zone);
-    assert_eq!(nearness("north-1", "north-2"), Nearness::Region);
-    assert_eq!(nearness("north-1", "unknown"), Nearness::Elsewhere);
-    assert_eq!(nearness("unknown", "unknown"), Nearness::Zone);
-    assert_eq!(nearness("unknown", "other"), Nearness::Elsewhere);
+    let nearness = |instance: &str, node: &str| Proximity::between(&topology, &zone(instance), &zone(node));
+    assert_eq!(nearness("north-1", "north-1"), Proximity::Zone);
+    assert_eq!(nearness("north-1", "north-2"), Proximity::Region);
+    assert_eq!(nearness("north-1", "unknown"), Proximity::Elsewhere);
+    assert_eq!(nearness("unknown", "unknown"), Proximity::Zone);
+    assert_eq!(nearness("unknown", "other"), Proximity::Elsewhere);
 }
 
 #[test]
 fn owners_are_the_heaviest_of_the_zone_and_backups_come_from_elsewhere_first() {
     let candidates = [
-        candidate(1, Nearness::Zone),
-        candidate(4, Nearness::Zone),
-        candidate(2, Nearness::Zone),
-        candidate(3, Nearness::Zone),
-        candidate(5, Nearness::Elsewhere),
-        candidate(1, Nearness::Region),
+        candidate(1, Proximity::Zone),
+        candidate(4, Proximity::Zone),
+        candidate(2, Proximity::Zone),
+        candidate(3, Proximity::Zone),
+        candidate(5, Proximity::Elsewhere),
+        candidate(1, Proximity::Region),
     ];
     let ranked = rank_owners(&candidates, COUNTS);
     assert_eq!(ranked.owners, [1, 3, 2]);
-    assert_eq!(ranked.stand_ins, [5, 4, 0]);
+    assert_eq!(ranked.backup_owners, [5, 4, 0]);
 }
 
 #[test]
 fn owners_come_from_the_region_if_the_zone_has_too_few_nodes() {
     let candidates = [
-        candidate(9, Nearness::Elsewhere),
-        candidate(1, Nearness::Region),
-        candidate(2, Nearness::Region),
-        candidate(0, Nearness::Zone),
+        candidate(9, Proximity::Elsewhere),
+        candidate(1, Proximity::Region),
+        candidate(2, Proximity::Region),
+        candidate(0, Proximity::Zone),
     ];
     assert_eq!(rank_owners(&candidates, COUNTS).owners, [3, 2, 1]);
 }
@@ -82,13 +82,13 @@
     let mut candidates: Vec<_> = (100..400)
         .map(|weight| OwnerCandidate {
             is_allowed: false,
-            ..candidate(weight, Nearness::Elsewhere)
+            ..candidate(weight, Proximity::Elsewhere)
         })
         .collect();
-    candidates.push(candidate(1, Nearness::Elsewhere));
-    candidates.push(candidate(2, Nearness::Elsewhere));
+    candidates.push(candidate(1, Proximity::Elsewhere));
+    candidates.push(candidate(2, Proximity::Elsewhere));
     let ranked = rank_owners(&candidates, COUNTS);
-    assert_eq!((ranked.owners, ranked.stand_ins), (vec![], vec![301, 300]));
+    assert_eq!((ranked.owners, ranked.backup_owners), (vec![], vec![301, 300]));
 }
 
 proptest! {
@@ -97,12 +97,12 @@
     #[test]
     fn only_allowed_nodes_are_selected(candidates in any_candidates()) {
         let ranked = rank_owners(&candidates, COUNTS);
-        let selected: Vec<_> = ranked.owners.iter().chain(&ranked.stand_ins).copied().collect();
+        let selected: Vec<_> = ranked.owners.iter().chain(&ranked.backup_owners).copied().collect();
         prop_assert!(selected.iter().all(|index| candidates[*index].is_allowed));
         let unique: BTreeSet<_> = selected.iter().collect();
         prop_assert_eq!(unique.len(), selected.len());
         let allowed = candidates.iter().filter(|candidate| candidate.is_allowed).count();
-        prop_assert!(selected.len() >= allowed.min(COUNTS.stand_ins));
+        prop_assert!(selected.len() >= allowed.min(COUNTS.backup_owners));
     }
 
     /// The owners for a restricted statement are the allowed ones among the owners for an
@@ -127,13 +127,13 @@
             .map(|candidate| OwnerCandidate { is_allowed: true, ..*candidate })
             .collect();
         let owners = rank_owners(&unrestricted, COUNTS).owners;
-        let kept: BTreeSet<_> = ranked.owners.iter().chain(&ranked.stand_ins).chain(&owners).collect();
+        let kept: BTreeSet<_> = ranked.owners.iter().chain(&ranked.backup_owners).chain(&owners).collect();
         let fewer: Vec<_> = (0..candidates.len()).filter(|index| kept.contains(index)).collect();
         let remaining: Vec<_> = fewer.iter().map(|index| candidates[*index]).collect();
         let reranked = rank_owners(&remaining, COUNTS);
         let original_indices = |indices: Vec<usize>| indices.into_iter().map(|index| fewer[index]).collect::<Vec<_>>();
         prop_assert_eq!(original_indices(reranked.owners), ranked.owners);
-        prop_assert_eq!(original_indices(reranked.stand_ins), ranked.stand_ins);
+        prop_assert_eq!(original_indices(reranked.backup_owners), ranked.backup_owners);
     }
 }
 
@@ -141,7 +141,7 @@
 fn a_statement_is_forwarded_only_through_allowed_regions() {
     let topology = Topology::new([(ZoneName::from("north-1"), RegionName::from("north"))]);
     let only = AllowedRegions::from_list([RegionName::from("north")]);
-    let is_carrier = |zone: &str| OwnerCandidate::is_carrier(&only, &topology, &ZoneName::from(zone));
-    assert!(is_carrier("north-1"));
-    assert!(!is_carrier("unknown"));
+    let may_forward = |zone: &str| OwnerCandidate::may_forward(&only, &topology, &ZoneName::from(zone));
+    assert!(may_forward("north-1"));
+    assert!(!may_forward("unknown"));
 }
--- a/crates/millwind-core/tests/quota.rs
+++ b/crates/millwind-core/tests/quota.rs
@@ -5,8 +5,8 @@
 
 use millwind_core::Instant;
 use millwind_core::quota::{
-    Admission, Allowance, Beginning, Budget, Loan, OtherCounter, Quota, Reach, UNCOUNTED_PERCENT,
-    lent_percent,
+    Admission, Allowance, Budget, InitialBudget, LenderReach, Loan, PeerLender, Quota,
+    UNREACHED_LENDER_PERCENT, lendable_percent,
 };
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -122,7 +122,7 @@
     /// Budgets of the first lender and of its stand-in, by their index.
     budgets: BTreeMap<usize, Budget>,
     /// What the two lenders know of the other nodes.
-    reach: [Reach; 2],
+    reach: [LenderReach; 2],
     outcome: Outcome,
 }
 
@@ -187,12 +187,12 @@
                 .count();
             let is_gone = self.is_down(1 - index, now_ms);
             let is_heard = self.are_connected(own, other, now_ms);
-            self.reach[index] = Reach {
+            self.reach[index] = LenderReach {
                 percent: ((reached + 1) * 100 / (probed.len() + 1)) as u32,
                 other: match (is_gone, is_heard) {
-                    (true, _) => OtherCounter::Gone,
-                    (false, true) => OtherCounter::Heard,
-                    (false, false) => OtherCounter::Silent,
+                    (true, _) => PeerLender::Terminated,
+                    (false, true) => PeerLender::Reachable,
+                    (false, false) => PeerLender::Unresponsive,
                 },
             };
         }
@@ -209,21 +209,21 @@
                 continue;
             }
             let arrived = Instant::from_millis(asked_ms + ONE_WAY_MS);
-            let percent = lent_percent(lender == 0, self.reach[lender]);
-            let share = quota.part(f64::from(percent));
+            let percent = lendable_percent(lender == 0, self.reach[lender]);
+            let share = quota.share(f64::from(percent));
             self.nodes[node].fallback_budget = None;
             let budget = self
                 .budgets
                 .entry(lender)
-                .or_insert_with(|| Budget::new(share, Beginning::FirstLoan, arrived));
+                .or_insert_with(|| Budget::new(share, InitialBudget::Reduced, arrived));
             return (asked_ms + 2 * ONE_WAY_MS, budget.lend(share, wanted, arrived));
         }
-        let percent = f64::from(UNCOUNTED_PERCENT) / self.scenario.nodes as f64;
-        let share = quota.part(percent);
+        let percent = f64::from(UNREACHED_LENDER_PERCENT) / self.scenario.nodes as f64;
+        let share = quota.share(percent);
         let now = Instant::from_millis(asked_ms);
         let budget = self.nodes[node]
             .fallback_budget
-            .get_or_insert_with(|| Budget::new(share, Beginning::Empty, now));
+            .get_or_insert_with(|| Budget::new(share, InitialBudget::Empty, now));
         (asked_ms, budget.lend(share, wanted, now))
     }
 
@@ -235,7 +235,9 @@
     /// A caller requests one operation at `node`.
     fn arrive(&mut self, node: usize, now_ms: u64) {
         self.outcome.requested += 1;
-        self.nodes[node].allowance.arrived(Instant::from_millis(now_ms));
+        self.nodes[node]
+            .allowance
+            .count_request(Instant::from_millis(now_ms));
         self.nodes[node].waiting += 1;
         self.serve(node, now_ms);
     }
@@ -247,14 +249,14 @@
             match self.nodes[node].allowance.admit(now) {
                 Admission::Admitted => self.record_run(now_ms),
                 Admission::Refused { .. } => self.outcome.refused += 1,
-                Admission::AskFirst => break,
+                Admission::LoanRequired => break,
             }
             self.nodes[node].waiting -= 1;
         }
         let waiting = self.nodes[node].waiting;
-        let is_needed = waiting > 0 || self.nodes[node].allowance.is_low(now);
+        let is_needed = waiting > 0 || self.nodes[node].allowance.should_borrow_ahead(now);
         if is_needed && self.nodes[node].pending.is_none() {
-            let wanted = self.nodes[node].allowance.wanted(waiting, now);
+            let wanted = self.nodes[node].allowance.operations_to_request(waiting, now);
             let (answered_ms, loan) = self.request_loan(node, wanted, now_ms);
             self.nodes[node].pending = Some((answered_ms, now_ms, loan));
         }
@@ -266,7 +268,7 @@
             let Some((_, asked_ms, loan)) = due else { continue };
             self.nodes[node].pending = None;
             let (asked, now) = (Instant::from_millis(asked_ms), Instant::from_millis(now_ms));
-            self.nodes[node].allowance.lent(loan, asked, now);
+            self.nodes[node].allowance.record_loan(loan, asked, now);
             self.serve(node, now_ms);
         }
     }
@@ -291,9 +293,9 @@
         rng: ChaCha8Rng::seed_from_u64(scenario.seed),
         nodes: (0..scenario.nodes).map(|_| Node::new()).collect(),
         budgets: BTreeMap::new(),
-        reach: [Reach {
+        reach: [LenderReach {
             percent: 100,
-            other: OtherCounter::Heard,
+            other: PeerLender::Reachable,
         }; 2],
         outcome: Outcome::default(),
     };
@@ -314,10 +316,10 @@
             match mode {
                 AdmissionMode::Loans => simulation.arrive(node, now_ms),
                 AdmissionMode::EqualShares => {
-                    let share = simulation.quota(now_ms).part(100.0 / scenario.nodes as f64);
+                    let share = simulation.quota(now_ms).share(100.0 / scenario.nodes as f64);
                     let now = Instant::from_millis(now_ms);
-                    let budget =
-                        share_budgets[node].get_or_insert_with(|| Budget::new(share, Beginning::Empty, now));
+                    let budget = share_budgets[node]
+                        .get_or_insert_with(|| Budget::new(share, InitialBudget::Empty, now));
                     simulation.outcome.requested += 1;
                     match budget.lend(share, 1, now).operations {
                         0 => simulation.outcome.refused += 1,
@@ -414,12 +416,12 @@
         burst: 10,
     };
     let now = Instant::from_millis(1_000);
-    let mut budget = Budget::new(quota.whole(), Beginning::FirstLoan, now);
-    let first = budget.lend(quota.whole(), 12, now);
+    let mut budget = Budget::new(quota.full(), InitialBudget::Reduced, now);
+    let first = budget.lend(quota.full(), 12, now);
     assert_eq!(first.operations, 2);
     // The refill rate serves the ten refused operations in a second.
     assert_eq!(first.retry_after_ms, 1_100);
-    let later = budget.lend(quota.whole(), 1, Instant::from_millis(1_100));
+    let later = budget.lend(quota.full(), 1, Instant::from_millis(1_100));
     assert_eq!(later.operations, 1);
 }
 
@@ -430,9 +432,9 @@
         operations: 5,
         retry_after_ms: 100,
     };
-    allowance.lent(loan, Instant::from_millis(0), Instant::from_millis(1_500));
+    allowance.record_loan(loan, Instant::from_millis(0), Instant::from_millis(1_500));
     let now = Instant::from_millis(1_500);
-    assert_eq!(allowance.admit(now), Admission::AskFirst);
+    assert_eq!(allowance.admit(now), Admission::LoanRequired);
 }
 
 /// Nodes that reach no lender must start with an empty budget: one operation on each of many
--- a/crates/millwind-core/tests/routing.rs
+++ b/crates/millwind-core/tests/routing.rs
@@ -22,9 +22,9 @@
         primary,
         position: position.map(|position| (NOW, position)),
         lag_ms: 50,
-        history: Vec::new(),
+        term_starts: Vec::new(),
         leaving: false,
-        banned_until: Instant::default(),
+        excluded_until: Instant::default(),
     }
 }
 
@@ -38,13 +38,13 @@
 fn request(token: Option<Position>) -> ReadRequest {
     ReadRequest {
         token,
-        wait_ms: 300,
+        max_wait_ms: 300,
         policy: ReadPolicy::Replica,
         regions: AllowedRegions::Any,
     }
 }
 
-fn names(order: &[millwind_core::routing::Choice]) -> Vec<&str> {
+fn names(order: &[millwind_core::routing::RankedCandidate]) -> Vec<&str> {
     order.iter().map(|choice| choice.instance.as_str()).collect()
 }
 
@@ -70,7 +70,7 @@
             .iter()
             .all(|choice| choice.reason == Reason::RegionNotAllowed)
     );
-    assert!(order[1..].iter().all(|choice| !choice.reason.eligible()));
+    assert!(order[1..].iter().all(|choice| !choice.reason.is_eligible()));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let mut read = request(None);
     read.policy = ReadPolicy::PrimaryOnly;
     let order = order_for_read(NOW, &locality(), &hints, &read);
-    assert!(order.iter().all(|choice| !choice.reason.eligible()));
+    assert!(order.iter().all(|choice| !choice.reason.is_eligible()));
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let mut leaving = hint("leaving", "near", false, None);
     leaving.leaving = true;
     let mut discarded = hint("discarded", "near", false, Some(Position::new(2, 50)));
-    discarded.history = vec![TermStart {
+    discarded.term_starts = vec![TermStart {
         term: Term(2),
         start: LogPosition(5),
     }];
@@ -160,7 +160,7 @@
         &[leaving, discarded],
         &request(Some(Position::new(1, 10))),
     );
-    assert!(order.iter().all(|choice| !choice.reason.eligible()));
+    assert!(order.iter().all(|choice| !choice.reason.is_eligible()));
 }
 
 fn status(role: Role, term: u64, position: u64) -> InstanceStatus {
@@ -253,7 +253,7 @@
         id,
         tenant: TenantName::from(tenant),
         weight: 1,
-        value,
+        priority: value,
         deadline: NOW.plus_millis(deadline_ms),
     }
 }
@@ -294,7 +294,7 @@
         queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut displaced);
     }
     let refused = queue.admit(NOW, ticket(2, "a", 1, 100), &mut displaced);
-    assert_eq!(refused, Admission::Refused(ErrorKind::WindowTooShort));
+    assert_eq!(refused, Admission::Refused(ErrorKind::DeadlineTooShort));
 }
 
 #[test]
--- a/crates/millwind-core/tests/session.rs
+++ b/crates/millwind-core/tests/session.rs
@@ -3,7 +3,9 @@
 use millwind_core::confirmation::{ConfirmationRule, ConfirmationTracker, Sequence, Verdict};
 use millwind_core::error_kind::{Effect, ErrorKind};
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::outcome::{NextStep, Progress, RequestTraits, after_failure, is_accurate_report};
+use millwind_core::outcome::{
+    NextStep, RequestProgress, RequestTraits, is_accurate_report, next_step_after_failure,
+};
 use millwind_core::position::{Coverage, LogPosition, Position, Term, TermStart, coverage};
 use millwind_core::token::{MAXIMUM_TOKEN_BYTES, SessionToken, TokenError};
 use proptest::prelude::*;
@@ -92,24 +94,24 @@
 fn a_commit_received_by_a_majority_is_confirmed() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
     assert_eq!(tracker.register(7, Position::new(1, 100)), None);
-    let sequence = tracker.draw();
-    let undecided = tracker.observe(&instance("b"), sequence, Term(1), LogPosition(99));
+    let sequence = tracker.next_sequence();
+    let undecided = tracker.record_status(&instance("b"), sequence, Term(1), LogPosition(99));
     assert!(undecided.is_empty());
     assert!(
         tracker
-            .observe(&instance("a"), sequence, Term(1), LogPosition(100))
+            .record_status(&instance("a"), sequence, Term(1), LogPosition(100))
             .is_empty()
     );
-    let decided = tracker.observe(&instance("b"), sequence, Term(1), LogPosition(100));
+    let decided = tracker.record_status(&instance("b"), sequence, Term(1), LogPosition(100));
     assert_eq!(decided, vec![(7, Verdict::Confirmed)]);
 }
 
 #[test]
 fn a_commit_already_held_by_a_majority_is_confirmed_on_registration() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
-    let sequence = tracker.draw();
-    tracker.observe(&instance("b"), sequence, Term(1), LogPosition(100));
-    tracker.observe(&instance("c"), sequence, Term(1), LogPosition(120));
+    let sequence = tracker.next_sequence();
+    tracker.record_status(&instance("b"), sequence, Term(1), LogPosition(100));
+    tracker.record_status(&instance("c"), sequence, Term(1), LogPosition(120));
     assert_eq!(
         tracker.register(7, Position::new(1, 100)),
         Some(Verdict::Confirmed)
@@ -120,34 +122,34 @@
 fn a_higher_term_supersedes_a_commit_that_no_majority_holds() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
     tracker.register(7, Position::new(1, 100));
-    let sequence = tracker.draw();
-    let decided = tracker.observe(&instance("b"), sequence, Term(2), LogPosition(90));
+    let sequence = tracker.next_sequence();
+    let decided = tracker.record_status(&instance("b"), sequence, Term(2), LogPosition(90));
     assert_eq!(decided, vec![(7, Verdict::Superseded)]);
 }
 
 #[test]
 fn the_term_rule_counts_only_queries_after_registration() {
     let mut tracker = tracker(ConfirmationRule::Term);
-    let early = tracker.draw();
-    tracker.observe(&instance("a"), early, Term(1), LogPosition(0));
-    tracker.observe(&instance("b"), early, Term(1), LogPosition(0));
+    let early = tracker.next_sequence();
+    tracker.record_status(&instance("a"), early, Term(1), LogPosition(0));
+    tracker.record_status(&instance("b"), early, Term(1), LogPosition(0));
     assert_eq!(tracker.register(7, Position::new(1, 100)), None);
-    let late = tracker.draw();
+    let late = tracker.next_sequence();
     assert!(
         tracker
-            .observe(&instance("a"), late, Term(1), LogPosition(0))
+            .record_status(&instance("a"), late, Term(1), LogPosition(0))
             .is_empty()
     );
-    let decided = tracker.observe(&instance("b"), late, Term(1), LogPosition(0));
+    let decided = tracker.record_status(&instance("b"), late, Term(1), LogPosition(0));
     assert_eq!(decided, vec![(7, Verdict::Confirmed)]);
 }
 
 #[test]
 fn an_outdated_response_does_not_replace_a_newer_one() {
     let mut tracker = tracker(ConfirmationRule::Replicated);
-    tracker.observe(&instance("b"), Sequence(9), Term(1), LogPosition(100));
-    tracker.observe(&instance("b"), Sequence(3), Term(1), LogPosition(50));
-    tracker.observe(&instance("c"), Sequence(9), Term(1), LogPosition(100));
+    tracker.record_status(&instance("b"), Sequence(9), Term(1), LogPosition(100));
+    tracker.record_status(&instance("b"), Sequence(3), Term(1), LogPosition(50));
+    tracker.record_status(&instance("c"), Sequence(9), Term(1), LogPosition(100));
     assert_eq!(
         tracker.register(1, Position::new(1, 100)),
         Some(Verdict::Confirmed)
@@ -164,12 +166,12 @@
     assert_eq!(ErrorKind::from_code(0), None);
 }
 
-fn progress() -> impl Strategy<Value = Progress> {
+fn progress() -> impl Strategy<Value = RequestProgress> {
     prop_oneof![
-        Just(Progress::NotSent),
-        Just(Progress::Sent),
-        Just(Progress::ProvenUndone),
-        Just(Progress::Answered),
+        Just(RequestProgress::NotSent),
+        Just(RequestProgress::Sent),
+        Just(RequestProgress::ConfirmedNotApplied),
+        Just(RequestProgress::Answered),
     ]
 }
 
@@ -193,16 +195,16 @@
     #[test]
     fn the_reported_error_matches_the_effect(progress in progress(), read_only: bool, may_repeat: bool, has_request_id: bool) {
         let traits = RequestTraits { read_only, may_repeat, has_request_id };
-        match after_failure(progress, traits, ErrorKind::TransactionLost) {
-            NextStep::Tell(kind) => {
+        match next_step_after_failure(progress, traits, ErrorKind::TransactionLost) {
+            NextStep::Report(kind) => {
                 prop_assert!(is_accurate_report(progress, read_only, kind));
-                prop_assert!(kind.answer().effect != Effect::NotRun || progress != Progress::Sent || read_only);
+                prop_assert!(kind.answer().effect != Effect::NotRun || progress != RequestProgress::Sent || read_only);
             }
-            NextStep::RunAgain => {
-                let sent = matches!(progress, Progress::Sent | Progress::Answered);
+            NextStep::Retry => {
+                let sent = matches!(progress, RequestProgress::Sent | RequestProgress::Answered);
                 prop_assert!(!sent || read_only);
             }
-            NextStep::Resolve => prop_assert!(has_request_id),
+            NextStep::ResolveOutcome => prop_assert!(has_request_id),
         }
     }
 }
--- a/crates/millwind-core/tests/session_state.rs
+++ b/crates/millwind-core/tests/session_state.rs
@@ -11,7 +11,7 @@
 fn statement(shape: &str) -> PreparedStatement {
     PreparedStatement {
         access: Access::Read,
-        shape: shape.to_owned(),
+        text: shape.to_owned(),
     }
 }
 
@@ -31,10 +31,10 @@
     let mut connection = ConnectionState::default();
     let session = SessionState::default();
     let needed = statement("q1");
-    let steps = connection.steps_to(&session, Some(&needed));
+    let steps = connection.preparation_steps(&session, Some(&needed));
     assert_eq!(steps, [PreparationStep::Prepare(needed.clone())]);
     connection.apply(&steps[0]);
-    assert!(connection.steps_to(&session, Some(&needed)).is_empty());
+    assert!(connection.preparation_steps(&session, Some(&needed)).is_empty());
 }
 
 fn values() -> impl Strategy<Value = BTreeMap<String, String>> {
@@ -50,7 +50,7 @@
         for (values, shape) in sessions {
             let session = SessionState { values, ..SessionState::default() };
             let needed = statement(&shape);
-            for step in connection.steps_to(&session, Some(&needed)) {
+            for step in connection.preparation_steps(&session, Some(&needed)) {
                 connection.apply(&step);
             }
             prop_assert_eq!(&connection.values, &session.values);
--- a/crates/millwind-core/tests/warm_up.rs
+++ b/crates/millwind-core/tests/warm_up.rs
@@ -1,9 +1,11 @@
 //! Tests of the detection of cold instances and of the limits on statements to them.
 
 use millwind_core::Instant;
-use millwind_core::warm_up::{Sight, WarmUpTerms, WarmUpTolerance, Warmth, most_arrivals};
+use millwind_core::warm_up::{
+    WarmUpLimits, WarmUpObservation, WarmUpStatus, WarmUpTolerance, max_statements_per_s,
+};
 
-const LIMITS: WarmUpTerms = WarmUpTerms {
+const LIMITS: WarmUpLimits = WarmUpLimits {
     duration_ms: 8_000,
     statements_per_s: 12.0,
 };
@@ -12,64 +14,67 @@
     Instant::from_millis(seconds * 1_000)
 }
 
-fn is_cold(state: &Sight, seconds: u64) -> bool {
+fn is_cold(state: &WarmUpObservation, seconds: u64) -> bool {
     state.warmth(Some(LIMITS), at(seconds)).is_cold(at(seconds))
 }
 
 #[test]
 fn an_instance_is_cold_for_the_reported_time() {
-    let state = Sight::first(5_000, at(10));
-    assert_eq!(state.warmth(Some(LIMITS), at(10)), Warmth::ColdUntil(at(15)));
+    let state = WarmUpObservation::first_observed(5_000, at(10));
+    assert_eq!(
+        state.warmth(Some(LIMITS), at(10)),
+        WarmUpStatus::ColdUntil(at(15))
+    );
     assert!(is_cold(&state, 14));
     assert!(!is_cold(&state, 15));
 }
 
 #[test]
 fn a_new_instance_without_a_reported_time_is_warm() {
-    assert!(!is_cold(&Sight::first(0, at(10)), 10));
+    assert!(!is_cold(&WarmUpObservation::first_observed(0, at(10)), 10));
 }
 
 #[test]
 fn without_limits_all_instances_are_warm() {
-    let state = Sight::new_life(5_000, at(10));
-    assert_eq!(state.warmth(None, at(10)), Warmth::Warm);
+    let state = WarmUpObservation::restarted(5_000, at(10));
+    assert_eq!(state.warmth(None, at(10)), WarmUpStatus::Warm);
 }
 
 #[test]
 fn rereading_an_old_record_does_not_extend_the_warm_up() {
-    let state = Sight::first(5_000, at(10)).read_again(5_000, at(14));
+    let state = WarmUpObservation::first_observed(5_000, at(10)).record_reread(5_000, at(14));
     assert!(!is_cold(&state, 15));
-    let warm = Sight::first(0, at(10)).read_again(0, at(12));
+    let warm = WarmUpObservation::first_observed(0, at(10)).record_reread(0, at(12));
     assert!(!is_cold(&warm, 12));
 }
 
 #[test]
 fn a_later_record_can_shorten_the_warm_up() {
-    let state = Sight::first(8_000, at(10)).read_again(1_000, at(12));
+    let state = WarmUpObservation::first_observed(8_000, at(10)).record_reread(1_000, at(12));
     assert!(is_cold(&state, 12));
     assert!(!is_cold(&state, 13));
 }
 
 #[test]
 fn a_restarted_instance_is_cold_even_if_it_was_warm() {
-    assert!(is_cold(&Sight::new_life(6_000, at(30)), 35));
+    assert!(is_cold(&WarmUpObservation::restarted(6_000, at(30)), 35));
     // No remaining time is reported, so the full warm-up time applies.
-    let unreported = Sight::new_life(0, at(30));
+    let unreported = WarmUpObservation::restarted(0, at(30));
     assert!(is_cold(&unreported, 37));
     assert!(!is_cold(&unreported, 38));
     // A later record of the same process does not report a time either.
-    assert!(is_cold(&unreported.read_again(0, at(33)), 37));
+    assert!(is_cold(&unreported.record_reread(0, at(33)), 37));
 }
 
 #[test]
 fn an_increased_reported_time_indicates_a_restart() {
-    let state = Sight::first(0, at(10)).read_again(8_000, at(60));
+    let state = WarmUpObservation::first_observed(0, at(10)).record_reread(8_000, at(60));
     assert!(is_cold(&state, 67));
 }
 
 #[test]
 fn an_unused_instance_is_cold_when_used_again() {
-    let state = Sight::first(0, at(10)).unused_until(at(40));
+    let state = WarmUpObservation::first_observed(0, at(10)).resumed_at(at(40));
     assert!(is_cold(&state, 47));
     assert!(!is_cold(&state, 48));
 }
@@ -80,39 +85,42 @@
         overage_percent: 150,
         slack: 5,
     };
-    assert_eq!(most_arrivals(LIMITS, tolerance), 23);
-    let slow = WarmUpTerms {
+    assert_eq!(max_statements_per_s(LIMITS, tolerance), 23);
+    let slow = WarmUpLimits {
         duration_ms: 20_000,
         statements_per_s: 3.0,
     };
-    assert_eq!(most_arrivals(slow, tolerance), 9);
+    assert_eq!(max_statements_per_s(slow, tolerance), 9);
 }
 
 /// An instance that restarts in place accepts connections for seconds before its new record
 /// is read. It must be treated as cold from the first failed connection.
 #[test]
 fn an_instance_with_a_suspected_termination_is_cold() {
-    let state = Sight::first(0, at(10)).doubted(Some(7), at(40));
+    let state = WarmUpObservation::first_observed(0, at(10)).suspect_termination(Some(7), at(40));
     assert!(is_cold(&state, 47));
     assert!(!is_cold(&state, 48));
     assert!(
-        is_cold(&state.doubted(Some(7), at(45)), 52),
+        is_cold(&state.suspect_termination(Some(7), at(45)), 52),
         "the last indication counts"
     );
 }
 
 #[test]
 fn two_later_heartbeats_clear_the_suspicion() {
-    let doubted = Sight::first(0, at(10)).doubted(Some(7), at(40));
-    let read_again = doubted.read_again(0, at(41)).heard(Some(7)).heard(Some(7));
+    let doubted = WarmUpObservation::first_observed(0, at(10)).suspect_termination(Some(7), at(40));
+    let read_again = doubted
+        .record_reread(0, at(41))
+        .heartbeat_received(Some(7))
+        .heartbeat_received(Some(7));
     assert!(
         is_cold(&read_again, 41),
         "a heartbeat from before the suspicion proves nothing"
     );
-    let one_later_heartbeat = read_again.heard(Some(8)).heard(Some(8));
+    let one_later_heartbeat = read_again.heartbeat_received(Some(8)).heartbeat_received(Some(8));
     assert!(
         is_cold(&one_later_heartbeat, 41),
         "one later heartbeat may have been written before the termination"
     );
-    assert!(!is_cold(&one_later_heartbeat.heard(Some(9)), 42));
+    assert!(!is_cold(&one_later_heartbeat.heartbeat_received(Some(9)), 42));
 }
--- a/crates/millwind-core/tests/warm_up_lending.rs
+++ b/crates/millwind-core/tests/warm_up_lending.rs
@@ -3,9 +3,9 @@
 //! second.
 
 use millwind_core::Instant;
-use millwind_core::lender_lease::{LeaseState, LenderLease, Word, may_give};
-use millwind_core::lending::{Admission, Allowance, Beginning, Budget, Loan};
-use millwind_core::warm_up::{self, WarmUpTerms, WarmUpTolerance, most_arrivals};
+use millwind_core::lender_lease::{LeaseState, LenderLease, LenderVote, may_vote};
+use millwind_core::lending::{Admission, Allowance, Budget, InitialBudget, Loan};
+use millwind_core::warm_up::{self, WarmUpLimits, WarmUpTolerance, max_statements_per_s};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -75,7 +75,7 @@
 struct Scenario {
     seed: u64,
     nodes: usize,
-    terms: WarmUpTerms,
+    terms: WarmUpLimits,
     tolerance: WarmUpTolerance,
     /// Statements per second that are meant for the instance.
     requested_per_s: u64,
@@ -86,7 +86,7 @@
 
 impl Scenario {
     fn limit(&self) -> u64 {
-        most_arrivals(self.terms, self.tolerance)
+        max_statements_per_s(self.terms, self.tolerance)
     }
 }
 
@@ -95,7 +95,7 @@
     waiting: u32,
     /// The pending answer: when it arrives, when it was requested, and the loan.
     pending: Option<(u64, u64, Loan)>,
-    vote: Word,
+    vote: LenderVote,
     lease: LenderLease,
     budget: Option<Budget>,
     /// When the node learnt that it is an owner.
@@ -108,10 +108,10 @@
 impl Node {
     fn new(owner_since: Option<u64>) -> Self {
         Node {
-            allowance: Allowance::new(warm_up::BORROWING),
+            allowance: Allowance::new(warm_up::BORROWING_SETTINGS),
             waiting: 0,
             pending: None,
-            vote: Word::default(),
+            vote: LenderVote::default(),
             lease: LenderLease::default(),
             budget: None,
             owner_since,
@@ -183,13 +183,13 @@
     fn grants_vote(&mut self, owner: usize, lender: usize, now_ms: u64) -> bool {
         let now = Instant::from_millis(now_ms);
         let since = self.nodes[owner].owner_since;
-        let may_give = since.is_some_and(|since| may_give(Instant::from_millis(since), now));
-        may_give && self.nodes[owner].vote.give(&lender.to_string(), now)
+        let may_vote = since.is_some_and(|since| may_vote(Instant::from_millis(since), now));
+        may_vote && self.nodes[owner].vote.grant(&lender.to_string(), now)
     }
 
     /// Returns when `lender` lends and the loan, or `None` without a lease.
     fn lend(&mut self, lender: usize, wanted: u32, now_ms: u64) -> Option<(u64, Loan)> {
-        let supply = warm_up::supply(self.scenario.terms, self.scenario.tolerance);
+        let supply = warm_up::credit_supply(self.scenario.terms, self.scenario.tolerance);
         let mut now_ms = now_ms;
         if self.mode == LendingMode::Leased && !self.ensure_lease(lender, &mut now_ms) {
             return None;
@@ -197,7 +197,7 @@
         let now = Instant::from_millis(now_ms);
         let budget = self.nodes[lender]
             .budget
-            .get_or_insert_with(|| Budget::new(supply, Beginning::Empty, now));
+            .get_or_insert_with(|| Budget::new(supply, InitialBudget::Empty, now));
         Some((now_ms, budget.lend(supply, wanted, now)))
     }
 
@@ -225,7 +225,10 @@
         }
         let now = Instant::from_millis(answered_ms);
         let rank = owners.iter().position(|owner| *owner == lender).unwrap_or(OWNERS);
-        if self.nodes[lender].lease.answered(votes, OWNERS, rank, asked, now) {
+        if self.nodes[lender]
+            .lease
+            .record_votes(votes, OWNERS, rank, asked, now)
+        {
             self.nodes[lender].budget = None;
         }
         self.nodes[lender].lease.state(now) != LeaseState::NotHeld
@@ -261,7 +264,7 @@
     fn send(&mut self, asked_ms: u64, now_ms: u64) {
         let sent_ms = now_ms + self.rng.random_range(0..=self.scenario.send_delay_ms);
         // An expired slot is not used.
-        if sent_ms < asked_ms + warm_up::PLACE_MS {
+        if sent_ms < asked_ms + warm_up::CREDIT_LIFETIME_MS {
             self.sent.push(sent_ms);
         }
     }
@@ -271,13 +274,15 @@
         if self.mode == LendingMode::EqualShares {
             return self.use_equal_share(node, now_ms);
         }
-        self.nodes[node].allowance.arrived(Instant::from_millis(now_ms));
+        self.nodes[node]
+            .allowance
+            .count_request(Instant::from_millis(now_ms));
         self.nodes[node].waiting += 1;
         self.serve(node, now_ms, now_ms);
     }
 
     fn use_equal_share(&mut self, node: usize, now_ms: u64) {
-        let whole = warm_up::supply(self.scenario.terms, self.scenario.tolerance);
+        let whole = warm_up::credit_supply(self.scenario.terms, self.scenario.tolerance);
         let share = millwind_core::lending::Supply {
             rate_per_s: whole.rate_per_s / self.scenario.nodes as f64,
             ..whole
@@ -285,7 +290,7 @@
         let now = Instant::from_millis(now_ms);
         let budget = self.nodes[node]
             .share
-            .get_or_insert_with(|| Budget::new(share, Beginning::Unspent, now));
+            .get_or_insert_with(|| Budget::new(share, InitialBudget::Full, now));
         if budget.lend(share, 1, now).operations == 1 {
             self.sent.push(now_ms);
         }
@@ -297,13 +302,13 @@
             match self.nodes[node].allowance.admit(now) {
                 Admission::Admitted => self.send(asked_ms, now_ms),
                 Admission::Refused { .. } => {}
-                Admission::AskFirst => break,
+                Admission::LoanRequired => break,
             }
             self.nodes[node].waiting -= 1;
         }
         let waiting = self.nodes[node].waiting;
         if waiting > 0 && self.nodes[node].pending.is_none() {
-            let wanted = self.nodes[node].allowance.wanted(waiting, now);
+            let wanted = self.nodes[node].allowance.operations_to_request(waiting, now);
             let (answered_ms, asked_ms, loan) = self.request_loan(node, wanted, now_ms);
             self.nodes[node].pending = Some((answered_ms, asked_ms, loan));
         }
@@ -315,7 +320,7 @@
             let Some((_, asked_ms, loan)) = due else { continue };
             self.nodes[node].pending = None;
             let (asked, now) = (Instant::from_millis(asked_ms), Instant::from_millis(now_ms));
-            self.nodes[node].allowance.lent(loan, asked, now);
+            self.nodes[node].allowance.record_loan(loan, asked, now);
             self.serve(node, asked_ms, now_ms);
         }
     }
@@ -394,7 +399,7 @@
     Scenario {
         seed: 1,
         nodes: 76,
-        terms: WarmUpTerms {
+        terms: WarmUpLimits {
             duration_ms: 8_000,
             statements_per_s: 12.0,
         },
@@ -467,16 +472,16 @@
 fn owners_that_hold_each_others_votes_do_not_block_forever() {
     let start = Instant::from_millis(5_000);
     let mut leases = [LenderLease::default(), LenderLease::default()];
-    let mut votes = [Word::default(), Word::default()];
-    assert!(votes[0].give("second", start) && votes[1].give("first", start));
+    let mut votes = [LenderVote::default(), LenderVote::default()];
+    assert!(votes[0].grant("second", start) && votes[1].grant("first", start));
     for (rank, lease) in leases.iter_mut().enumerate() {
-        assert!(!lease.answered(1, OWNERS, rank, start, start));
+        assert!(!lease.record_votes(1, OWNERS, rank, start, start));
         assert!(!lease.may_ask(start.plus_millis(500)));
     }
     let later = start.plus_millis(1_050);
     assert!(leases[0].may_ask(later) && !leases[1].may_ask(later));
-    assert!(votes[1].give("first", later) && votes[0].give("first", later));
-    assert!(leases[0].answered(2, OWNERS, 0, later, later));
+    assert!(votes[1].grant("first", later) && votes[0].grant("first", later));
+    assert!(leases[0].record_votes(2, OWNERS, 0, later, later));
 }
 
 fn faults() -> impl Strategy<Value = Fault> {
@@ -524,7 +529,7 @@
                 Scenario {
                     seed,
                     nodes,
-                    terms: WarmUpTerms {
+                    terms: WarmUpLimits {
                         duration_ms: 20_000,
                         statements_per_s: per_s as f64,
                     },
--- a/crates/millwind-engine/src/answer.rs
+++ b/crates/millwind-engine/src/answer.rs
@@ -28,7 +28,7 @@
     }
 
     /// Creates a refusal of `kind` caused by a failed exchange with an instance.
-    pub fn of_link(kind: ErrorKind, error: LinkError) -> Self {
+    pub fn from_link_error(kind: ErrorKind, error: LinkError) -> Self {
         Refusal {
             retry_after_ms: error.retry_after_ms(),
             ..Refusal::new(kind, error)
@@ -36,7 +36,7 @@
     }
 
     /// Sets the time after which the caller may retry.
-    pub fn after_ms(self, retry_after_ms: u32) -> Self {
+    pub fn with_retry_after_ms(self, retry_after_ms: u32) -> Self {
         Refusal {
             retry_after_ms: Some(retry_after_ms),
             ..self
--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -122,8 +122,8 @@
     }
 
     /// How many steps would bring it to `session`.
-    pub fn steps_to(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
-        self.held.steps_to(session, needed).len()
+    pub fn preparation_steps(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
+        self.held.preparation_steps(session, needed).len()
     }
 
     /// Sends one command and waits for its whole answer.
@@ -144,7 +144,7 @@
             Command::Execute { statement, .. } => Some(statement),
             _ => None,
         };
-        let steps = self.held.steps_to(session, needed);
+        let steps = self.held.preparation_steps(session, needed);
         for step in &steps {
             self.push_step(step);
         }
--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -1,6 +1,6 @@
 //! Why an exchange with an instance came to nothing.
 
-use millwind_core::eligibility::Ineligible;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::error_kind::ErrorKind;
 use thiserror::Error;
 
@@ -51,7 +51,7 @@
     Protocol,
     /// The statement may not use the instance, or the way to it.
     #[error("not eligible: {}", .0.name())]
-    Ineligible(Ineligible),
+    IneligibleReason(IneligibleReason),
     /// The instance has just started, and takes no more statements now.
     #[error("the instance is warming up and takes no more statements now")]
     WarmingUp {
@@ -77,7 +77,7 @@
             LinkError::Silent => "silent",
             LinkError::NoPermit => "no_permit",
             LinkError::Protocol => "protocol",
-            LinkError::Ineligible(reason) => reason.name(),
+            LinkError::IneligibleReason(reason) => reason.name(),
             LinkError::WarmingUp { .. } => "warming_up",
         }
     }
@@ -130,8 +130,8 @@
         match self {
             LinkError::NoConnection => ErrorKind::QueueFull,
             LinkError::NoObservation => ErrorKind::NoPrimary,
-            LinkError::Ineligible(Ineligible::RegionNotAllowed) => ErrorKind::RegionNotAllowed,
-            LinkError::Ineligible(Ineligible::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
+            LinkError::IneligibleReason(IneligibleReason::RegionNotAllowed) => ErrorKind::RegionNotAllowed,
+            LinkError::IneligibleReason(IneligibleReason::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
             LinkError::WarmingUp { .. } => ErrorKind::WarmingUp,
             _ => ErrorKind::BackEndUnreachable,
         }
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use millwind_core::Instant;
-use millwind_core::connection_queue::{Waiting, next_in_line};
+use millwind_core::connection_queue::{WaitingRequest, select_next};
 use millwind_core::session_state::{PreparedStatement, SessionState};
 use tokio::sync::oneshot;
 
@@ -41,7 +41,7 @@
         /// The database's priority.
         priority: u8,
         /// When the caller should have the answer.
-        aim: Instant,
+        target_time: Instant,
     },
     /// A health check, which may use one connection beyond the share.
     Probe,
@@ -136,12 +136,12 @@
     /// Takes the one out of the line that a connection of `user` goes to next.
     fn next_for(&mut self, user: &ConnectionUser) -> Option<Waiter> {
         self.waiters.retain(|waiter| !waiter.grant.is_closed());
-        let view = |waiter: &Waiter| Waiting {
+        let view = |waiter: &Waiter| WaitingRequest {
             rank: waiter.rank,
             is_same_user: waiter.user == *user,
-            passed_over: waiter.passed_over,
+            overtaken_count: waiter.passed_over,
         };
-        let index = next_in_line(self.waiters.iter().map(view))?;
+        let index = select_next(self.waiters.iter().map(view))?;
         for passed_over in self.waiters.iter_mut().take(index) {
             passed_over.passed_over += 1;
         }
@@ -370,7 +370,7 @@
                     .enumerate()
                     .rev()
                     .filter(|(_, idle)| idle.user() == user)
-                    .min_by_key(|(_, idle)| idle.steps_to(session, needed))
+                    .min_by_key(|(_, idle)| idle.preparation_steps(session, needed))
                     .map(|(index, _)| index);
                 let Some(index) = best else { break None };
                 let connection = state.idle.remove(index);
@@ -435,14 +435,18 @@
     /// none is expected to become free so early that there is time left to use
     /// it: the statement had better go elsewhere now.
     fn rank(&self, purpose: Purpose, deadline: Instant) -> Option<u8> {
-        let Purpose::Statement { priority, aim } = purpose else {
+        let Purpose::Statement {
+            priority,
+            target_time,
+        } = purpose
+        else {
             return Some(PROBE_RANK);
         };
         let now = clock::now();
         let state = self.state();
         let expected = |rank| Instant(now.0 + state.expected_us(rank));
         let rank = priority.saturating_add(1).min(LATE_RANK - 1);
-        if expected(rank) <= aim {
+        if expected(rank) <= target_time {
             return Some(rank);
         }
         (expected(LATE_RANK) <= deadline).then_some(LATE_RANK)
@@ -560,7 +564,7 @@
         let deadline = clock::now().plus_millis(CONNECT_LIMIT_MS);
         let purpose = Purpose::Statement {
             priority: u8::MAX,
-            aim: deadline,
+            target_time: deadline,
         };
         match pool
             .acquire(
--- a/crates/millwind-engine/src/backend/pooled.rs
+++ b/crates/millwind-engine/src/backend/pooled.rs
@@ -49,9 +49,9 @@
     }
 
     /// When the caller should have the answer to the first statement on it.
-    pub fn aim(&self) -> Instant {
+    pub fn target_time(&self) -> Instant {
         match self.purpose {
-            Purpose::Statement { aim, .. } => aim,
+            Purpose::Statement { target_time, .. } => target_time,
             Purpose::Probe => clock::now(),
         }
     }
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use millwind_core::Instant;
-use millwind_core::concurrency_limit::{ConcurrencyLimit, TurnEnd};
-use millwind_core::connection_queue::{Waiting, next_in_line};
+use millwind_core::concurrency_limit::{ConcurrencyLimit, ExecutionEnd};
+use millwind_core::connection_queue::{WaitingRequest, select_next};
 use tokio::sync::oneshot;
 
 use super::link_error::LinkError;
@@ -71,12 +71,12 @@
     turns: Arc<Turns>,
     user: ConnectionUser,
     began: Instant,
-    end: TurnEnd,
+    end: ExecutionEnd,
 }
 
 impl Turn {
     /// Ends the turn.
-    pub fn end(mut self, end: TurnEnd) {
+    pub fn end(mut self, end: ExecutionEnd) {
         self.end = end;
     }
 }
@@ -106,21 +106,21 @@
     pub async fn take(
         self: &Arc<Self>,
         urgency: Urgency,
-        aim: Instant,
+        target_time: Instant,
         deadline: Instant,
     ) -> Result<Turn, LinkError> {
-        self.take_for(&ConnectionUser::System, urgency, aim, deadline)
+        self.take_for(&ConnectionUser::System, urgency, target_time, deadline)
             .await
     }
 
-    /// Waits for a turn of `user`; one whose answer would come after `aim` counts as late.
+    /// Waits for a turn of `user`; one whose answer would come after `target_time` counts as late.
     /// Fails at `deadline`, or at once where the statement is not expected to be
     /// served by then.
     pub async fn take_for(
         self: &Arc<Self>,
         user: &ConnectionUser,
         urgency: Urgency,
-        aim: Instant,
+        target_time: Instant,
         deadline: Instant,
     ) -> Result<Turn, LinkError> {
         let waiting = {
@@ -130,7 +130,7 @@
                 return Ok(self.begin(user.clone()));
             }
             let place = state
-                .place(urgency, aim, deadline)
+                .place(urgency, target_time, deadline)
                 .ok_or(LinkError::NoConnection)?;
             state.enqueue(place, user.clone())
         };
@@ -146,20 +146,20 @@
             turns: self.clone(),
             user,
             began: clock::now(),
-            end: TurnEnd::Unknown,
+            end: ExecutionEnd::Unknown,
         }
     }
 
     /// A turn of `user` is over: those that wait may begin theirs.
-    fn over(self: &Arc<Self>, began: Instant, end: TurnEnd, user: &ConnectionUser) {
+    fn over(self: &Arc<Self>, began: Instant, end: ExecutionEnd, user: &ConnectionUser) {
         let now = clock::now();
         let mut begun = Vec::new();
         {
             let mut state = self.state();
             let was_full = state.running >= state.limit.allowed();
             state.running -= 1;
-            state.limit.ended(now, end, was_full);
-            if end == TurnEnd::Ran {
+            state.limit.record_end(now, end, was_full);
+            if end == ExecutionEnd::Ran {
                 state.note_turn(now.0.saturating_sub(began.0));
             }
             while state.running < state.limit.allowed() {
@@ -198,10 +198,10 @@
     /// The place of a statement among those that wait; none where it is not
     /// expected to be served before `deadline`. One of an open transaction always
     /// has a place.
-    fn place(&self, urgency: Urgency, aim: Instant, deadline: Instant) -> Option<Urgency> {
+    fn place(&self, urgency: Urgency, target_time: Instant, deadline: Instant) -> Option<Urgency> {
         let now = clock::now();
         let expected = |urgency| Instant(now.0 + self.expected_us(urgency));
-        if urgency == Urgency::InTransaction || expected(urgency) <= aim {
+        if urgency == Urgency::InTransaction || expected(urgency) <= target_time {
             return Some(urgency);
         }
         (expected(Urgency::Late) <= deadline).then_some(Urgency::Late)
@@ -224,12 +224,12 @@
     /// open.
     fn next_waiter(&mut self, user: &ConnectionUser) -> Option<Waiter> {
         self.waiters.retain(|waiter| !waiter.turn.is_closed());
-        let view = |waiter: &Waiter| Waiting {
+        let view = |waiter: &Waiter| WaitingRequest {
             rank: waiter.urgency.rank(),
             is_same_user: waiter.user == *user,
-            passed_over: waiter.passed_over,
+            overtaken_count: waiter.passed_over,
         };
-        let index = next_in_line(self.waiters.iter().map(view))?;
+        let index = select_next(self.waiters.iter().map(view))?;
         for passed_over in self.waiters.iter_mut().take(index) {
             passed_over.passed_over += 1;
         }
--- a/crates/millwind-engine/src/catalog.rs
+++ b/crates/millwind-engine/src/catalog.rs
@@ -7,10 +7,10 @@
 use millwind_core::credential::KeyDigest;
 use millwind_core::data_residency::AllowedRegions;
 use millwind_core::ids::{DatabaseName, GroupName, InstanceName, TenantName, ZoneName};
-use millwind_core::incarnation::{Incarnation, LifeSigns};
+use millwind_core::incarnation::{Incarnation, RestartSigns};
 use millwind_core::quota::Quota;
 use millwind_core::tenant::TenantSettings;
-use millwind_core::warm_up::WarmUpTerms;
+use millwind_core::warm_up::WarmUpLimits;
 
 /// The read consistency of a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -61,7 +61,7 @@
     pub sync_replicas: usize,
     /// Rate limit for instances that have just started; `None` if they may be fully loaded
     /// at once.
-    pub warm_up: Option<WarmUpTerms>,
+    pub warm_up: Option<WarmUpLimits>,
 }
 
 /// One version of the configuration.
@@ -119,8 +119,8 @@
 
 impl InstanceRecord {
     /// Returns the fields that distinguish incarnations of the instance.
-    pub fn life_signs(&self) -> LifeSigns {
-        LifeSigns {
+    pub fn life_signs(&self) -> RestartSigns {
+        RestartSigns {
             incarnation: self.incarnation,
             heartbeat: self.heartbeat,
             address: self.address,
@@ -129,7 +129,7 @@
     }
 
     /// Returns whether `later` is equal to this record except for the heartbeat.
-    pub fn says_but_for_heartbeat(&self, later: &InstanceRecord) -> bool {
+    pub fn equals_except_heartbeat(&self, later: &InstanceRecord) -> bool {
         let InstanceRecord {
             name,
             group,
--- a/crates/millwind-engine/src/catalog_cache.rs
+++ b/crates/millwind-engine/src/catalog_cache.rs
@@ -11,7 +11,7 @@
 use millwind_wire::exchange::{ConfigDocument, ExchangeReply, StoredDocument};
 
 use crate::clock;
-use crate::kept_documents::KeptDocuments;
+use crate::kept_documents::DocumentCache;
 use crate::node::Engine;
 
 /// The cached document of the configuration.
@@ -61,7 +61,7 @@
 #[derive(Debug, Default)]
 struct State {
     config: Option<CachedConfig>,
-    instances: KeptDocuments,
+    instances: DocumentCache,
     /// Newest applied revision of each instance's record, including revisions that changed
     /// only the heartbeat.
     applied: BTreeMap<String, StoreRevision>,
@@ -140,7 +140,7 @@
     /// Records that all instances are known up to `revision`. Nodes compare this revision
     /// rather than that of the newest document, which would cause a record to be resent
     /// whenever only its heartbeat differs.
-    pub fn instances_known_to(&self, revision: StoreRevision) {
+    pub fn advance_instances_revision(&self, revision: StoreRevision) {
         let mut state = self.state();
         state.instances_revision = state.instances_revision.max(revision);
     }
@@ -152,7 +152,7 @@
     }
 
     /// Returns the catalog documents that a peer with the given versions lacks.
-    pub fn newer_than(
+    pub fn changes_for_peer(
         &self,
         config_version: u64,
         instances_revision: StoreRevision,
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -10,9 +10,9 @@
 
 use crate::catalog::{ConfigSnapshot, InstanceRecord};
 use crate::clock;
-use crate::connection_shares::AMPLE_SHARE;
+use crate::connection_shares::AMPLE_CONNECTION_SHARE;
 use crate::node::Engine;
-use crate::passed_over::shortened;
+use crate::passed_over::truncate_for_log;
 use crate::ports::{CatalogCodec, CatalogError};
 
 /// Number of connections opened in advance to a new instance.
@@ -53,17 +53,17 @@
 
 impl Engine {
     /// Records that this node has current instance data from the store.
-    pub fn store_heard(&self) {
+    pub fn record_store_contact(&self) {
         self.directory.store_heard();
         self.relays.instances_heard();
     }
 
     /// Records that a peer had current data from the store at `heard`. If that ends an
     /// outage, all followers read again, since this node's watches may have been lost.
-    pub fn store_heard_by_peer(&self, heard: Instant) {
-        let ends_outage = self.relays.told(heard);
+    pub fn record_peer_store_contact(&self, heard: Instant) {
+        let ends_outage = self.relays.record_peer_freshness(heard);
         if ends_outage && !self.relays.is_reading_store() {
-            self.store_contact.note_regained();
+            self.store_contact.request_reread();
         }
     }
 
@@ -76,8 +76,8 @@
             let has_restrictions =
                 config.is_some_and(|config| config.allowed_regions().any(|regions| !regions.is_any()));
             self.leader_demands.count(has_restrictions);
-            self.tell_of_regions();
-            self.pools.set_shares(|record| self.share_of(record));
+            self.warn_about_regions();
+            self.pools.set_shares(|record| self.connection_share(record));
             for known in self.directory.instances() {
                 self.open_ahead(&known.record);
             }
@@ -94,17 +94,17 @@
             return;
         }
         let is_evacuated = self.directory.evacuated_since(&record.zone).is_some();
-        if is_evacuated || self.tells_tenants_apart() || !self.runs_statements_on(record) {
+        if is_evacuated || self.has_tenant_connections() || !self.runs_statements_on(record) {
             return;
         }
-        if self.share_of(record) >= AMPLE_SHARE {
+        if self.connection_share(record) >= AMPLE_CONNECTION_SHARE {
             self.pools.open_ahead(self.pool(record), ADVANCE_CONNECTIONS);
         }
     }
 
     /// Decodes and applies a configuration document, which any node first read from the
     /// store at `known_since`. An unreadable document is logged and ignored.
-    pub fn take_config(
+    pub fn handle_config_document(
         &self,
         codec: &dyn CatalogCodec,
         value: &[u8],
@@ -118,7 +118,7 @@
         };
         match codec.read_config(value) {
             Ok(config) => {
-                self.passed_over.forget_config();
+                self.unreadable_documents.clear_unreadable_config();
                 let version = config.version;
                 if version > self.config_version() {
                     self.catalog_cache.store_config(version, value, known_since);
@@ -126,8 +126,8 @@
                 }
             }
             Err(error) => {
-                let reason = shortened(&error.to_string());
-                if self.passed_over.note_config(&reason) {
+                let reason = truncate_for_log(&error.to_string());
+                if self.unreadable_documents.record_unreadable_config(&reason) {
                     warn!("event=config_refused source={source} error={reason:?}");
                 }
             }
@@ -140,7 +140,7 @@
     ///
     /// An unreadable document has the effect of a removal: an instance known under its key
     /// is dropped. Other instances are not affected.
-    pub fn take_instance(
+    pub fn handle_instance_document(
         &self,
         codec: &dyn CatalogCodec,
         key: &str,
@@ -159,12 +159,12 @@
                 return false;
             }
             None => {
-                self.passed_over.forget(key);
+                self.unreadable_documents.forget(key);
                 self.drop_record(codec, key, None, revision);
                 return false;
             }
         };
-        self.passed_over.forget(key);
+        self.unreadable_documents.forget(key);
         if self.apply_record(record) {
             self.catalog_cache.store_instance(key, value, revision);
         }
@@ -172,7 +172,7 @@
     }
 
     /// Drops the instances that a complete listing of `revision` does not include.
-    pub fn drop_unlisted(
+    pub fn drop_missing_instances(
         &self,
         codec: &dyn CatalogCodec,
         present: &HashSet<InstanceName>,
@@ -195,10 +195,10 @@
 
     /// Counts and logs a document that cannot be read.
     fn report_unreadable(&self, key: &str, revision: StoreRevision, error: &CatalogError) {
-        let reason = shortened(&error.to_string());
-        if self.passed_over.note(key, &reason) {
-            self.metrics.records_passed_over.inc();
-            let key = shortened(key);
+        let reason = truncate_for_log(&error.to_string());
+        if self.unreadable_documents.note(key, &reason) {
+            self.metrics.unreadable_records.inc();
+            let key = truncate_for_log(key);
             warn!("event=record_passed_over key={key:?} revision={revision} reason={reason:?}");
         }
     }
@@ -240,10 +240,10 @@
     /// their session state and prepared statements, and triggers the search for the group's
     /// leader.
     fn handle_restart(&self, record: &InstanceRecord) {
-        self.metrics.lives_begun.inc();
+        self.metrics.instance_restarts.inc();
         self.pools
-            .begin_life(record, self.registry.version(), self.share_of(record));
-        self.doubt_leader();
+            .begin_life(record, self.registry.version(), self.connection_share(record));
+        self.expedite_instance_batch();
         self.wake_monitor();
     }
 }
--- a/crates/millwind-engine/src/catalog_watch.rs
+++ b/crates/millwind-engine/src/catalog_watch.rs
@@ -15,14 +15,14 @@
 use crate::clock;
 use crate::node::Engine;
 use crate::ports::CatalogCodec;
-use crate::store_watch::{Follower, MOST_PAUSE, MOST_PAUSE_BEHIND_RELAYS, StoreReading};
+use crate::store_watch::{CatalogSource, Follower, MAX_RETRY_DELAY, MAX_RETRY_DELAY_BEHIND_RELAYS};
 
 /// Returns the longest pause of this node between two retries while the store is
 /// unavailable.
 fn max_retry_pause(engine: &Engine) -> Duration {
     match engine.relays.is_relay(&engine.registry) {
-        true => MOST_PAUSE,
-        false => MOST_PAUSE_BEHIND_RELAYS,
+        true => MAX_RETRY_DELAY,
+        false => MAX_RETRY_DELAY_BEHIND_RELAYS,
     }
 }
 
@@ -46,7 +46,7 @@
                 continue;
             }
             self.engine
-                .take_config(&*self.codec, &value, ConfigSource::Store, clock::now());
+                .handle_config_document(&*self.codec, &value, ConfigSource::Store, clock::now());
         }
     }
 }
@@ -58,12 +58,12 @@
 
     fn listed(&self, listing: Listing) {
         // Evacuations come first, since the node may start to serve with a configuration.
-        self.engine.take_evacuation_listing(&*self.codec, &listing);
+        self.engine.handle_evacuation_listing(&*self.codec, &listing);
         self.apply(listing.entries);
     }
 
     fn changed(&self, entries: Vec<Entry>) {
-        self.engine.take_evacuation_events(&*self.codec, &entries);
+        self.engine.handle_evacuation_events(&*self.codec, &entries);
         self.apply(entries);
     }
 
@@ -71,15 +71,15 @@
         self.engine.relays.configuration_read(asked);
     }
 
-    fn unwatched(&self) {
-        self.engine.relays.configuration_unwatched();
+    fn watch_stopped(&self) {
+        self.engine.relays.configuration_watch_ended();
     }
 
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.engine.relays.reading())
     }
 
-    fn most_pause(&self) -> Duration {
+    fn max_retry_delay(&self) -> Duration {
         max_retry_pause(&self.engine)
     }
 }
@@ -99,9 +99,9 @@
     /// Applies the entry of one key; returns the instance that it describes, if any.
     fn apply(&self, entry: &Entry) -> Option<InstanceName> {
         let value = entry.value.as_deref();
-        let is_instance = self
-            .engine
-            .take_instance(&*self.codec, &entry.key, value, entry.revision);
+        let is_instance =
+            self.engine
+                .handle_instance_document(&*self.codec, &entry.key, value, entry.revision);
         is_instance
             .then(|| self.codec.instance_name(&entry.key))
             .flatten()
@@ -120,17 +120,18 @@
         // Peers may have reported instances that are newer than this listing.
         let newer = self.engine.catalog_cache.applied_after(revision);
         present.extend(newer.iter().filter_map(|key| self.codec.instance_name(key)));
-        self.engine.drop_unlisted(&*self.codec, &present, revision);
+        self.engine
+            .drop_missing_instances(&*self.codec, &present, revision);
         let keys: HashSet<&str> = listing.entries.iter().map(|entry| entry.key.as_str()).collect();
         self.engine
-            .passed_over
-            .keep_listed(self.codec.instances_prefix(), |key| keys.contains(key));
-        self.engine.catalog_cache.instances_known_to(revision);
-        self.engine.store_heard();
+            .unreadable_documents
+            .retain_listed(self.codec.instances_prefix(), |key| keys.contains(key));
+        self.engine.catalog_cache.advance_instances_revision(revision);
+        self.engine.record_store_contact();
     }
 
     fn store_answers(&self) {
-        self.engine.relays.store_answers(&self.engine);
+        self.engine.relays.wait_for_relays(&self.engine);
     }
 
     fn changed(&self, entries: Vec<Entry>) {
@@ -139,19 +140,19 @@
         }
         let newest = entries.iter().map(|entry| entry.revision).max();
         let cache = &self.engine.catalog_cache;
-        cache.instances_known_to(newest.unwrap_or_default());
-        self.engine.store_heard();
+        cache.advance_instances_revision(newest.unwrap_or_default());
+        self.engine.record_store_contact();
     }
 
     fn heard(&self) {
-        self.engine.store_heard();
+        self.engine.record_store_contact();
     }
 
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.engine.relays.reading())
     }
 
-    fn most_pause(&self) -> Duration {
+    fn max_retry_delay(&self) -> Duration {
         max_retry_pause(&self.engine)
     }
 
@@ -160,6 +161,6 @@
     }
 
     fn rest(&self) -> BoxFuture<'_, ()> {
-        Box::pin(self.engine.rest_from_instances())
+        Box::pin(self.engine.wait_for_instance_batch())
     }
 }
--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/cold_places.rs
@@ -16,9 +16,9 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::InstanceName;
-use millwind_core::lender_lease::{LeaseState, LenderLease, WORD_MS, Word, is_most, may_give};
-use millwind_core::lending::{Admission, Allowance, Beginning, Budget, Loan};
-use millwind_core::warm_up::{BORROWING, WarmUpTerms, supply};
+use millwind_core::lender_lease::{LeaseState, LenderLease, LenderVote, VOTE_MS, is_majority, may_vote};
+use millwind_core::lending::{Admission, Allowance, Budget, InitialBudget, Loan};
+use millwind_core::warm_up::{BORROWING_SETTINGS, WarmUpLimits, credit_supply};
 use millwind_wire::forward::ForwardedSubject;
 use rand::RngExt;
 use tokio::time::timeout_at;
@@ -117,7 +117,7 @@
         let Some(terms) = self.engine.directory.cold_terms(&self.record.name) else {
             return true;
         };
-        let rate_per_s = supply(terms, self.engine.settings.warm_up_tolerance).rate_per_s;
+        let rate_per_s = credit_supply(terms, self.engine.settings.warm_up_tolerance).rate_per_s;
         let credits = rate_per_s * clock::until(until).as_secs_f64() / OWNERS as f64;
         let mut waiting = self.engine.cold_places.waiting();
         let ranks = waiting.entry(self.record.name.clone()).or_default();
@@ -161,7 +161,7 @@
 #[derive(Debug, Default)]
 struct LenderState {
     /// The vote that this node has cast.
-    vote: Word,
+    vote: LenderVote,
     lease: LenderLease,
     budget: Option<Budget>,
     /// The owners of the instance as this node knows them.
@@ -176,12 +176,12 @@
 
 /// Guard that marks this node as a candidate for lender until it is dropped.
 struct Candidacy<'a> {
-    credits: &'a ColdPlaces,
+    credits: &'a WarmUpCredits,
     instance: &'a InstanceName,
 }
 
 impl<'a> Candidacy<'a> {
-    fn begin(credits: &'a ColdPlaces, instance: &'a InstanceName) -> Self {
+    fn begin(credits: &'a WarmUpCredits, instance: &'a InstanceName) -> Self {
         let mut lenders = locked(&credits.lenders);
         lenders.entry(instance.clone()).or_default().is_candidate = true;
         Candidacy { credits, instance }
@@ -201,7 +201,7 @@
 
 /// The warm-up credits that this node lends and borrows.
 #[derive(Debug, Default)]
-pub struct ColdPlaces {
+pub struct WarmUpCredits {
     borrowers: Mutex<HashMap<InstanceName, Arc<Borrower>>>,
     /// The last known lender of each instance, which is asked first.
     last_lenders: Mutex<HashMap<InstanceName, SocketAddr>>,
@@ -215,10 +215,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl ColdPlaces {
+impl WarmUpCredits {
     fn borrower(&self, instance: &InstanceName) -> Arc<Borrower> {
         let mut borrowers = locked(&self.borrowers);
-        let new = || Arc::new(Borrower::new(Allowance::new(BORROWING)));
+        let new = || Arc::new(Borrower::new(Allowance::new(BORROWING_SETTINGS)));
         borrowers.entry(instance.clone()).or_insert_with(new).clone()
     }
 
@@ -266,12 +266,12 @@
                     return Ok(());
                 }
                 Admission::Refused { retry_after_ms } => return Err(CreditRefused { retry_after_ms }),
-                Admission::AskFirst => {}
+                Admission::LoanRequired => {}
             }
             let _waiting = borrower.wait();
             if timeout_at(clock::deadline(deadline), answered).await.is_err() {
                 return Err(CreditRefused {
-                    retry_after_ms: WORD_MS as u32,
+                    retry_after_ms: VOTE_MS as u32,
                 });
             }
         }
@@ -279,8 +279,8 @@
 
     /// Returns the refusal for a statement that yields to `ahead` more urgent ones. The
     /// retry delay is the expected time until those have their credits.
-    fn refuse_behind_urgent(&self, ahead: usize, terms: WarmUpTerms) -> CreditRefused {
-        let rate_per_s = supply(terms, self.settings.warm_up_tolerance).rate_per_s;
+    fn refuse_behind_urgent(&self, ahead: usize, terms: WarmUpLimits) -> CreditRefused {
+        let rate_per_s = credit_supply(terms, self.settings.warm_up_tolerance).rate_per_s;
         let wait_ms = (ahead + 1) as f64 * OWNERS as f64 * 1_000.0 / rate_per_s.max(0.001);
         CreditRefused {
             retry_after_ms: wait_ms.min(MAX_RETRY_AFTER_MS) as u32,
@@ -317,7 +317,7 @@
         for owner in owners {
             let asked = clock::now();
             let loan = match owner.is_self {
-                true => self.lend_places(&record.name, wanted).await,
+                true => self.lend_credits(&record.name, wanted).await,
                 false => {
                     let name = record.name.0.clone();
                     self.query_owner(owner.address, ForwardedSubject::Instance { name }, wanted)
@@ -331,7 +331,7 @@
         }
         let none = Loan {
             operations: 0,
-            retry_after_ms: WORD_MS as u32,
+            retry_after_ms: VOTE_MS as u32,
         };
         (none, clock::now())
     }
@@ -361,7 +361,7 @@
     /// Lends credits for an instance, or returns `None` if this node does not hold the
     /// lender lease. The warm-up terms apply even if this node considers the instance
     /// warm, because the borrower may have newer information.
-    pub(crate) async fn lend_places(self: &Arc<Self>, instance: &InstanceName, wanted: u32) -> Option<Loan> {
+    pub(crate) async fn lend_credits(self: &Arc<Self>, instance: &InstanceName, wanted: u32) -> Option<Loan> {
         let known = self.directory.instance(instance)?;
         let terms = self.directory.group_limits(&known.record.group)?.warm_up?;
         if !self.ensure_lender_lease(&known.record).await {
@@ -370,12 +370,12 @@
         Some(self.lend_from_budget(instance, terms, wanted))
     }
 
-    fn lend_from_budget(&self, instance: &InstanceName, terms: WarmUpTerms, wanted: u32) -> Loan {
+    fn lend_from_budget(&self, instance: &InstanceName, terms: WarmUpLimits, wanted: u32) -> Loan {
         let now = clock::now();
-        let supply = supply(terms, self.settings.warm_up_tolerance);
+        let supply = credit_supply(terms, self.settings.warm_up_tolerance);
         let mut lenders = locked(&self.cold_places.lenders);
         let lender = lenders.entry(instance.clone()).or_default();
-        let new = || Budget::new(supply, Beginning::Empty, now);
+        let new = || Budget::new(supply, InitialBudget::Empty, now);
         lender.budget.get_or_insert_with(new).lend(supply, wanted, now)
     }
 
@@ -437,20 +437,20 @@
         // Stops waiting once the votes form a majority together with this node's own.
         let mut answers: FuturesUnordered<_> = requests.collect();
         let mut votes_of_others = 0;
-        while !is_most(votes_of_others + 1, owners.len()) {
+        while !is_majority(votes_of_others + 1, owners.len()) {
             let Some(answer) = answers.next().await else {
                 break;
             };
             votes_of_others += usize::from(answer.is_some());
         }
         // This node votes last, since it may have voted for another owner in the meantime.
-        let votes = votes_of_others + usize::from(self.give_word(&record.name, lender));
+        let votes = votes_of_others + usize::from(self.vote_for_lender(&record.name, lender));
         let mut lenders = locked(&self.cold_places.lenders);
         let entry = lenders.entry(record.name.clone()).or_default();
         let rank = owners.iter().position(|owner| owner.is_self).unwrap_or_default();
         let is_acquired = entry
             .lease
-            .answered(votes, owners.len(), rank, asked, clock::now());
+            .record_votes(votes, owners.len(), rank, asked, clock::now());
         if is_acquired {
             // Another owner may have lent credits since this node last held the lease.
             entry.budget = None;
@@ -463,11 +463,11 @@
     }
 
     /// Casts this node's vote for `lender` and returns whether it was given. The vote
-    /// excludes other lenders for [`WORD_MS`].
+    /// excludes other lenders for [`VOTE_MS`].
     ///
     /// While this node is a candidate, it votes only for owners ranked before itself;
     /// otherwise concurrent candidates could refuse each other indefinitely.
-    pub(crate) fn give_word(&self, instance: &InstanceName, lender: SocketAddr) -> bool {
+    pub(crate) fn vote_for_lender(&self, instance: &InstanceName, lender: SocketAddr) -> bool {
         let Some(known) = self.directory.instance(instance) else {
             return false;
         };
@@ -485,18 +485,18 @@
         let mut lenders = locked(&self.cold_places.lenders);
         let entry = lenders.entry(instance.clone()).or_default();
         // If the registry has been stable for long enough, so has the owner list.
-        let since = match self.registry.unchanged_ms() >= WORD_MS {
-            true => clock::minus_millis(now, WORD_MS),
+        let since = match self.registry.unchanged_ms() >= VOTE_MS {
+            true => clock::minus_millis(now, VOTE_MS),
             false => now,
         };
         entry.update_owners(&owners, since, now);
-        let may_give = entry.owners_since.is_some_and(|since| may_give(since, now));
+        let may_vote = entry.owners_since.is_some_and(|since| may_vote(since, now));
         let is_rival = entry.is_candidate && ranks_after_self;
-        may_give && !is_rival && entry.vote.give(&lender.to_string(), now)
+        may_vote && !is_rival && entry.vote.grant(&lender.to_string(), now)
     }
 
     /// Updates the set of cold instances and the owners of each.
-    pub(crate) fn follow_cold_instances(&self) {
+    pub(crate) fn update_cold_instances(&self) {
         let config = self.directory.config();
         let warms_up =
             config.is_some_and(|config| config.groups.values().any(|limits| limits.warm_up.is_some()));
