--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -15,7 +15,7 @@
 use crate::node::Engine;
 
 /// Even share of connections per node at which every node holds its own share.
-pub(crate) const AMPLE_SHARE: usize = 3;
+pub(crate) const AMPLE_CONNECTION_SHARE: usize = 3;
 /// Share of an instance's connections that each stand-in for its owners may hold, in
 /// percent.
 const STAND_IN_PERCENT: usize = 10;
@@ -38,8 +38,8 @@
 
     /// Returns whether each node holds its own share of the connections to the instances
     /// of a group. Otherwise a few nodes own them.
-    pub fn is_ample(&self, group: &GroupName) -> bool {
-        self.registry.is_listed() && self.even_share(group) >= AMPLE_SHARE
+    pub fn has_ample_connections(&self, group: &GroupName) -> bool {
+        self.registry.is_listed() && self.even_share(group) >= AMPLE_CONNECTION_SHARE
     }
 
     /// Returns an owner's share of an instance's connections, after reserving one health
@@ -51,8 +51,8 @@
 
     /// Returns the number of connections to an instance that this node may hold; at least
     /// one.
-    pub(crate) fn share_of(&self, record: &InstanceRecord) -> usize {
-        if self.is_ample(&record.group) {
+    pub(crate) fn connection_share(&self, record: &InstanceRecord) -> usize {
+        if self.has_ample_connections(&record.group) {
             return self.even_share(&record.group);
         }
         let limit = self.connection_limit(&record.group);
@@ -72,7 +72,7 @@
         user: &ConnectionUser,
         regions: &AllowedRegions,
     ) -> Route {
-        if self.is_ample(&record.group) {
+        if self.has_ample_connections(&record.group) {
             return Route::Own;
         }
         let is_reachable = self
@@ -113,12 +113,12 @@
     /// Returns whether this node runs statements on an instance itself, so that it can
     /// distinguish an unresponsive instance from a busy owner.
     pub fn runs_statements_on(&self, record: &InstanceRecord) -> bool {
-        self.is_ample(&record.group) || self.owns(record)
+        self.has_ample_connections(&record.group) || self.owns(record)
     }
 
     /// Returns the addresses of the other nodes that watch a group.
     pub fn watcher_addresses(&self, group: &GroupName) -> Vec<SocketAddr> {
-        let mut watchers = self.registry.first_for(group.as_str(), WATCHERS);
+        let mut watchers = self.registry.top_nodes_for(group.as_str(), WATCHERS);
         for record in self.watched_instances(group) {
             let ranked = self.owners.ranked(&self.registry, &record);
             watchers.extend(ranked.iter().take(OWNERS).cloned());
@@ -158,7 +158,7 @@
 
     /// Returns whether connections are authenticated per tenant. A connection opened in
     /// advance, without a tenant, then cannot serve any statement.
-    pub(crate) fn tells_tenants_apart(&self) -> bool {
+    pub(crate) fn has_tenant_connections(&self) -> bool {
         let config = self.directory.config();
         config.is_some_and(|config| config.tenants.is_some())
     }
@@ -170,8 +170,8 @@
         if !self.runs_statements_on(record) {
             return 0;
         }
-        if self.tells_tenants_apart() {
-            return self.share_of(record);
+        if self.has_tenant_connections() {
+            return self.connection_share(record);
         }
         1
     }
@@ -179,7 +179,9 @@
     /// Returns the addresses of nodes that may know whether an instance is reachable.
     pub fn witness_addresses(&self, instance: &InstanceName) -> Vec<SocketAddr> {
         match self.directory.instance(instance) {
-            Some(known) if !self.is_ample(&known.record.group) => self.watcher_addresses(&known.record.group),
+            Some(known) if !self.has_ample_connections(&known.record.group) => {
+                self.watcher_addresses(&known.record.group)
+            }
             _ => self.peer_addresses(),
         }
     }
@@ -193,7 +195,7 @@
         if !self.registry.is_listed() {
             return false;
         }
-        if self.is_ample(group) {
+        if self.has_ample_connections(group) {
             return true;
         }
         let last_use = self.directory.last_direct_use(group);
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -4,7 +4,7 @@
 use millwind_core::Instant;
 use millwind_core::ids::InstanceName;
 use millwind_core::outlier::StatementHealth;
-use millwind_core::warm_up::BORROWING;
+use millwind_core::warm_up::BORROWING_SETTINGS;
 
 use super::Directory;
 use crate::catalog::InstanceRecord;
@@ -52,7 +52,7 @@
 
     /// Whether one more statement may be sent there.
     pub fn admits_statement(&self) -> bool {
-        self.statements.admits(clock::now(), self.latency_us)
+        self.statements.admits_statement(clock::now(), self.latency_us)
     }
 
     /// Whether its statements hang or fail, so that others should serve.
@@ -92,7 +92,7 @@
 
     /// A cold instance had no place: reads leave it alone until there may be one.
     pub fn avoid_while_full(&self, instance: &InstanceName) {
-        self.avoid_for(instance, BORROWING.denied_pause_ms);
+        self.avoid_for(instance, BORROWING_SETTINGS.denied_backoff_ms);
     }
 
     fn avoid_for(&self, instance: &InstanceName, avoid_ms: u64) {
@@ -105,7 +105,7 @@
     /// A question to `instance` is under way.
     pub fn asked(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.statements.sent(clock::now());
+            known.contact.statements.record_sent(clock::now());
         }
     }
 
@@ -123,7 +123,7 @@
         contact.is_refusing = false;
         contact.is_doubted = false;
         if let Some(sample) = latency_us {
-            contact.statements.answered(clock::now());
+            contact.statements.record_response(clock::now());
             contact.latency_us = (contact.latency_us * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
         }
     }
@@ -153,7 +153,7 @@
     /// A statement on `instance` is no longer under way.
     pub fn settled(&self, instance: &InstanceName, was_answered: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.statements.ended(was_answered);
+            known.contact.statements.record_end(was_answered);
         }
     }
 
@@ -162,9 +162,9 @@
         if let Some(known) = self.state().instances.get_mut(instance) {
             let statements = &mut known.contact.statements;
             if succeeded {
-                statements.succeeded(clock::now());
+                statements.record_success(clock::now());
             } else {
-                statements.failed(clock::now());
+                statements.record_failure(clock::now());
             }
         }
     }
@@ -173,7 +173,7 @@
     pub fn forgive_silence(&self) {
         let now = clock::now();
         for known in self.state().instances.values_mut() {
-            known.contact.statements.answered(now);
+            known.contact.statements.record_response(now);
         }
     }
 
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -2,7 +2,7 @@
 
 use log::info;
 use millwind_core::Instant;
-use millwind_core::evacuation::{DatedEvacuation, EvacuationChange, EvacuationEvent, Evacuations};
+use millwind_core::evacuation::{EvacuationChange, EvacuationEvent, EvacuationRequest, Evacuations};
 use millwind_core::ids::ZoneName;
 use millwind_store::StoreRevision;
 use tokio::sync::watch;
@@ -14,10 +14,10 @@
     /// Takes in all requests to evacuate a zone that the store held at `revision`.
     pub fn apply_evacuations(
         &self,
-        requests: &[DatedEvacuation],
+        requests: &[EvacuationRequest],
         revision: StoreRevision,
     ) -> EvacuationChange {
-        self.change_evacuations(|evacuations, now| evacuations.apply_dated(requests, revision, now))
+        self.change_evacuations(|evacuations, now| evacuations.apply_requests(requests, revision, now))
     }
 
     /// Takes in requests that a watch of the store told as changed.
@@ -35,19 +35,19 @@
             let change = apply(&mut state.evacuations, now);
             // Under the same lock: nobody may see a zone in use whose instances are
             // not cold yet.
-            for zone in &change.taken_back {
+            for zone in &change.withdrawn {
                 state.zone_unused_until(zone, now);
             }
             (change, state.evacuations.clone())
         };
-        for zone in &change.begun {
+        for zone in &change.started {
             let may_be_asked = after.since(zone).map_or(0, |since| now.millis_since(since));
             info!(
                 "event=zone_evacuation_heard zone={zone} revision={} asked_ms_ago_at_most={may_be_asked}",
                 after.revision()
             );
         }
-        for zone in &change.taken_back {
+        for zone in &change.withdrawn {
             info!(
                 "event=zone_evacuation_taken_back zone={zone} revision={}",
                 after.revision()
@@ -70,7 +70,7 @@
     /// When this node heard that a zone may be used again: its instances were not used
     /// meanwhile, and count as cold from then on.
     pub fn returned_from_evacuation_at(&self, zone: &ZoneName) -> Option<Instant> {
-        self.state().evacuations.returned_at(zone)
+        self.state().evacuations.withdrawn_at(zone)
     }
 
     /// The zones that are being evacuated.
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -3,7 +3,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::incarnation::LifeEvidence;
+use millwind_core::incarnation::RestartEvidence;
 use millwind_core::position::{Position, Term};
 
 use super::{Directory, Group, Known, State};
@@ -85,7 +85,12 @@
 /// wrote `record`: how it answers, what peers said of it, whether it leads and what it
 /// has told of its terms. What ends with a life outside of the directory (connections)
 /// is ended by the caller.
-pub(super) fn begin_life(state: &mut State, former: &Known, record: &InstanceRecord, evidence: LifeEvidence) {
+pub(super) fn begin_life(
+    state: &mut State,
+    former: &Known,
+    record: &InstanceRecord,
+    evidence: RestartEvidence,
+) {
     let name = &record.name;
     info!(
         "event=instance_life_began instance={name} group={} evidence={} previous={} new={} former_age_ms={} claims_lead={}",
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -17,11 +17,11 @@
 use millwind_core::Instant;
 use millwind_core::evacuation::Evacuations;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::incarnation::began_anew;
+use millwind_core::incarnation::restart_evidence;
 use millwind_core::lead_permit::ClosedTerms;
 use millwind_core::leader_observation::{LeaderObservation, LeaderObservations};
 use millwind_core::position::{Position, Term};
-use millwind_core::warm_up::{Sight, Warmth};
+use millwind_core::warm_up::{WarmUpObservation, WarmUpStatus};
 use tokio::sync::{Notify, watch};
 
 use crate::catalog::{ConfigSnapshot, GroupLimits, InstanceRecord};
@@ -61,9 +61,9 @@
     /// What peers said of it, and when.
     pub testimony: Option<(Instant, Testimony)>,
     /// What was seen of this life that tells whether it is warm.
-    sight: Sight,
+    sight: WarmUpObservation,
     /// Whether it is warm.
-    pub warmth: Warmth,
+    pub warmth: WarmUpStatus,
     /// Since when this life of the instance is known; none for the first one.
     pub life_began: Option<Instant>,
 }
@@ -71,9 +71,9 @@
 impl Known {
     /// Whether `record` tells nothing but that the instance lives on.
     fn is_heartbeat(&self, record: &InstanceRecord) -> bool {
-        let is_life_same = began_anew(&self.record.life_signs(), &record.life_signs()).is_none();
+        let is_life_same = restart_evidence(&self.record.life_signs(), &record.life_signs()).is_none();
         let is_used = !self.is_gone && !self.is_disowned;
-        is_used && is_life_same && self.record.says_but_for_heartbeat(record)
+        is_used && is_life_same && self.record.equals_except_heartbeat(record)
     }
 }
 
@@ -294,11 +294,12 @@
         }
         let previous = state.instances.get(&record.name).cloned();
         let previous = previous.as_ref();
-        let began = previous.and_then(|known| began_anew(&known.record.life_signs(), &record.life_signs()));
+        let began =
+            previous.and_then(|known| restart_evidence(&known.record.life_signs(), &record.life_signs()));
         let claimed_before = previous.is_some_and(|known| known.record.claims_lead && !known.is_gone);
         let is_new = previous.is_none_or(|known| known.is_gone);
         let has_changed =
-            is_new || previous.is_some_and(|known| !known.record.says_but_for_heartbeat(&record));
+            is_new || previous.is_some_and(|known| !known.record.equals_except_heartbeat(&record));
         if has_changed {
             state.group_changed(&record.group);
         }
@@ -337,7 +338,7 @@
             is_disowned: false,
             is_leaving: false,
             sight,
-            warmth: Warmth::Warm,
+            warmth: WarmUpStatus::Warm,
         };
         state.insert(known);
         if began.is_none() {
--- a/crates/millwind-engine/src/directory/permits.rs
+++ b/crates/millwind-engine/src/directory/permits.rs
@@ -4,7 +4,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::lead_permit::{ClosedTerms, Permit, is_confirmed};
+use millwind_core::lead_permit::{ClosedTerms, Permit, are_permits_valid};
 use millwind_core::position::Term;
 
 use super::lives::SteppedDown;
@@ -55,7 +55,7 @@
 
     /// Whether the news of closed terms are fresh enough to count on leaders.
     pub fn has_permits(&self) -> bool {
-        self.is_fenced || is_confirmed(clock::now(), self.state().terms_confirmed)
+        self.is_fenced || are_permits_valid(clock::now(), self.state().terms_confirmed)
     }
 
     /// Takes in that `term` of a group and all before it are closed, and that
@@ -146,7 +146,7 @@
             return true;
         }
         let state = self.state();
-        if needs_permit && !is_confirmed(clock::now(), state.terms_confirmed) {
+        if needs_permit && !are_permits_valid(clock::now(), state.terms_confirmed) {
             return false;
         }
         let entry = state.groups.get(group);
@@ -156,7 +156,7 @@
     /// The permit for a leader of `term`.
     pub(super) fn permit_in(&self, state: &State, group: &GroupName, term: Term) -> Permit {
         if self.is_fenced {
-            return Permit::Good;
+            return Permit::Valid;
         }
         let entry = state.groups.get(group);
         let closed = entry.map_or_else(ClosedTerms::default, |entry| entry.closed_terms);
--- a/crates/millwind-engine/src/directory/usage.rs
+++ b/crates/millwind-engine/src/directory/usage.rs
@@ -21,7 +21,8 @@
         let state = self.state();
         let observations = &state.groups.get(group)?.observations;
         let floor = observations.floor(not_before)?;
-        let own = written.map(|written| observations.covering(written.position, written.acknowledged));
+        let own =
+            written.map(|written| observations.covering_position(written.position, written.acknowledged));
         Some(own.map_or(floor, |own| own.max(floor)))
     }
 
--- a/crates/millwind-engine/src/directory/warmth.rs
+++ b/crates/millwind-engine/src/directory/warmth.rs
@@ -3,7 +3,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{InstanceName, ZoneName};
-use millwind_core::warm_up::{Sight, WarmUpTerms};
+use millwind_core::warm_up::{WarmUpLimits, WarmUpObservation};
 
 use super::{Directory, Known, State};
 use crate::catalog::InstanceRecord;
@@ -16,14 +16,17 @@
     has_begun_anew: bool,
     record: &InstanceRecord,
     now: Instant,
-) -> Sight {
+) -> WarmUpObservation {
     let told_ms = record.warm_up_left_ms;
     let Some(previous) = previous else {
-        return Sight::first(told_ms, now);
+        return WarmUpObservation::first_observed(told_ms, now);
     };
     match has_begun_anew {
-        true => Sight::new_life(told_ms, now),
-        false => previous.sight.read_again(told_ms, now).heard(record.heartbeat),
+        true => WarmUpObservation::restarted(told_ms, now),
+        false => previous
+            .sight
+            .record_reread(told_ms, now)
+            .heartbeat_received(record.heartbeat),
     }
 }
 
@@ -36,11 +39,11 @@
             .values_mut()
             .filter(|known| known.record.zone == *zone);
         for known in of_zone {
-            known.sight = known.sight.unused_until(now);
+            known.sight = known.sight.resumed_at(now);
         }
     }
 
-    pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpTerms> {
+    pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpLimits> {
         let config = self.config.as_ref()?;
         config.groups.get(&known.record.group)?.warm_up
     }
@@ -58,18 +61,20 @@
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        if !known.sight.is_doubted() {
+        if !known.sight.is_termination_suspected() {
             info!(
                 "event=instance_process_doubted instance={instance} heard_ms_ago={}",
                 clock::now().millis_since(known.heard)
             );
         }
-        known.sight = known.sight.doubted(known.record.heartbeat, clock::now());
+        known.sight = known
+            .sight
+            .suspect_termination(known.record.heartbeat, clock::now());
     }
 
     /// The terms under which statements may be sent to an instance; none where it is
     /// warm. One whose record was not read yet is not known here, and gets nothing.
-    pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpTerms> {
+    pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpLimits> {
         let state = self.state();
         let known = state.instances.get(instance)?;
         let terms = state.warm_up_terms(known)?;
--- a/crates/millwind-engine/src/duty.rs
+++ b/crates/millwind-engine/src/duty.rs
@@ -32,7 +32,7 @@
 
 /// The stored failover ownership of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyRecord {
+pub struct FailoverRecord {
     /// Node that may replace the leader.
     pub holder: String,
     /// Replica that the holder chose last; `None` if it has only taken ownership.
@@ -50,10 +50,10 @@
     pub is_ordered: bool,
 }
 
-impl DutyRecord {
+impl FailoverRecord {
     /// Returns whether this record includes the closed terms of `other` and the promotion
     /// that `other` may have caused.
-    fn covers(&self, other: &DutyRecord) -> bool {
+    fn covers(&self, other: &FailoverRecord) -> bool {
         let covers_promotion = self.is_ordered || !other.is_ordered;
         self.closed_term > other.closed_term || (self.closed_term == other.closed_term && covers_promotion)
     }
@@ -67,10 +67,10 @@
     /// The record that the store lost when it was restored from a backup.
     Restore,
     /// The replica to promote under the new token.
-    Order(InstanceName),
+    Promote(InstanceName),
     /// The replica to promote after the old leader's term is closed; the promotion
     /// uses a later token.
-    Close {
+    CloseTerm {
         /// The replica to promote.
         chosen: InstanceName,
         /// The term to close.
@@ -83,16 +83,16 @@
 impl Claim {
     /// Returns the record that `holder` writes in place of `held`. Closed terms stay
     /// closed.
-    fn record(self, holder: &str, held: Option<DutyRecord>) -> DutyRecord {
+    fn record(self, holder: &str, held: Option<FailoverRecord>) -> FailoverRecord {
         if let (Claim::Restore, Some(held)) = (&self, &held) {
-            return DutyRecord {
+            return FailoverRecord {
                 holder: holder.to_owned(),
                 ..held.clone()
             };
         }
         let (closed_term, retired) =
             held.map_or_else(Default::default, |held| (held.closed_term, held.retired));
-        let record = DutyRecord {
+        let record = FailoverRecord {
             holder: holder.to_owned(),
             chosen: None,
             closed_term,
@@ -101,16 +101,16 @@
         };
         match self {
             Claim::Hold | Claim::Restore => record,
-            Claim::Order(chosen) => DutyRecord {
+            Claim::Promote(chosen) => FailoverRecord {
                 chosen: Some(chosen),
                 is_ordered: true,
                 ..record
             },
-            Claim::Close {
+            Claim::CloseTerm {
                 chosen,
                 term,
                 retired,
-            } => DutyRecord {
+            } => FailoverRecord {
                 chosen: Some(chosen),
                 closed_term: term.max(closed_term),
                 retired,
@@ -124,16 +124,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedOwnership {
     /// The record.
-    pub record: DutyRecord,
+    pub record: FailoverRecord,
     /// The store revision of the record, from which the fencing token is derived.
     pub revision: StoreRevision,
     /// When this node first observed this revision.
-    pub seen: Instant,
+    pub observed_at: Instant,
 }
 
 /// Why failover ownership was not taken.
 #[derive(Debug)]
-pub enum DutyError {
+pub enum FailoverOwnershipError {
     /// Another node changed the record first.
     Taken,
     /// The store refused the write or did not answer.
@@ -141,7 +141,7 @@
 }
 
 /// The failover ownership records of all groups, as stored and as lost by the store.
-pub struct Duties<S> {
+pub struct FailoverOwnership<S> {
     store: Arc<S>,
     prefix: String,
     node: String,
@@ -150,21 +150,21 @@
     /// Records that the store lost when it was restored from a backup, with the time at
     /// which this node detected the loss. They are written again before any node may rely
     /// on their absence.
-    lost: Mutex<HashMap<GroupName, (DutyRecord, Instant)>>,
+    lost: Mutex<HashMap<GroupName, (FailoverRecord, Instant)>>,
     is_listed: AtomicBool,
 }
 
-impl<S> std::fmt::Debug for Duties<S> {
+impl<S> std::fmt::Debug for FailoverOwnership<S> {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "Duties({})", self.prefix)
+        write!(formatter, "FailoverOwnership({})", self.prefix)
     }
 }
 
-impl<S: Store + 'static> Duties<S> {
+impl<S: Store + 'static> FailoverOwnership<S> {
     /// Creates a view of the records under `prefix`. Ownership is taken in the name of
     /// `node`, and closed terms are reported to `directory`.
     pub fn new(store: Arc<S>, prefix: String, node: String, directory: Arc<Directory>) -> Self {
-        Duties {
+        FailoverOwnership {
             store,
             prefix,
             node,
@@ -179,7 +179,7 @@
         self.observed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lost(&self) -> MutexGuard<'_, HashMap<GroupName, (DutyRecord, Instant)>> {
+    fn lost(&self) -> MutexGuard<'_, HashMap<GroupName, (FailoverRecord, Instant)>> {
         self.lost.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Records that the store lost `record`, unless a known lost record covers it.
-    fn record_loss(&self, group: &GroupName, record: &DutyRecord) {
+    fn record_loss(&self, group: &GroupName, record: &FailoverRecord) {
         let mut lost = self.lost();
         let is_known = lost.get(group).is_some_and(|(known, _)| known.covers(record));
         if !is_known {
@@ -206,7 +206,7 @@
     }
 
     /// Returns the latest known record of a group, either from the store or lost by it.
-    fn known_record(&self, group: &GroupName) -> Option<DutyRecord> {
+    fn known_record(&self, group: &GroupName) -> Option<FailoverRecord> {
         let held = self.get(group).map(|duty| duty.record);
         let lost = self.lost().get(group).map(|(record, _)| record.clone());
         match (held, lost) {
@@ -228,7 +228,7 @@
 
     /// Takes ownership of `group` if no node is known to hold it, so that a fencing token
     /// is available during a store outage.
-    pub async fn hold_ahead(&self, group: &GroupName) {
+    pub async fn claim_in_advance(&self, group: &GroupName) {
         if self.get(group).is_none() {
             // A conflict means that another node has become the holder.
             let _ = self.take(group, Claim::Hold).await;
@@ -268,11 +268,11 @@
 
     /// Returns whether another node has recently chosen a replica, whose promotion should
     /// be given time to take effect.
-    pub fn is_ordered_by_other(&self, group: &GroupName) -> bool {
+    pub fn has_recent_promotion_by_other(&self, group: &GroupName) -> bool {
         self.get(group).is_some_and(|duty| {
             duty.record.holder != self.node
                 && duty.record.chosen.is_some()
-                && clock::now().millis_since(duty.seen) < PROMOTION_GRACE_MS
+                && clock::now().millis_since(duty.observed_at) < PROMOTION_GRACE_MS
         })
     }
 
@@ -290,7 +290,7 @@
 
     /// Writes `claim` to the record of `group` and returns the new fencing token. Fails if
     /// another node changed the record first or the store did not confirm the write.
-    pub async fn take(&self, group: &GroupName, claim: Claim) -> Result<u64, DutyError> {
+    pub async fn take(&self, group: &GroupName, claim: Claim) -> Result<u64, FailoverOwnershipError> {
         let key = self.key(group);
         let held = self.get(group);
         let known = held.as_ref().map_or(StoreRevision::NONE, |duty| duty.revision);
@@ -310,16 +310,16 @@
             Ok(Swap::Conflict { current }) => {
                 info!("event=duty_conflict group={group} expected={known}");
                 self.apply_entries(current);
-                Err(DutyError::Taken)
+                Err(FailoverOwnershipError::Taken)
             }
             Err(error) => {
                 warn!("event=duty_unknown group={group} error={:?}", error.to_string());
-                Err(DutyError::Store(error))
+                Err(FailoverOwnershipError::Store(error))
             }
         }
     }
 
-    fn observe(&self, group: GroupName, record: DutyRecord, revision: StoreRevision) {
+    fn observe(&self, group: GroupName, record: FailoverRecord, revision: StoreRevision) {
         if record.closed_term > Term::default() {
             self.directory
                 .close_term(&group, record.closed_term, record.retired.as_ref());
@@ -338,7 +338,7 @@
         let duty = ObservedOwnership {
             record,
             revision,
-            seen: clock::now(),
+            observed_at: clock::now(),
         };
         observed.insert(group, duty);
     }
@@ -384,12 +384,12 @@
 }
 
 /// Encodes a record for the store.
-fn encode(record: &DutyRecord) -> Vec<u8> {
+fn encode(record: &FailoverRecord) -> Vec<u8> {
     // Serialization cannot fail: the record has only strings, numbers and booleans.
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-impl<S: Store + 'static> Follower for Duties<S> {
+impl<S: Store + 'static> Follower for FailoverOwnership<S> {
     fn name(&self) -> &'static str {
         "duties"
     }
--- a/crates/millwind-engine/src/eligibility.rs
+++ b/crates/millwind-engine/src/eligibility.rs
@@ -1,7 +1,7 @@
 //! Checks whether a statement may use an instance, based on this node's current knowledge.
 
 use millwind_core::data_residency::AllowedRegions;
-use millwind_core::eligibility::{Ineligible, InstanceFacts, judge_instance};
+use millwind_core::eligibility::{IneligibleReason, InstanceFacts, check_instance};
 use millwind_core::ids::GroupName;
 
 use crate::directory::Known;
@@ -26,7 +26,7 @@
         known: &Known,
         usage: InstanceUse,
         regions: &AllowedRegions,
-    ) -> Result<(), Ineligible> {
+    ) -> Result<(), IneligibleReason> {
         let facts = InstanceFacts {
             region: self.settings.topology.region_of(&known.record.zone),
             is_evacuated: self.is_evacuated_for(known, usage),
@@ -35,16 +35,21 @@
                 InstanceUse::Leader => !self.takes_new_work(known),
             },
         };
-        judge_instance(regions, &facts)
+        check_instance(regions, &facts)
     }
 
     /// Returns whether retries are pointless after an attempt failed with `error`, because
     /// no instance may run the statement. If only the zone of the tried instance is being
     /// evacuated, another instance may serve the statement or become leader soon.
-    pub fn is_in_vain(&self, error: &AttemptError, group: &GroupName, regions: &AllowedRegions) -> bool {
+    pub fn is_permanently_ineligible(
+        &self,
+        error: &AttemptError,
+        group: &GroupName,
+        regions: &AllowedRegions,
+    ) -> bool {
         match error.ineligible() {
             None => false,
-            Some(Ineligible::ZoneEvacuated) => !self.has_instance_elsewhere(group, regions),
+            Some(IneligibleReason::ZoneEvacuated) => !self.has_eligible_instance(group, regions),
             Some(_) => true,
         }
     }
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -8,8 +8,8 @@
 
 use millwind_core::Instant;
 use millwind_core::data_residency::AllowedRegions;
-use millwind_core::eligibility::Ineligible;
-use millwind_core::evacuation::{DatedEvacuation, EvacuationChange, EvacuationEvent, Evacuations};
+use millwind_core::eligibility::IneligibleReason;
+use millwind_core::evacuation::{EvacuationChange, EvacuationEvent, EvacuationRequest, Evacuations};
 use millwind_core::ids::{GroupName, ZoneName};
 use millwind_store::{Entry, Listing, StoreRevision};
 use millwind_wire::exchange::{EvacuatedZone, EvacuationListing};
@@ -35,7 +35,7 @@
     /// Applies a complete listing of the operators' keys. A newly found request is dated
     /// back to the last time at which this node knew the store's contents; a node without
     /// such knowledge assumes that the evacuation bound has passed.
-    pub fn take_evacuation_listing(&self, codec: &dyn CatalogCodec, listing: &Listing) {
+    pub fn handle_evacuation_listing(&self, codec: &dyn CatalogCodec, listing: &Listing) {
         let now = clock::now();
         let oldest_ms = self.settings.evacuation_bound_ms;
         let age_ms = self.relays.store_age_ms().unwrap_or(oldest_ms).min(oldest_ms);
@@ -43,14 +43,14 @@
         let present = listing.entries.iter().filter(|entry| entry.value.is_some());
         let requests: Vec<_> = present
             .filter_map(|entry| codec.read_evacuation(&entry.key))
-            .map(|zone| DatedEvacuation { zone, since })
+            .map(|zone| EvacuationRequest { zone, since })
             .collect();
         let change = self.directory.apply_evacuations(&requests, listing.revision);
         self.handle_evacuation_change(&change);
     }
 
     /// Applies changes of the operators' keys reported by a store watch.
-    pub fn take_evacuation_events(&self, codec: &dyn CatalogCodec, entries: &[Entry]) {
+    pub fn handle_evacuation_events(&self, codec: &dyn CatalogCodec, entries: &[Entry]) {
         let decode = |entry: &Entry| {
             Some(EvacuationEvent {
                 zone: codec.read_evacuation(&entry.key)?,
@@ -67,8 +67,8 @@
 
     /// Applies the evacuations that another node reported in answer to a request sent at
     /// `sent`.
-    pub fn take_evacuations_of_peer(&self, listing: &EvacuationListing, sent: Instant) {
-        let decode = |request: &EvacuatedZone| DatedEvacuation {
+    pub fn handle_peer_evacuations(&self, listing: &EvacuationListing, sent: Instant) {
+        let decode = |request: &EvacuatedZone| EvacuationRequest {
             zone: ZoneName::from(request.zone.as_str()),
             since: clock::minus_millis(sent, u64::from(request.age_ms)),
         };
@@ -97,14 +97,14 @@
 
     fn handle_evacuation_change(&self, change: &EvacuationChange) {
         if !change.is_empty() {
-            self.leave_evacuated_zones();
+            self.drain_evacuated_zones();
             self.wake_monitor();
         }
     }
 
     /// Closes idle connections to instances in evacuated zones and updates the evacuation
     /// metrics.
-    pub fn leave_evacuated_zones(&self) {
+    pub fn drain_evacuated_zones(&self) {
         let evacuations = self.directory.evacuations();
         let zones = evacuations.zones().count() as i64;
         let (in_use, leaders) = match zones {
@@ -188,15 +188,15 @@
             return Ok(());
         };
         match begins_on_replica || self.is_evacuation_due(since) {
-            true => Err(AttemptError::Link(LinkError::Ineligible(
-                Ineligible::ZoneEvacuated,
+            true => Err(AttemptError::Link(LinkError::IneligibleReason(
+                IneligibleReason::ZoneEvacuated,
             ))),
             false => Ok(()),
         }
     }
 
     /// Waits until nothing may be sent to the instances of a zone any more.
-    pub async fn closed_by_evacuation(&self, zone: &ZoneName) {
+    pub async fn wait_until_zone_closed(&self, zone: &ZoneName) {
         let mut changes = self.directory.evacuation_changes();
         loop {
             let Some(since) = self.directory.evacuated_since(zone) else {
@@ -218,7 +218,7 @@
     /// Returns whether any instance of the group is reachable and may run statements
     /// restricted to `regions`. Such an instance may become leader soon if the zone of the
     /// present leader is being evacuated.
-    pub fn has_instance_elsewhere(&self, group: &GroupName, regions: &AllowedRegions) -> bool {
+    pub fn has_eligible_instance(&self, group: &GroupName, regions: &AllowedRegions) -> bool {
         let is_usable = |known: &Known| {
             !known.is_gone
                 && known.contact.failing_since.is_none()
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use millwind_core::Instant;
-use millwind_core::concurrency_limit::TurnEnd;
-use millwind_core::eligibility::Ineligible;
+use millwind_core::concurrency_limit::ExecutionEnd;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::ids::InstanceName;
 use millwind_core::position::Position;
 use millwind_core::session_state::{PreparedStatement, SessionState};
@@ -33,10 +33,10 @@
 
 impl AttemptError {
     /// Returns whether the statement is certain not to have run.
-    pub fn is_not_run(&self) -> bool {
+    pub fn has_not_run(&self) -> bool {
         match self {
             AttemptError::Link(error) => !error.may_have_run(),
-            AttemptError::BackEnd(error) => error.kind.is_not_run(),
+            AttemptError::BackEnd(error) => error.kind.has_not_run(),
         }
     }
 
@@ -51,9 +51,9 @@
 
     /// Returns why the statement may not use the instance or the route to it, if the
     /// attempt failed for that reason.
-    pub const fn ineligible(&self) -> Option<Ineligible> {
+    pub const fn ineligible(&self) -> Option<IneligibleReason> {
         match self {
-            AttemptError::Link(LinkError::Ineligible(reason)) => Some(*reason),
+            AttemptError::Link(LinkError::IneligibleReason(reason)) => Some(*reason),
             _ => None,
         }
     }
@@ -61,7 +61,7 @@
     /// Converts the error into the failure reported to a caller.
     pub fn into_failure(self) -> Failure {
         match self {
-            AttemptError::Link(error) => Refusal::of_link(error.kind(), error).into(),
+            AttemptError::Link(error) => Refusal::from_link_error(error.kind(), error).into(),
             AttemptError::BackEnd(error) => Failure::BackEnd(error),
         }
     }
@@ -77,7 +77,7 @@
 
 /// Tracks one request to an instance from its sending to its completion and reports the
 /// outcome to the directory.
-pub struct Inquiry {
+pub struct RequestTracker {
     directory: Arc<Directory>,
     instance: InstanceName,
     /// When the request was sent.
@@ -85,11 +85,11 @@
     was_answered: Cell<bool>,
 }
 
-impl Inquiry {
+impl RequestTracker {
     /// Starts tracking a request that is sent now.
     pub fn new(directory: &Arc<Directory>, instance: &InstanceName) -> Self {
         directory.asked(instance);
-        Inquiry {
+        RequestTracker {
             directory: directory.clone(),
             instance: instance.clone(),
             asked: clock::now(),
@@ -105,14 +105,14 @@
     }
 
     /// Records an answer whose response time is not representative of statements.
-    pub fn taken(&self) {
+    pub fn answered_without_sample(&self) {
         self.was_answered.set(true);
         self.directory.answered(&self.instance, None);
     }
 
     /// Records an answer given by another node on behalf of the instance, which is no
     /// evidence about the instance itself.
-    pub fn passed(&self) {
+    pub fn answered_by_peer(&self) {
         self.was_answered.set(true);
     }
 
@@ -130,7 +130,7 @@
     }
 }
 
-impl Drop for Inquiry {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.directory.settled(&self.instance, self.was_answered.get());
     }
@@ -138,11 +138,11 @@
 
 /// Requirements of a statement for its connection.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct ConnectionRequest<'a> {
     /// Priority of the statement; zero is the most urgent.
     pub priority: u8,
     /// Time by which the caller should have the answer.
-    pub aim: Instant,
+    pub target_time: Instant,
     /// User that the connection must belong to.
     pub user: &'a ConnectionUser,
     /// Session state that will be set on the connection.
@@ -158,11 +158,11 @@
 pub async fn connect(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
-    wanted: Wanted<'_>,
+    wanted: ConnectionRequest<'_>,
 ) -> Result<PooledConnection, AttemptError> {
     let purpose = Purpose::Statement {
         priority: wanted.priority,
-        aim: wanted.aim,
+        target_time: wanted.target_time,
     };
     let asked = clock::now();
     let pool = engine.pool(record);
@@ -179,9 +179,9 @@
         }
         ConnectionUser::Tenant(_) => connect_within_turn(&pool, purpose, wanted).await,
     };
-    note_lost_connections(engine, &pool, asked);
+    record_closed_connections(engine, &pool, asked);
     connected.map_err(|error| {
-        note_process_end(engine, &pool, asked, &error);
+        record_process_end(engine, &pool, asked, &error);
         record_connect_error(engine, record, asked, &error);
         match error {
             LinkError::StartupRefused(error) => AttemptError::BackEnd(error),
@@ -196,9 +196,9 @@
 async fn connect_within_turn(
     pool: &Arc<Pool>,
     purpose: Purpose,
-    wanted: Wanted<'_>,
+    wanted: ConnectionRequest<'_>,
 ) -> Result<PooledConnection, LinkError> {
-    let Wanted {
+    let ConnectionRequest {
         user,
         session,
         needed,
@@ -206,7 +206,10 @@
         ..
     } = wanted;
     let urgency = Urgency::Priority(wanted.priority);
-    let turn = pool.turns().take_for(user, urgency, wanted.aim, deadline).await?;
+    let turn = pool
+        .turns()
+        .take_for(user, urgency, wanted.target_time, deadline)
+        .await?;
     let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
     if let Some(mut connection) = immediate.await? {
         connection.keep_turn(turn);
@@ -219,7 +222,7 @@
 
 /// Marks the instance's process as possibly restarted if the instance has closed all idle
 /// connections of `pool`.
-pub fn note_lost_connections(engine: &Engine, pool: &Pool, asked: Instant) {
+pub fn record_closed_connections(engine: &Engine, pool: &Pool, asked: Instant) {
     if pool.has_lost_all() {
         engine.directory.doubt_process(&pool.record().name, asked);
     }
@@ -228,7 +231,7 @@
 /// Marks the instance's process as possibly restarted if the failure of a request sent at
 /// `asked` suggests that the process is gone and no connection of `pool` is alive. A single
 /// broken connection is no evidence while others are alive.
-pub fn note_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &LinkError) {
+pub fn record_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &LinkError) {
     if error.is_refusing() && !pool.has_live_connection() {
         engine.directory.doubt_process(&pool.record().name, asked);
     }
@@ -260,18 +263,18 @@
         command: Command::Begin { read_only },
     };
     engine.check_evacuation(record, read_only)?;
-    let inquiry = Inquiry::new(&engine.directory, &record.name);
+    let inquiry = RequestTracker::new(&engine.directory, &record.name);
     let reply = match connection.exchange(&envelope, deadline).await {
         Ok(reply) => reply,
         Err(error) => {
             inquiry.failed(&error);
-            note_process_end(engine, &pool, inquiry.asked, &error);
+            record_process_end(engine, &pool, inquiry.asked, &error);
             return Err(AttemptError::Link(error));
         }
     };
-    inquiry.taken();
+    inquiry.answered_without_sample();
     if let Err(error) = reply.result {
-        note_error(engine, record, &error);
+        record_instance_error(engine, record, &error);
         return Err(AttemptError::BackEnd(error));
     }
     if !read_only && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
@@ -280,18 +283,18 @@
     Ok(())
 }
 
-/// Runs a statement. If `proves_leader` is set, a success confirms the instance as leader.
+/// Runs a statement. If `confirms_leader` is set, a success confirms the instance as leader.
 pub async fn run(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
     session: &SessionState,
     envelope: &Envelope<'_>,
-    proves_leader: bool,
+    confirms_leader: bool,
     deadline: Instant,
 ) -> Result<Reply, AttemptError> {
     let pool = connection.pool().clone();
     let record = pool.record();
-    let wait_policy = match (connection.transaction(), proves_leader) {
+    let wait_policy = match (connection.transaction(), confirms_leader) {
         (TransactionState::Idle, false) => CreditWaitPolicy::NoWait,
         (TransactionState::Idle, true) => CreditWaitPolicy::UntilTargetTime,
         _ if connection.urgency() == Urgency::InTransaction => CreditWaitPolicy::UntilDeadline,
@@ -299,9 +302,9 @@
     };
     let turn = acquire_turn_and_credit(engine, connection, wait_policy, deadline).await?;
     // The evacuation of the zone may have begun while the statement waited.
-    let is_single_read = !proves_leader && connection.transaction() == TransactionState::Idle;
+    let is_single_read = !confirms_leader && connection.transaction() == TransactionState::Idle;
     engine.check_evacuation(record, is_single_read)?;
-    let inquiry = Inquiry::new(&engine.directory, &record.name);
+    let inquiry = RequestTracker::new(&engine.directory, &record.name);
     let outcome = connection.run(session, envelope, deadline).await;
     turn.end(classify_turn_end(&outcome));
     connection.note_run();
@@ -309,7 +312,7 @@
         Ok(reply) => reply,
         Err(error) => {
             inquiry.failed(&error);
-            note_process_end(engine, &pool, inquiry.asked, &error);
+            record_process_end(engine, &pool, inquiry.asked, &error);
             if error != LinkError::Silent {
                 engine.directory.statement_ended(&record.name, false);
             }
@@ -321,10 +324,10 @@
         engine.directory.statement_ended(&record.name, succeeded);
     }
     if let Err(error) = &reply.result {
-        note_error(engine, record, error);
+        record_instance_error(engine, record, error);
         return Err(AttemptError::BackEnd(error.clone()));
     }
-    if proves_leader && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
+    if confirms_leader && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
         return Err(AttemptError::Link(LinkError::NoPermit));
     }
     Ok(reply)
@@ -343,7 +346,7 @@
     let mut wait = CreditWait::new(engine, pool.record(), wait_policy, connection.urgency());
     let until = match wait_policy {
         CreditWaitPolicy::UntilDeadline => deadline,
-        _ => connection.aim().min(deadline),
+        _ => connection.target_time().min(deadline),
     };
     loop {
         let turn = match connection.take_turn() {
@@ -367,23 +370,25 @@
     connection: &PooledConnection,
     deadline: Instant,
 ) -> Result<Turn, AttemptError> {
-    let (user, urgency, aim) = (connection.user(), connection.urgency(), connection.aim());
-    let turn = pool.turns().take_for(user, urgency, aim, deadline).await;
+    let (user, urgency, target_time) = (connection.user(), connection.urgency(), connection.target_time());
+    let turn = pool.turns().take_for(user, urgency, target_time, deadline).await;
     turn.map_err(AttemptError::Link)
 }
 
 /// Classifies the outcome of an exchange for the concurrency limit.
-fn classify_turn_end(outcome: &Result<Reply, LinkError>) -> TurnEnd {
+fn classify_turn_end(outcome: &Result<Reply, LinkError>) -> ExecutionEnd {
     let Ok(reply) = outcome else {
-        return TurnEnd::Unknown;
+        return ExecutionEnd::Unknown;
     };
     match &reply.result {
-        Ok(_) => TurnEnd::Ran,
+        Ok(_) => ExecutionEnd::Ran,
         Err(error) => match error.kind {
-            BackEndErrorKind::Busy => TurnEnd::TurnedAway,
-            BackEndErrorKind::Failed | BackEndErrorKind::TimedOut | BackEndErrorKind::Other => TurnEnd::Ran,
+            BackEndErrorKind::Busy => ExecutionEnd::Rejected,
+            BackEndErrorKind::Failed | BackEndErrorKind::TimedOut | BackEndErrorKind::Other => {
+                ExecutionEnd::Ran
+            }
             // The instance answered without using an execution slot.
-            _ => TurnEnd::Unknown,
+            _ => ExecutionEnd::Unknown,
         },
     }
 }
@@ -408,12 +413,12 @@
     if pool.is_retired() {
         return engine.directory.is_fenced();
     }
-    prove_leader(engine, pool.record(), asked, position)
+    confirm_leader(engine, pool.record(), asked, position)
 }
 
 /// Records that `record` answered a request sent at `asked` as leader. Returns false if
 /// the answer must not be delivered because another instance may have been promoted.
-pub fn prove_leader(
+pub fn confirm_leader(
     engine: &Engine,
     record: &InstanceRecord,
     asked: Instant,
@@ -433,7 +438,7 @@
 }
 
 /// Updates the directory with what an error of an instance shows about its role and load.
-pub fn note_error(engine: &Engine, record: &InstanceRecord, error: &BackEndError) {
+pub fn record_instance_error(engine: &Engine, record: &InstanceRecord, error: &BackEndError) {
     match error.kind {
         BackEndErrorKind::ReadOnly => {
             engine.directory.leader_denied(&record.group, &record.name);
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -14,7 +14,7 @@
 use crate::catalog::InstanceRecord;
 use crate::clock;
 use crate::directory::Known;
-use crate::execution::{note_lost_connections, note_process_end};
+use crate::execution::{record_closed_connections, record_process_end};
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Command, Envelope};
 use crate::term_closing;
@@ -116,7 +116,7 @@
             connected_by,
         )
         .await;
-    note_lost_connections(engine, &pool, asked);
+    record_closed_connections(engine, &pool, asked);
     let mut connection = match connected {
         Ok(connection) => connection,
         Err(error) => return note_failure(engine, record, asked, &error),
@@ -169,7 +169,7 @@
     if error.is_evidence() || error.is_wrong_instance() || is_shut_out {
         engine.directory.failed(&record.name, asked, error.is_refusing());
     }
-    note_process_end(engine, &engine.pool(record), asked, error);
+    record_process_end(engine, &engine.pool(record), asked, error);
 }
 
 /// How long an instance may take to answer, by how long it took so far.
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -14,15 +14,15 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::data_residency::AllowedRegions;
-use millwind_core::failover::{FailoverTimes, LeaderEvidence, LeaderVerdict, ReplaceReason, judge_leader};
+use millwind_core::failover::{FailoverTimes, LeaderEvidence, LeaderVerdict, ReplaceReason, evaluate_leader};
 use millwind_core::ids::{GroupName, InstanceName};
 use millwind_store::Store;
 
 use crate::clock;
 use crate::directory::Known;
-use crate::duty::Duties;
+use crate::duty::FailoverOwnership;
 use crate::eligibility::InstanceUse;
-use crate::group_marks::GroupMarks;
+use crate::group_marks::InProgressGroups;
 use crate::node::Engine;
 use crate::peers;
 use crate::ports::{CatalogCodec, Promoter};
@@ -72,18 +72,18 @@
 /// Watches all groups on behalf of one node.
 pub struct Monitor<S> {
     engine: Arc<Engine>,
-    duties: Arc<Duties<S>>,
+    duties: Arc<FailoverOwnership<S>>,
     promoter: Arc<dyn Promoter>,
     codec: Arc<dyn CatalogCodec>,
-    busy: Arc<GroupMarks>,
-    replacing: Arc<GroupMarks>,
-    taking: Arc<GroupMarks>,
-    asking: Arc<GroupMarks>,
-    searching: Arc<GroupMarks>,
+    busy: Arc<InProgressGroups>,
+    replacing: Arc<InProgressGroups>,
+    taking: Arc<InProgressGroups>,
+    asking: Arc<InProgressGroups>,
+    searching: Arc<InProgressGroups>,
     leaderless: Mutex<HashMap<GroupName, Instant>>,
     replaced_sick: Mutex<HashMap<GroupName, Instant>>,
     lead_histories: LeadHistories,
-    reporting: Arc<GroupMarks>,
+    reporting: Arc<InProgressGroups>,
     /// When a leader that stays beyond its time in an evacuated zone was last tried to
     /// be handed over.
     tried_leaving: Mutex<HashMap<GroupName, Instant>>,
@@ -95,7 +95,7 @@
     /// Records of instances are read with `codec`.
     pub fn new(
         engine: Arc<Engine>,
-        duties: Arc<Duties<S>>,
+        duties: Arc<FailoverOwnership<S>>,
         promoter: Arc<dyn Promoter>,
         codec: Arc<dyn CatalogCodec>,
     ) -> Arc<Self> {
@@ -173,7 +173,7 @@
         if watched.contains(group) || self.engine.directory.group_limits(group).is_none() {
             return;
         }
-        self.engine.metrics.groups_judged.inc();
+        self.engine.metrics.groups_evaluated.inc();
         match self.engine.watches(group) {
             true => self.start_look(group),
             false => self.observe(group),
@@ -212,22 +212,22 @@
             return;
         }
         let evidence = self.evidence(group, leader.as_ref());
-        let verdict = judge_leader(clock::now(), &evidence, &self.times());
+        let verdict = evaluate_leader(clock::now(), &evidence, &self.times());
         let reason = match verdict {
             LeaderVerdict::Healthy => return,
             LeaderVerdict::Suspected => {
-                self.engine.doubt_leader();
+                self.engine.expedite_instance_batch();
                 return self.ask_peers(group, leader);
             }
             LeaderVerdict::Replace(reason) => reason,
         };
-        if reason.is_by_statements() && !self.may_replace_sick(group) {
+        if reason.is_detected_by_statements() && !self.may_replace_sick(group) {
             return;
         }
         if reason == ReplaceReason::Evacuated && !self.may_try_leaving(group, leader.as_ref()) {
             return;
         }
-        if self.duties.is_ordered_by_other(group) {
+        if self.duties.has_recent_promotion_by_other(group) {
             return;
         }
         let Some(mark) = self.replacing.enter(group) else {
@@ -283,7 +283,7 @@
         };
         let duties = self.duties.clone();
         tokio::spawn(async move {
-            duties.hold_ahead(mark.group()).await;
+            duties.claim_in_advance(mark.group()).await;
             tokio::time::sleep(DUTY_PAUSE).await;
         });
     }
@@ -312,7 +312,7 @@
     fn times(&self) -> FailoverTimes {
         FailoverTimes {
             suspect_ms: SUSPECT_MS,
-            alone_ms: ALONE_MS,
+            unconfirmed_ms: ALONE_MS,
             heartbeat_ms: self.engine.settings.heartbeat_ms * HEARTBEAT_TENTHS / 10,
         }
     }
@@ -348,14 +348,14 @@
             .last_store_contact()
             .filter(|heard| now.millis_since(*heard) < STORE_RECENT_MS);
         evidence.failing_since = known.contact.failing_since;
-        evidence.is_refusing = known.contact.is_refusing;
+        evidence.refuses_connections = known.contact.is_refusing;
         evidence.is_leaving = known.is_leaving;
-        evidence.must_leave_zone = self.must_leave_zone(&known);
+        evidence.is_zone_evacuated = self.must_leave_zone(&known);
         if self.engine.runs_statements_on(&known.record) {
             let statements = &known.contact.statements;
             let silent_since = known.contact.unresponsive_since();
             // Statements that wait for their places at a cold instance hang as well.
-            let is_silence = statements.is_repeatedly_silent() && !known.warmth.is_cold(now);
+            let is_silence = statements.has_repeated_silence() && !known.warmth.is_cold(now);
             evidence.unresponsive_since = silent_since.filter(|_| is_silence);
             evidence.is_outlier = statements.is_outlier(now);
         }
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -88,6 +88,6 @@
         let leader = lost.instance.as_ref();
         let leader = leader.and_then(|leader| self.engine.directory.instance(leader));
         let worth_before = leader.map_or(0, |leader| demand.served_in(self.engine.region_of(&leader)));
-        chosen.allowed_worth > worth_before && !chosen.is_leaving && !chosen.is_evacuated
+        chosen.servable_share > worth_before && !chosen.is_leaving && !chosen.is_evacuated
     }
 }
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -15,7 +15,7 @@
 use millwind_core::failover::ReplaceReason;
 use millwind_core::ids::{GroupName, InstanceName, RegionName};
 use millwind_core::lead_relocation::{
-    LeadFacts, LeaderDemand, RETURN_PAUSE_MS, Relocation, judge_relocation,
+    LeaderDemand, LeadershipState, RETURN_COOLDOWN_MS, Relocation, decide_relocation,
 };
 use millwind_store::Store;
 use millwind_wire::exchange::ExchangeRequest;
@@ -27,8 +27,8 @@
 use crate::connection_shares::WATCHERS;
 use crate::directory::Known;
 use crate::eligibility::InstanceUse;
-use crate::lead_terms::LeadTerms;
-use crate::leader_demand::write_report;
+use crate::lead_terms::LeaderRegionRules;
+use crate::leader_demand::encode_demand_report;
 use crate::node::Engine;
 
 /// Between two looks at where leaders stand, and two reports on one group: a third of
@@ -56,7 +56,7 @@
     /// Takes in who leads now, under which terms.
     fn follow(&mut self, leader: &InstanceName, now: Instant) {
         self.left
-            .retain(|_, since| now.millis_since(*since) < RETURN_PAUSE_MS);
+            .retain(|_, since| now.millis_since(*since) < RETURN_COOLDOWN_MS);
         if self.leader.as_ref().is_some_and(|seen| seen != leader) {
             self.changed = Some(now);
         }
@@ -65,7 +65,7 @@
 
     /// Takes in the group's terms: under other ones the lead may go back at once. Other
     /// changes of the configuration don't move it.
-    fn follow_terms(&mut self, terms: &LeadTerms<'_>, group: &GroupName) {
+    fn follow_terms(&mut self, terms: &LeaderRegionRules<'_>, group: &GroupName) {
         if self.config_version == terms.config_version {
             return;
         }
@@ -98,14 +98,14 @@
         let histories = self.histories();
         let history = histories.get(group)?;
         let age_ms = |since: Instant| now.millis_since(since);
-        let facts = LeadFacts {
+        let facts = LeadershipState {
             region,
             unchanged_ms: history.changed.map_or(NEVER_CHANGED_MS, age_ms),
-            tried_ms: history.tried.map(age_ms),
+            since_attempt_ms: history.tried.map(age_ms),
             candidates,
-            left: &history.left.keys().cloned().collect(),
+            left_regions: &history.left.keys().cloned().collect(),
         };
-        judge_relocation(demand, &facts)
+        decide_relocation(demand, &facts)
     }
 
     fn tried(&self, group: &GroupName) {
@@ -137,7 +137,7 @@
             let Some(config) = self.engine.directory.config() else {
                 continue;
             };
-            let terms = LeadTerms::of_config(&config);
+            let terms = LeaderRegionRules::of_config(&config);
             for group in config.groups.keys() {
                 self.look_at_lead(&config, &terms, group);
             }
@@ -148,7 +148,7 @@
     fn look_at_lead(
         self: &Arc<Self>,
         config: &Arc<ConfigSnapshot>,
-        terms: &LeadTerms<'_>,
+        terms: &LeaderRegionRules<'_>,
         group: &GroupName,
     ) {
         let leader = self.engine.directory.leader(group);
@@ -162,7 +162,7 @@
         history.follow(&known.record.name, clock::now());
         drop(histories);
         let region = self.engine.region_of(&known);
-        if !terms.exclude(group, region) {
+        if !terms.exclude_leader_in(group, region) {
             return;
         }
         if self.duties.held_token(group).is_some() {
@@ -179,10 +179,10 @@
     /// in its place, which may be this node.
     async fn report_or_weigh(self: &Arc<Self>, config: &ConfigSnapshot, group: &GroupName, leader: &Known) {
         let demands = &self.engine.leader_demands;
-        if demands.total_of(group).is_empty() {
+        if demands.total_demand(group).is_empty() {
             return;
         }
-        let report = write_report(&self.engine.settings.name, group, &demands.own_of(group));
+        let report = encode_demand_report(&self.engine.settings.name, group, &demands.own_demand(group));
         let request = ExchangeRequest::LeaderDemand(report);
         let holder = self.duties.get(group).map(|duty| duty.record.holder);
         let holder = holder.and_then(|holder| self.engine.registry.address_of(&holder));
@@ -191,7 +191,7 @@
         {
             return;
         }
-        for watcher in self.engine.registry.first_for(group.as_str(), WATCHERS) {
+        for watcher in self.engine.registry.top_nodes_for(group.as_str(), WATCHERS) {
             if watcher.is_self {
                 return self.weigh(config, group, leader);
             }
@@ -208,11 +208,11 @@
         if leader.is_leaving || leader.contact.failing_since.is_some() {
             return;
         }
-        if self.duties.is_ordered_by_other(group) {
+        if self.duties.has_recent_promotion_by_other(group) {
             return;
         }
         let engine = &self.engine;
-        let demand = engine.leader_demands.total_of(group);
+        let demand = engine.leader_demands.total_demand(group);
         let region = engine.region_of(leader).cloned();
         let is_served = demand.served_in(region.as_ref()) > 0;
         let candidates = self.regions_of_successors(group, leader, is_served);
@@ -233,8 +233,8 @@
             leader.record.zone,
             region.as_ref().map_or("none", RegionName::as_str),
             relocation.region,
-            relocation.worth_before,
-            relocation.worth_after,
+            relocation.weight_before,
+            relocation.weight_after,
             config.version,
         );
         let monitor = self.clone();
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -19,10 +19,10 @@
 use super::{Monitor, health};
 use crate::clock;
 use crate::directory::Known;
-use crate::duty::{Claim, DutyError};
+use crate::duty::{Claim, FailoverOwnershipError};
 use crate::ports::{PromotionAnswer, PromotionOrder};
 use crate::statement::{Command, InstanceStatus};
-use crate::term_closing::ask_status_over;
+use crate::term_closing::ask_status_with_connection;
 
 /// Each node that comes later in the order waits this much longer.
 const RANK_STEP: Duration = Duration::from_millis(500);
@@ -95,7 +95,7 @@
     pub(super) async fn replace(self: &Arc<Self>, lost: &LostLeader) {
         let group = &lost.group;
         let rank = match &lost.instance {
-            Some(leader) if lost.reason.is_by_statements() => self.owner_rank(leader),
+            Some(leader) if lost.reason.is_detected_by_statements() => self.owner_rank(leader),
             _ => self.rank(group),
         };
         info!(
@@ -161,7 +161,7 @@
         let lease_ms = self.engine.settings.duty_lease_ms;
         match self.duties.get(group) {
             Some(duty) if self.duties.held_token(group).is_none() => {
-                clock::until(duty.seen.plus_millis(lease_ms))
+                clock::until(duty.observed_at.plus_millis(lease_ms))
             }
             _ => Duration::ZERO,
         }
@@ -169,12 +169,12 @@
 
     /// Whether there is nothing left to do.
     fn is_settled(&self, lost: &LostLeader) -> bool {
-        if self.duties.is_ordered_by_other(&lost.group) {
+        if self.duties.has_recent_promotion_by_other(&lost.group) {
             return true;
         }
         let directory = &self.engine.directory;
         let leader = directory.leader(&lost.group);
-        if lost.reason.is_move() {
+        if lost.reason.is_planned_move() {
             return self.is_move_over(lost, leader.as_ref());
         }
         let Some(leader) = leader else {
@@ -211,11 +211,11 @@
             self.record_in_background(group, &choice.instance);
             return self.promote(group, choice, token).await;
         }
-        let claim = Claim::Order(choice.instance.clone());
+        let claim = Claim::Promote(choice.instance.clone());
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return Ended::Yield,
-            Err(DutyError::Store(_)) => match held {
+            Err(FailoverOwnershipError::Taken) => return Ended::Yield,
+            Err(FailoverOwnershipError::Store(_)) => match held {
                 Some(token) if choice.is_by_majority => token,
                 _ => return Ended::Again,
             },
@@ -267,22 +267,22 @@
         let leader = lost.instance.clone();
         let leader = leader.or_else(|| choice.leading.clone());
         let leader = leader.or_else(|| self.engine.directory.retired(group));
-        let claim = Claim::Close {
+        let claim = Claim::CloseTerm {
             chosen: choice.instance.clone(),
             term,
             retired: leader.clone(),
         };
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return Ended::Yield,
-            Err(DutyError::Store(_)) => return Ended::Again,
+            Err(FailoverOwnershipError::Taken) => return Ended::Yield,
+            Err(FailoverOwnershipError::Store(_)) => return Ended::Again,
         };
         let closed = ClosedTerm {
             group: group.clone(),
             term,
             leader,
             successor: choice.instance.clone(),
-            is_live: lost.reason.is_of_live_leader(),
+            is_live: lost.reason.is_leader_alive(),
             token,
         };
         let life = self.life_of(closed.leader.as_ref());
@@ -300,13 +300,13 @@
         let Some(choice) = chosen else {
             return Ended::Again;
         };
-        let claim = Claim::Order(choice.instance.clone());
+        let claim = Claim::Promote(choice.instance.clone());
         match self.duties.take(group, claim).await {
             // It has forgotten that it stepped down: permits for its term count again.
             Ok(_) if self.life_of(closed.leader.as_ref()) != life => Ended::Again,
             Ok(token) => self.promote(group, choice, token).await,
-            Err(DutyError::Taken) => Ended::Yield,
-            Err(DutyError::Store(_)) => Ended::Again,
+            Err(FailoverOwnershipError::Taken) => Ended::Yield,
+            Err(FailoverOwnershipError::Store(_)) => Ended::Again,
         }
     }
 
@@ -337,7 +337,7 @@
         for entry in listing.entries {
             let value = entry.value.as_deref();
             self.engine
-                .take_instance(&*self.codec, &entry.key, value, entry.revision);
+                .handle_instance_document(&*self.codec, &entry.key, value, entry.revision);
         }
         true
     }
@@ -347,7 +347,7 @@
         let monitor = self.clone();
         let group = group.clone();
         let chosen = chosen.clone();
-        tokio::spawn(async move { monitor.duties.take(&group, Claim::Order(chosen)).await });
+        tokio::spawn(async move { monitor.duties.take(&group, Claim::Promote(chosen)).await });
     }
 
     /// Orders the promotion, and waits until the replica leads.
@@ -400,7 +400,7 @@
     async fn choose(&self, lost: &LostLeader, excluded: &HashSet<InstanceName>) -> Option<Choice> {
         let sync_replicas = self.engine.directory.group_limits(&lost.group)?.sync_replicas;
         let pause = self.pause_command(&lost.group, sync_replicas);
-        if lost.reason.is_move() && sync_replicas > 0 {
+        if lost.reason.is_planned_move() && sync_replicas > 0 {
             // The leader serves well: replicas stop receiving only once one of them is
             // known to be fit, since its commits wait for them.
             self.choose_by(lost, excluded, Command::Status).await?;
@@ -417,7 +417,7 @@
     ) -> Option<Choice> {
         let engine = &self.engine;
         let group = &lost.group;
-        let must_hold = match lost.reason.is_move() {
+        let must_hold = match lost.reason.is_planned_move() {
             true => Some(self.told_by_leader(lost).await?),
             false => self.must_hold(lost),
         };
@@ -433,14 +433,14 @@
         if sync_replicas == 0 && replicas.iter().any(|known| !known.contact.is_sick()) {
             replicas.retain(|known| !known.contact.is_sick());
         }
-        let demand = engine.leader_demands.total_of(group);
+        let demand = engine.leader_demands.total_demand(group);
         let worth_in = |known: &Known| demand.served_in(engine.region_of(known));
-        if lost.reason.is_move() {
+        if lost.reason.is_planned_move() {
             tokio::time::sleep(CATCH_UP).await;
         }
         let questions = replicas
             .iter()
-            .map(|known| ask_status_over(engine, &known.record, question));
+            .map(|known| ask_status_with_connection(engine, &known.record, question));
         let answers = join_all(questions).await;
         let mut pauses = Pauses::default();
         let mut answered = Vec::new();
@@ -461,10 +461,10 @@
                 received: status.received,
                 is_leaving: known.is_leaving,
                 is_evacuated: engine.directory.evacuated_since(&known.record.zone).is_some(),
-                allowed_worth: worth_in(known),
+                servable_share: worth_in(known),
                 is_cold: known.warmth.is_cold(clock::now()),
-                is_named: named_before.as_ref() == Some(&known.record.name),
-                is_near: known.record.zone.as_str() == engine.settings.zone,
+                is_named_in_order: named_before.as_ref() == Some(&known.record.name),
+                is_in_own_zone: known.record.zone.as_str() == engine.settings.zone,
             })
             .collect();
         if lost.reason == ReplaceReason::Evacuated {
@@ -478,7 +478,7 @@
         let total = known.iter().filter(|known| !lost.is(&known.record.name)).count();
         let chosen = choose_successor(&successors, total, sync_replicas, must_hold)
             // A leader that serves is not replaced by one that must go as well.
-            .filter(|chosen| !lost.reason.is_move() || !chosen.is_evacuated)
+            .filter(|chosen| !lost.reason.is_planned_move() || !chosen.is_evacuated)
             .filter(|chosen| self.is_worth_the_move(lost, chosen, &demand));
         let Some(chosen) = chosen else {
             info!(
@@ -514,7 +514,7 @@
     /// still serves. One that leaves is given up with what it holds once half of
     /// its time is over.
     fn must_hold(&self, lost: &LostLeader) -> Option<Position> {
-        if !lost.reason.is_of_live_leader() {
+        if !lost.reason.is_leader_alive() {
             return None;
         }
         let directory = &self.engine.directory;
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -10,7 +10,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::lead_permit::{Revocation, SETTLE_MS, may_promote};
+use millwind_core::lead_permit::{DRAIN_MS, Revocation, may_promote};
 use millwind_core::position::Term;
 use millwind_store::Store;
 use millwind_wire::exchange::{ExchangeReply, ExchangeRequest, TermClosing};
@@ -22,7 +22,7 @@
 
 /// A node answers within this time, in milliseconds: it may let its statements
 /// end first, and its answer crosses regions twice.
-const ANSWER_MS: u64 = SETTLE_MS + 100;
+const ANSWER_MS: u64 = DRAIN_MS + 100;
 /// Between two rounds of questions to the nodes that have not answered.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 /// A successor catches up with a leader that gets no new statements within this
@@ -130,7 +130,7 @@
     /// The other nodes that may hold permits and have not handed them back.
     fn missing(&self, answered: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
         let own = self.engine.settings.peer_address;
-        let mut missing = self.engine.registry.permit_holders();
+        let mut missing = self.engine.registry.possible_permit_holders();
         missing.retain(|address| *address != own && !answered.contains(address));
         missing
     }
@@ -177,7 +177,7 @@
             let reply = self.engine.peers.ask_apart(*address, &request, limit).await;
             (*address, reply)
         });
-        let own = term_closing::hand_back(&self.engine, &closing);
+        let own = term_closing::return_permit(&self.engine, &closing);
         let (mut has_stepped_down, replies) = futures::future::join(own, join_all(questions)).await;
         for (address, reply) in replies {
             if let Ok(ExchangeReply::TermClosed {
--- a/crates/millwind-engine/src/floor.rs
+++ b/crates/millwind-engine/src/floor.rs
@@ -16,19 +16,19 @@
 
 /// The minimum log position that an instance must have applied to serve a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadFloor {
+pub enum MinimumReadPosition {
     /// Any position.
     Any,
     /// At least this position.
     Position(Position),
     /// A position that the executing node derives from the leader positions it has
     /// observed.
-    Staleness(StalenessTerms),
+    Staleness(StalenessBound),
 }
 
 /// The parameters from which the minimum position of a read is derived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StalenessTerms {
+pub struct StalenessBound {
     /// A time at or after the arrival of the read.
     pub arrived: Instant,
     /// Staleness that the read accepts, in milliseconds.
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoObservation;
 
-impl ReadFloor {
+impl MinimumReadPosition {
     /// Returns the minimum position, or `None` if any position is sufficient. Waits for an
     /// observation of the leader until `deadline` if necessary, and fails without one.
     pub async fn resolve(
@@ -51,16 +51,16 @@
         deadline: Instant,
     ) -> Result<Option<Position>, NoObservation> {
         let terms = match self {
-            ReadFloor::Any => return Ok(None),
-            ReadFloor::Position(position) => return Ok(Some(*position)),
-            ReadFloor::Staleness(terms) => terms,
+            MinimumReadPosition::Any => return Ok(None),
+            MinimumReadPosition::Position(position) => return Ok(Some(*position)),
+            MinimumReadPosition::Staleness(terms) => terms,
         };
         let position = terms.await_position(engine, group, deadline).await;
         position.map(Some).ok_or(NoObservation)
     }
 }
 
-impl StalenessTerms {
+impl StalenessBound {
     /// Returns the minimum position if it follows from the observations so far.
     pub fn known_position(&self, engine: &Engine, group: &GroupName) -> Option<Position> {
         engine
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -13,8 +13,8 @@
 use crate::backend::{ConnectionUser, LinkError};
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::execution::{AttemptError, Inquiry, note_error, prove_leader};
-use crate::floor::ReadFloor;
+use crate::execution::{AttemptError, RequestTracker, confirm_leader, record_instance_error};
+use crate::floor::MinimumReadPosition;
 use crate::node::Engine;
 use crate::statement::{Envelope, Reply, TransactionState};
 
@@ -29,9 +29,9 @@
 struct Start {
     user: ConnectionUser,
     priority: u8,
-    aim: Instant,
+    target_time: Instant,
     begin: ForwardedBegin,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 }
 
 /// A connection of an owner; given back when dropped.
@@ -55,7 +55,7 @@
         record: Arc<InstanceRecord>,
         user: &ConnectionUser,
         priority: u8,
-        aim: Instant,
+        target_time: Instant,
     ) -> Self {
         Lease {
             number: link.next_number(),
@@ -64,9 +64,9 @@
             start: Some(Start {
                 user: user.clone(),
                 priority,
-                aim,
+                target_time,
                 begin: ForwardedBegin::None,
-                floor: ReadFloor::Any,
+                floor: MinimumReadPosition::Any,
             }),
             transaction: TransactionState::Idle,
             is_broken: false,
@@ -85,7 +85,7 @@
 
     /// The first statement runs on a log that holds `floor`, unless a
     /// transaction begins before it on terms of its own.
-    pub fn requires(&mut self, floor: ReadFloor) {
+    pub fn requires(&mut self, floor: MinimumReadPosition) {
         if let Some(start) = &mut self.start
             && start.begin == ForwardedBegin::None
         {
@@ -94,7 +94,7 @@
     }
 
     /// A transaction is begun before the first statement.
-    pub fn begins(&mut self, read_only: bool, floor: ReadFloor) {
+    pub fn begins(&mut self, read_only: bool, floor: MinimumReadPosition) {
         self.requires(floor);
         if let Some(start) = &mut self.start {
             start.begin = if read_only {
@@ -111,12 +111,12 @@
         engine: &Arc<Engine>,
         session: &SessionState,
         envelope: &Envelope<'_>,
-        proves_leader: bool,
+        confirms_leader: bool,
         deadline: Instant,
     ) -> Result<Reply, AttemptError> {
         let call = self.link.next_number();
-        let statement = self.statement(call, session, envelope, proves_leader, deadline);
-        let inquiry = Inquiry::new(&engine.directory, &self.record.name);
+        let statement = self.statement(call, session, envelope, confirms_leader, deadline);
+        let inquiry = RequestTracker::new(&engine.directory, &self.record.name);
         self.is_broken = true;
         let answered = self.link.call(call, ForwardRequest::Run(statement));
         let answer = match tokio::time::timeout_at(clock::deadline(deadline), answered).await {
@@ -132,7 +132,7 @@
         self.transaction = read_state(answer.state);
         let report = answer.leader.first().cloned();
         let result = read_answer(answer);
-        self.note(engine, &result, &inquiry, proves_leader);
+        self.note(engine, &result, &inquiry, confirms_leader);
         if let Some(report) = report {
             take_leader_report(engine, &self.record.group, &report, inquiry.asked);
         }
@@ -144,7 +144,7 @@
         call: u64,
         session: &SessionState,
         envelope: &Envelope<'_>,
-        proves_leader: bool,
+        confirms_leader: bool,
         deadline: Instant,
     ) -> ForwardedStatement {
         let (text, execution) = write_command(&envelope.command);
@@ -154,7 +154,7 @@
             instance: self.record.name.0.clone(),
             user: write_user(&start.user),
             priority: start.priority,
-            aim_ms: u32::try_from(clock::until(start.aim).as_millis()).unwrap_or(u32::MAX),
+            aim_ms: u32::try_from(clock::until(start.target_time).as_millis()).unwrap_or(u32::MAX),
             begin: start.begin,
             floor: write_floor(&start.floor),
         });
@@ -167,7 +167,7 @@
             id: envelope.id.unwrap_or_default().to_owned(),
             text,
             execution,
-            proves_leader: u8::from(proves_leader),
+            confirms_leader: u8::from(confirms_leader),
         }
     }
 
@@ -176,26 +176,26 @@
         &self,
         engine: &Arc<Engine>,
         result: &Result<Reply, AttemptError>,
-        inquiry: &Inquiry,
-        proves_leader: bool,
+        inquiry: &RequestTracker,
+        confirms_leader: bool,
     ) {
         match result {
             Ok(reply) => {
                 inquiry.answered();
-                if proves_leader {
-                    prove_leader(engine, &self.record, inquiry.asked, reply.position);
+                if confirms_leader {
+                    confirm_leader(engine, &self.record, inquiry.asked, reply.position);
                 }
             }
             Err(AttemptError::BackEnd(error)) => {
-                inquiry.taken();
-                note_error(engine, &self.record, error);
+                inquiry.answered_without_sample();
+                record_instance_error(engine, &self.record, error);
             }
             Err(AttemptError::Link(LinkError::WarmingUp { .. })) => {
-                inquiry.passed();
+                inquiry.answered_by_peer();
                 engine.directory.avoid_while_full(&self.record.name);
             }
             Err(AttemptError::Link(error)) => {
-                inquiry.passed();
+                inquiry.answered_by_peer();
                 engine.directory.avoid(&self.record.name);
                 // Nodes that stand in for an owner which has too much to do would
                 // only send more to the same instance.
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use millwind_core::Instant;
-use millwind_core::eligibility::Ineligible;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::ids::{GroupName, InstanceName, TenantName};
 use millwind_core::position::{LogPosition, Position, Term};
 use millwind_core::session_state::{Access, PreparedStatement, SessionState};
@@ -16,7 +16,7 @@
 use crate::clock;
 use crate::directory::Written;
 use crate::execution::AttemptError;
-use crate::floor::{ReadFloor, StalenessTerms};
+use crate::floor::{MinimumReadPosition, StalenessBound};
 use crate::node::Engine;
 use crate::statement::{BackEndError, BackEndErrorKind, Command, Reply, TransactionState};
 
@@ -46,9 +46,12 @@
     (9, LinkError::NoObservation),
     (10, LinkError::OwnerUnreachable),
     (11, LinkError::NoPermit),
-    (12, LinkError::Ineligible(Ineligible::RegionNotAllowed)),
-    (13, LinkError::Ineligible(Ineligible::ZoneEvacuated)),
-    (14, LinkError::Ineligible(Ineligible::Leaving)),
+    (
+        12,
+        LinkError::IneligibleReason(IneligibleReason::RegionNotAllowed),
+    ),
+    (13, LinkError::IneligibleReason(IneligibleReason::ZoneEvacuated)),
+    (14, LinkError::IneligibleReason(IneligibleReason::Leaving)),
 ];
 
 fn micros_since(time: Instant) -> u64 {
@@ -73,11 +76,11 @@
     }
 }
 
-pub(super) fn write_floor(floor: &ReadFloor) -> ForwardedFloor {
+pub(super) fn write_floor(floor: &MinimumReadPosition) -> ForwardedFloor {
     match floor {
-        ReadFloor::Any => ForwardedFloor::Any,
-        ReadFloor::Position(position) => ForwardedFloor::Position(write_position(*position)),
-        ReadFloor::Staleness(terms) => ForwardedFloor::Staleness {
+        MinimumReadPosition::Any => ForwardedFloor::Any,
+        MinimumReadPosition::Position(position) => ForwardedFloor::Position(write_position(*position)),
+        MinimumReadPosition::Staleness(terms) => ForwardedFloor::Staleness {
             arrived_ago_us: micros_since(terms.arrived),
             staleness_ms: terms.staleness_ms,
             written: terms.written.iter().map(write_commit).collect(),
@@ -94,15 +97,15 @@
 
 /// Times that travel as ages are taken for later than they were, by the time
 /// on the way: that asks for a newer position, never for an older one.
-pub(super) fn read_floor(floor: &ForwardedFloor) -> ReadFloor {
+pub(super) fn read_floor(floor: &ForwardedFloor) -> MinimumReadPosition {
     match floor {
-        ForwardedFloor::Any => ReadFloor::Any,
-        ForwardedFloor::Position(position) => ReadFloor::Position(read_position(*position)),
+        ForwardedFloor::Any => MinimumReadPosition::Any,
+        ForwardedFloor::Position(position) => MinimumReadPosition::Position(read_position(*position)),
         ForwardedFloor::Staleness {
             arrived_ago_us,
             staleness_ms,
             written,
-        } => ReadFloor::Staleness(StalenessTerms {
+        } => MinimumReadPosition::Staleness(StalenessBound {
             arrived: micros_ago(*arrived_ago_us),
             staleness_ms: *staleness_ms,
             written: written.first().map(|commit| Written {
@@ -149,7 +152,7 @@
         Command::Execute { statement, arguments } => {
             let execution = ForwardedExecution {
                 writes: u8::from(statement.access == Access::Write),
-                shape: statement.shape.clone(),
+                shape: statement.text.clone(),
                 arguments: (*arguments).to_owned(),
             };
             (String::new(), vec![execution])
@@ -169,7 +172,7 @@
     };
     let prepared = PreparedStatement {
         access,
-        shape: execution.shape.clone(),
+        text: execution.shape.clone(),
     };
     Some((prepared, &execution.arguments))
 }
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -10,14 +10,14 @@
 use millwind_core::affinity;
 use millwind_core::data_residency::{AllowedRegions, Topology};
 use millwind_core::ids::{InstanceName, TenantName, ZoneName};
-use millwind_core::owner_ranking::{OwnerCandidate, OwnersSought};
+use millwind_core::owner_ranking::{OwnerCandidate, OwnerCounts};
 use rand::RngExt;
 
 use super::link::OwnerLink;
 use super::links::Links;
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::registry::{OwnedPlace, Owner, OwnersOf, Registry};
+use crate::registry::{InstanceOwners, Owner, OwnerQuery, Registry};
 
 /// Nodes that own connections to an instance.
 pub const OWNERS: usize = 3;
@@ -67,7 +67,7 @@
 
 impl Carriers<'_> {
     fn allow(&self, node: &Owner) -> bool {
-        OwnerCandidate::is_carrier(self.regions, self.topology, &node.zone)
+        OwnerCandidate::may_forward(self.regions, self.topology, &node.zone)
     }
 }
 
@@ -94,7 +94,7 @@
     /// Zone of the instance, which may come back under its name in another one.
     zone: ZoneName,
     /// Owners, and those that stand in for them.
-    nodes: Arc<OwnersOf>,
+    nodes: Arc<InstanceOwners>,
     /// Both, first ones first.
     ranked: Ranked,
 }
@@ -113,7 +113,7 @@
     plain: Mutex<HashMap<InstanceName, PlainRanking>>,
     /// The ranking by what other statements may pass, with the version of the registry
     /// that it follows from.
-    allowed: Mutex<HashMap<RankingKey, (u64, Arc<OwnersOf>)>>,
+    allowed: Mutex<HashMap<RankingKey, (u64, Arc<InstanceOwners>)>>,
     avoided: Mutex<HashMap<(SocketAddr, InstanceName), Instant>>,
     /// Since when no owner of an instance is reached, and when that was last
     /// found.
@@ -145,7 +145,7 @@
             return held.clone();
         }
         let nodes = self.find(registry, record, &AllowedRegions::Any);
-        let ranked = nodes.owners.iter().chain(&nodes.stand_ins).cloned().collect();
+        let ranked = nodes.owners.iter().chain(&nodes.backup_owners).cloned().collect();
         let found = PlainRanking {
             version,
             zone: record.zone.clone(),
@@ -159,7 +159,7 @@
     /// Owners of `record`, and those that stand in for them, which the text of a
     /// statement may travel to; this node among them wherever it stands, since the
     /// statement is here already.
-    fn allowed(&self, way: &Way<'_>) -> Arc<OwnersOf> {
+    fn allowed(&self, way: &Way<'_>) -> Arc<InstanceOwners> {
         if way.carriers.regions.is_any() {
             return self.plain(way.registry, way.record).nodes;
         }
@@ -182,16 +182,16 @@
         owners
     }
 
-    fn find(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> OwnersOf {
-        let place = OwnedPlace {
+    fn find(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> InstanceOwners {
+        let place = OwnerQuery {
             instance: &record.name,
             zone: &record.zone,
             topology: &self.topology,
             regions,
         };
-        let sought = OwnersSought {
+        let sought = OwnerCounts {
             owners: OWNERS,
-            stand_ins: STAND_INS,
+            backup_owners: STAND_INS,
         };
         registry.owners(&place, sought)
     }
@@ -270,10 +270,10 @@
         }
         let mut was_avoided = false;
         let owners = self.usable(&allowed.owners, way, &mut was_avoided);
-        let stand_ins = self.usable(&allowed.stand_ins, way, &mut was_avoided);
+        let backup_owners = self.usable(&allowed.backup_owners, way, &mut was_avoided);
         let found = match self.links.best_proven(&owners).await {
             Some(link) => Some(link),
-            None => self.await_any(&owners, &stand_ins).await,
+            None => self.await_any(&owners, &backup_owners).await,
         };
         if let Some(link) = found {
             self.unreached().remove(&record.name);
@@ -293,7 +293,7 @@
         let allowed = self.allowed(way);
         let owners = &allowed.owners;
         let names: Vec<_> = owners.iter().map(|owner| owner.address.to_string()).collect();
-        for index in affinity::order(tenant.as_str(), &names) {
+        for index in affinity::rendezvous_order(tenant.as_str(), &names) {
             let owner = &owners[index];
             if owner.is_self && way.prefers_own {
                 return Route::Own;
@@ -329,12 +329,12 @@
 
     /// A link to an owner, else to one that stands in, which are opened at the
     /// same time.
-    async fn await_any(&self, owners: &[SocketAddr], stand_ins: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
-        let standing_in = self.links.best_proven(stand_ins).await;
+    async fn await_any(&self, owners: &[SocketAddr], backup_owners: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
+        let standing_in = self.links.best_proven(backup_owners).await;
         match self.links.await_best(owners).await {
             Some(link) => Some(link),
             None if standing_in.is_some() => standing_in,
-            None => self.links.await_best(stand_ins).await,
+            None => self.links.await_best(backup_owners).await,
         }
     }
 
@@ -361,8 +361,8 @@
 /// no herd, since each node holds one such connection at most, and only once the list
 /// of nodes has been the same for a while: after a common start the nodes of the
 /// allowed regions may just not be listed yet.
-fn is_without_carriers(way: &Way<'_>, allowed: &OwnersOf) -> bool {
-    let mut nodes = allowed.owners.iter().chain(&allowed.stand_ins);
+fn is_without_carriers(way: &Way<'_>, allowed: &InstanceOwners) -> bool {
+    let mut nodes = allowed.owners.iter().chain(&allowed.backup_owners);
     let is_restricted = !way.carriers.regions.is_any();
     is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= ALONE_MS
 }
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -10,7 +10,7 @@
 use log::debug;
 use millwind_core::Instant;
 use millwind_core::data_residency::AllowedRegions;
-use millwind_core::eligibility::Ineligible;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::ids::{GroupName, InstanceName, TenantName};
 use millwind_core::lending::Loan;
 use millwind_core::position::Position;
@@ -27,8 +27,8 @@
 use crate::catalog::InstanceRecord;
 use crate::clock;
 use crate::eligibility::InstanceUse;
-use crate::execution::{self, AttemptError, Wanted};
-use crate::floor::ReadFloor;
+use crate::execution::{self, AttemptError, ConnectionRequest};
+use crate::floor::MinimumReadPosition;
 use crate::node::{Engine, Phase};
 use crate::statement::{Command, Envelope, Reply, TransactionState};
 
@@ -226,12 +226,12 @@
         ForwardedSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), borrowing.wanted),
         ForwardedSubject::Instance { name } => {
             let instance = InstanceName::from(name.as_str());
-            engine.lend_places(&instance, borrowing.wanted).await
+            engine.lend_credits(&instance, borrowing.wanted).await
         }
         ForwardedSubject::Word { instance, lender } => {
             let instance = InstanceName::from(instance.as_str());
             let lender = lender.parse().ok()?;
-            let is_given = engine.give_word(&instance, lender);
+            let is_given = engine.vote_for_lender(&instance, lender);
             is_given.then_some(Loan {
                 operations: 0,
                 retry_after_ms: 0,
@@ -330,12 +330,12 @@
     engine
         .judge_instance(&known, usage, &AllowedRegions::Any)
         .map_err(|reason| match reason {
-            Ineligible::Leaving => LinkError::Retired,
-            reason => LinkError::Ineligible(reason),
+            IneligibleReason::Leaving => LinkError::Retired,
+            reason => LinkError::IneligibleReason(reason),
         })
         .map_err(AttemptError::Link)?;
     let contact = &known.contact;
-    let is_tried = clock::now() < contact.avoid_until || contact.statements.under_way() > 0;
+    let is_tried = clock::now() < contact.avoid_until || contact.statements.in_flight() > 0;
     if contact.failing_since.is_some() && is_tried {
         return Err(AttemptError::Link(LinkError::InstanceFailing));
     }
@@ -359,7 +359,7 @@
     if *engine.phase.borrow() != Phase::Running {
         return Err(AttemptError::Link(LinkError::OwnerUnreachable));
     }
-    let wants_leader = start.begin == ForwardedBegin::ReadWrite || statement.proves_leader == 1;
+    let wants_leader = start.begin == ForwardedBegin::ReadWrite || statement.confirms_leader == 1;
     let avoids_outliers = start.begin == ForwardedBegin::ReadOnly;
     let record = usable_instance(engine, &start.instance, wants_leader, avoids_outliers)?;
     if wants_leader && !engine.directory.may_lead(&record.group, &record.name, true) {
@@ -367,7 +367,7 @@
     }
     let floor = read_floor(&start.floor);
     let staleness = match floor {
-        ReadFloor::Staleness(terms) => Some(terms.staleness_ms),
+        MinimumReadPosition::Staleness(terms) => Some(terms.staleness_ms),
         _ => None,
     };
     engine.directory.used(&record.group, staleness);
@@ -375,9 +375,9 @@
     let user = read_user(&start.user);
     let session = read_session(&statement.values);
     let execution = read_execution(statement);
-    let wanted = Wanted {
+    let wanted = ConnectionRequest {
         priority: start.priority,
-        aim: clock::now().plus_millis(u64::from(start.aim_ms)),
+        target_time: clock::now().plus_millis(u64::from(start.aim_ms)),
         user: &user,
         session: &session,
         needed: execution.as_ref().map(|(prepared, _)| prepared),
@@ -395,7 +395,7 @@
 
 async fn resolve(
     engine: &Arc<Engine>,
-    floor: &ReadFloor,
+    floor: &MinimumReadPosition,
     record: &InstanceRecord,
     deadline: Instant,
 ) -> Result<Option<Position>, AttemptError> {
@@ -426,6 +426,6 @@
         since,
         command,
     };
-    let proves_leader = statement.proves_leader == 1;
-    execution::run(engine, connection, &session, &envelope, proves_leader, deadline).await
+    let confirms_leader = statement.confirms_leader == 1;
+    execution::run(engine, connection, &session, &envelope, confirms_leader, deadline).await
 }
--- a/crates/millwind-engine/src/group_marks.rs
+++ b/crates/millwind-engine/src/group_marks.rs
@@ -7,16 +7,16 @@
 
 /// The groups for which an operation is in progress.
 #[derive(Debug, Default)]
-pub struct GroupMarks(Mutex<HashSet<GroupName>>);
+pub struct InProgressGroups(Mutex<HashSet<GroupName>>);
 
 /// Guard that marks one group as in progress until it is dropped.
 #[derive(Debug)]
 pub struct GroupGuard {
-    marks: Arc<GroupMarks>,
+    marks: Arc<InProgressGroups>,
     group: GroupName,
 }
 
-impl GroupMarks {
+impl InProgressGroups {
     fn groups(&self) -> MutexGuard<'_, HashSet<GroupName>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/millwind-engine/src/kept_documents.rs
+++ b/crates/millwind-engine/src/kept_documents.rs
@@ -23,7 +23,7 @@
 /// The cached documents by key, each with the revision of its last relevant change. Removed
 /// documents stay as markers, so that other nodes learn of the removal.
 #[derive(Debug, Default)]
-pub struct KeptDocuments {
+pub struct DocumentCache {
     by_key: BTreeMap<String, StoredDocument>,
     /// Revision of the newest document.
     newest: StoreRevision,
@@ -41,7 +41,7 @@
     documents: DocumentList,
 }
 
-impl KeptDocuments {
+impl DocumentCache {
     /// Returns the document under `key`.
     pub fn get(&self, key: &str) -> Option<&StoredDocument> {
         self.by_key.get(key)
--- a/crates/millwind-engine/src/lead_terms.rs
+++ b/crates/millwind-engine/src/lead_terms.rs
@@ -10,7 +10,7 @@
 /// Region restrictions of the databases and tenants of each group, indexed by group for
 /// one version of the configuration.
 #[derive(Debug)]
-pub struct LeadTerms<'a> {
+pub struct LeaderRegionRules<'a> {
     /// Version of the configuration that the restrictions come from.
     pub config_version: u64,
     /// Apply to all groups, since any tenant may use any database.
@@ -18,7 +18,7 @@
     group_regions: HashMap<&'a GroupName, BTreeSet<&'a AllowedRegions>>,
 }
 
-impl<'a> LeadTerms<'a> {
+impl<'a> LeaderRegionRules<'a> {
     /// Collects the region restrictions in `config`.
     pub fn of_config(config: &'a ConfigSnapshot) -> Self {
         let mut group_regions: HashMap<_, BTreeSet<_>> = HashMap::new();
@@ -27,7 +27,7 @@
             entry.insert(&database.allowed_regions);
         }
         let tenants = config.tenants.iter();
-        LeadTerms {
+        LeaderRegionRules {
             config_version: config.version,
             tenant_regions: tenants
                 .flat_map(|tenants| tenants.allowed_regions.values())
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether any restriction excludes a leader of `group` in `region`.
-    pub fn exclude(&self, group: &GroupName, region: Option<&RegionName>) -> bool {
+    pub fn exclude_leader_in(&self, group: &GroupName, region: Option<&RegionName>) -> bool {
         self.of(group).any(|regions| !regions.allows(region))
     }
 }
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -58,14 +58,14 @@
 
 /// The recent demand for the leaders of all groups.
 #[derive(Debug, Default)]
-pub struct LeaderDemands {
+pub struct LeaderDemandTracker {
     /// Whether the active configuration restricts any statements to regions.
     is_counted: AtomicBool,
     own: Mutex<HashMap<GroupName, DemandWindow>>,
     reported: Mutex<HashMap<GroupName, HashMap<String, NodeReport>>>,
 }
 
-impl LeaderDemands {
+impl LeaderDemandTracker {
     fn own(&self) -> MutexGuard<'_, HashMap<GroupName, DemandWindow>> {
         self.own.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -99,7 +99,7 @@
     }
 
     /// Returns the recent demand of this node's callers for a group's leader.
-    pub fn own_of(&self, group: &GroupName) -> LeaderDemand {
+    pub fn own_demand(&self, group: &GroupName) -> LeaderDemand {
         let mut own = self.own();
         let Some(window) = own.get_mut(group) else {
             return LeaderDemand::default();
@@ -110,8 +110,8 @@
 
     /// Returns the recent demand of this node's callers and of the nodes that reported
     /// theirs.
-    pub fn total_of(&self, group: &GroupName) -> LeaderDemand {
-        let mut total = self.own_of(group);
+    pub fn total_demand(&self, group: &GroupName) -> LeaderDemand {
+        let mut total = self.own_demand(group);
         let now = clock::now();
         let mut reported = self.reported();
         let Some(reports) = reported.get_mut(group) else {
@@ -125,7 +125,7 @@
     }
 
     /// Replaces the last report of another node.
-    pub fn take(&self, report: &DemandReport) {
+    pub fn apply_report(&self, report: &DemandReport) {
         let mut demand = LeaderDemand::default();
         for part in &report.parts {
             demand.add(&decode_regions(part), part.worth);
@@ -139,7 +139,7 @@
 }
 
 /// Encodes the demand of `node`'s own callers as a report.
-pub fn write_report(node: &str, group: &GroupName, demand: &LeaderDemand) -> DemandReport {
+pub fn encode_demand_report(node: &str, group: &GroupName, demand: &LeaderDemand) -> DemandReport {
     let part = |(regions, worth): (&AllowedRegions, u64)| DemandPart {
         is_any: u8::from(regions.is_any()),
         regions: match regions {
@@ -151,7 +151,7 @@
     DemandReport {
         group: group.0.clone(),
         node: node.to_owned(),
-        parts: demand.terms().map(part).collect(),
+        parts: demand.weights_by_regions().map(part).collect(),
     }
 }
 
--- a/crates/millwind-engine/src/lending.rs
+++ b/crates/millwind-engine/src/lending.rs
@@ -50,7 +50,7 @@
 
     /// Counts a caller that requests an operation.
     pub(crate) fn arrived(&self, now: Instant) {
-        self.state().allowance.arrived(now);
+        self.state().allowance.count_request(now);
     }
 
     /// Counts a caller that waits for the next answer, until the guard is dropped.
@@ -64,8 +64,8 @@
     pub(crate) fn try_admit(&self, now: Instant) -> (Admission, bool) {
         let mut state = self.state();
         let admission = state.allowance.admit(now);
-        let is_needed = admission == Admission::AskFirst
-            || (admission == Admission::Admitted && state.allowance.is_low(now));
+        let is_needed = admission == Admission::LoanRequired
+            || (admission == Admission::Admitted && state.allowance.should_borrow_ahead(now));
         let must_ask = is_needed && !state.is_request_pending;
         state.is_request_pending |= must_ask;
         (admission, must_ask)
@@ -75,13 +75,13 @@
     pub(crate) fn wanted(&self, now: Instant) -> u32 {
         let mut state = self.state();
         let waiting = state.waiting;
-        state.allowance.wanted(waiting, now)
+        state.allowance.operations_to_request(waiting, now)
     }
 
     /// Applies the answer to a request sent at `asked` and wakes the waiting callers.
     pub(crate) fn lent(&self, loan: Loan, asked: Instant, now: Instant) {
         let mut state = self.state();
-        state.allowance.lent(loan, asked, now);
+        state.allowance.record_loan(loan, asked, now);
         state.is_request_pending = false;
         drop(state);
         self.answered.notify_waiters();
--- a/crates/millwind-engine/src/metrics.rs
+++ b/crates/millwind-engine/src/metrics.rs
@@ -92,7 +92,7 @@
     /// Sessions opened.
     pub sessions: Counter,
     /// Groups evaluated for whether this node watches them.
-    pub groups_judged: Counter,
+    pub groups_evaluated: Counter,
     /// Catalog comparisons that a peer answered.
     pub catalog_comparisons: Counter,
     /// Documents received from peers in catalog comparisons.
@@ -107,9 +107,9 @@
     /// Operations refused because a tenant exceeded its quota.
     pub quota_refusals: Counter,
     /// Documents in the store that cannot be read, counted once per change.
-    pub records_passed_over: Counter,
+    pub unreadable_records: Counter,
     /// Instances that restarted under the same name.
-    pub lives_begun: Counter,
+    pub instance_restarts: Counter,
     /// Quota loans requested on behalf of tenants.
     pub quota_loans: Counter,
     /// Current number of cold instances.
@@ -146,7 +146,7 @@
             permits_waited_out: Counter::default(),
             answers_without_permit: Counter::default(),
             sessions: Counter::default(),
-            groups_judged: Counter::default(),
+            groups_evaluated: Counter::default(),
             catalog_comparisons: Counter::default(),
             catalog_documents: Counter::default(),
             // Buckets from 10 ms to 20 s.
@@ -155,8 +155,8 @@
             forwarded_in: Counter::default(),
             quota_refusals: Counter::default(),
             quota_loans: Counter::default(),
-            records_passed_over: Counter::default(),
-            lives_begun: Counter::default(),
+            unreadable_records: Counter::default(),
+            instance_restarts: Counter::default(),
             cold_instances: Gauge::default(),
             cold_arrivals: InstanceCounts::default(),
             cold_refusals: InstanceCounts::default(),
@@ -257,7 +257,7 @@
         registry.register(
             "groups_judged",
             "Groups of which this node asked itself whether it keeps an eye on them",
-            metrics.groups_judged.clone(),
+            metrics.groups_evaluated.clone(),
         );
         registry.register(
             "catalog_comparisons",
@@ -287,12 +287,12 @@
         registry.register(
             "records_passed_over",
             "Documents in the store that cannot be read, counted with each change",
-            metrics.records_passed_over.clone(),
+            metrics.unreadable_records.clone(),
         );
         registry.register(
             "lives_begun",
             "Instances that began anew under the name that they had",
-            metrics.lives_begun.clone(),
+            metrics.instance_restarts.clone(),
         );
         Metrics { registry, ..metrics }
     }
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -17,14 +17,14 @@
 use crate::catalog::InstanceRecord;
 use crate::catalog_cache::CatalogCache;
 use crate::catalog_watch::{ConfigFollower, InstanceFollower};
-use crate::cold_places::ColdPlaces;
+use crate::cold_places::WarmUpCredits;
 use crate::counted_store::CountedStore;
 use crate::directory::{Directory, Known};
-use crate::duty::Duties;
+use crate::duty::FailoverOwnership;
 use crate::failover::Monitor;
 use crate::forward::Owners;
-use crate::group_marks::GroupMarks;
-use crate::leader_demand::LeaderDemands;
+use crate::group_marks::InProgressGroups;
+use crate::leader_demand::LeaderDemandTracker;
 use crate::logging::RequestLog;
 use crate::metrics::Metrics;
 use crate::own_keys::OwnKeys;
@@ -113,7 +113,7 @@
     /// Catalog documents to share with peers.
     pub catalog_cache: CatalogCache,
     /// Documents in the store that cannot be read.
-    pub passed_over: UnreadableDocuments,
+    pub unreadable_documents: UnreadableDocuments,
     /// Documents under the system's own prefix in the store.
     pub own_keys: Arc<OwnKeys>,
     /// The nodes that read the store on behalf of others.
@@ -121,21 +121,21 @@
     /// Connectivity of the store.
     pub store_contact: Arc<StoreContact>,
     /// Groups for which this node is asking the watchers about the leader.
-    pub leader_inquiries: Arc<GroupMarks>,
+    pub leader_inquiries: Arc<InProgressGroups>,
     /// How this node leaves the deployment, once a stop has begun.
     pub departure: watch::Sender<Option<Departure>>,
     /// Peers that did not answer catalog comparisons.
-    pub unreached: UnreachablePeers,
+    pub unreachable_peers: UnreachablePeers,
     /// Groups whose old leader this node is asking to step down.
-    pub stepping_down: Arc<GroupMarks>,
+    pub stepping_down: Arc<InProgressGroups>,
     /// The nodes that own connections to instances.
     pub owners: Owners,
     /// Pending demand for the leaders of groups.
-    pub leader_demands: LeaderDemands,
+    pub leader_demands: LeaderDemandTracker,
     /// Quotas of tenants.
     pub quotas: Quotas,
     /// Limits on statements sent to cold instances.
-    pub cold_places: ColdPlaces,
+    pub cold_places: WarmUpCredits,
     /// Reachability of the other nodes.
     pub peer_reach: PeerReach,
     /// Number of connections leased to other nodes.
@@ -200,7 +200,7 @@
     /// Returns the connection pool of an instance.
     pub fn pool(&self, record: &InstanceRecord) -> Arc<Pool> {
         self.pools
-            .pool(record, self.registry.version(), || self.share_of(record))
+            .pool(record, self.registry.version(), || self.connection_share(record))
     }
 
     /// Returns the protocol spoken with back ends.
@@ -245,21 +245,21 @@
 
     /// Waits before the next batch of changed instance records. Nodes that share what
     /// they read wait longer, unless a group's leader is uncertain.
-    pub async fn rest_from_instances(&self) {
+    pub async fn wait_for_instance_batch(&self) {
         let is_shared = self.directory.config().is_some_and(|config| {
             let mut groups = config.groups.keys();
-            groups.any(|group| !self.is_ample(group))
+            groups.any(|group| !self.has_ample_connections(group))
         });
         if !is_shared {
             return tokio::time::sleep(INSTANCE_BATCH_INTERVAL).await;
         }
-        let has_relays = !self.relays.to_ask(&self.registry).is_empty();
+        let has_relays = !self.relays.relays_to_ask(&self.registry).is_empty();
         let interval = match has_relays {
-            true => Duration::from_millis(self.relays.times().pace_ms),
+            true => Duration::from_millis(self.relays.times().read_interval_ms),
             false => self.shared_interval(),
         };
         tokio::time::sleep(URGENT_INTERVAL).await;
-        if self.relays.are_news_urgent(&self.directory) {
+        if self.relays.is_polling_urgent(&self.directory) {
             return;
         }
         tokio::select! {
@@ -273,9 +273,9 @@
         Duration::from_millis(part.min(MAX_SHARED_INTERVAL_MS))
     }
 
-    /// Shortens the current wait of [`Engine::rest_from_instances`], because a group's
+    /// Shortens the current wait of [`Engine::wait_for_instance_batch`], because a group's
     /// leader is uncertain.
-    pub fn doubt_leader(&self) {
+    pub fn expedite_instance_batch(&self) {
         self.leader_doubted.notify_waiters();
     }
 
@@ -399,7 +399,7 @@
             gone_grace_ms(&settings),
             settings.promotion_fences,
         ));
-        let duties = Arc::new(Duties::new(
+        let duties = Arc::new(FailoverOwnership::new(
             ports.store.clone(),
             format!("{}duty/", ports.catalog_codec.own_prefix()),
             settings.name.clone(),
@@ -490,7 +490,7 @@
     ports: &Ports<S>,
     metrics: Metrics,
     directory: Arc<Directory>,
-    duties: Arc<Duties<S>>,
+    duties: Arc<FailoverOwnership<S>>,
 ) -> Arc<Engine> {
     let nodes_prefix = format!("{}nodes/", ports.catalog_codec.own_prefix());
     let registry = Arc::new(Registry::new(
@@ -512,18 +512,18 @@
         registry,
         peers: PeerClient::default(),
         catalog_cache: CatalogCache::default(),
-        passed_over: UnreadableDocuments::default(),
+        unreadable_documents: UnreadableDocuments::default(),
         own_keys: Arc::new(own_keys),
         relays,
         store_contact: Arc::new(StoreContact::default()),
         leader_inquiries: Arc::default(),
         departure: watch::Sender::new(None),
-        unreached: UnreachablePeers::default(),
+        unreachable_peers: UnreachablePeers::default(),
         stepping_down: Arc::default(),
         owners: Owners::new(settings.topology.clone()),
-        leader_demands: LeaderDemands::default(),
+        leader_demands: LeaderDemandTracker::default(),
         quotas: Quotas::default(),
-        cold_places: ColdPlaces::default(),
+        cold_places: WarmUpCredits::default(),
         peer_reach: PeerReach::default(),
         forwarded_leases: AtomicUsize::new(0),
         pools: Pools::new(ports.backend_codec.clone()),
@@ -534,7 +534,11 @@
     })
 }
 
-fn start_store_watches<S: Store + 'static>(engine: &Arc<Engine>, ports: Ports<S>, duties: Arc<Duties<S>>) {
+fn start_store_watches<S: Store + 'static>(
+    engine: &Arc<Engine>,
+    ports: Ports<S>,
+    duties: Arc<FailoverOwnership<S>>,
+) {
     let catalog = &ports.catalog_codec;
     let config = ConfigFollower::new(engine.clone(), catalog.clone());
     let instances = InstanceFollower::new(engine.clone(), catalog.clone());
@@ -567,7 +571,9 @@
     if !engine.settings.promotion_fences {
         let marker = engine.clone();
         let store = ports.store.clone();
-        tokio::spawn(async move { mark_unreachable(&marker.registry, &*store, &marker.unreached).await });
+        tokio::spawn(
+            async move { mark_unreachable(&marker.registry, &*store, &marker.unreachable_peers).await },
+        );
     }
     let monitor = Monitor::new(
         engine.clone(),
@@ -585,16 +591,16 @@
     let mut seen_version = 0;
     loop {
         tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
-        engine.follow_cold_instances();
+        engine.update_cold_instances();
         engine.pools.trim(|record| engine.spare_connections(record));
-        engine.leave_evacuated_zones();
+        engine.drain_evacuated_zones();
         for instance in engine.directory.forget_gone(engine.settings.drain_bound_ms) {
             engine.pools.retire(&instance);
         }
         let version = engine.registry.version();
         if version != seen_version {
             seen_version = version;
-            engine.pools.set_shares(|record| engine.share_of(record));
+            engine.pools.set_shares(|record| engine.connection_share(record));
         }
     }
 }
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -12,9 +12,9 @@
 use millwind_wire::exchange::{DocumentList, StoredDocument};
 use tokio::sync::watch;
 
-use crate::kept_documents::KeptDocuments;
+use crate::kept_documents::DocumentCache;
 use crate::registry::Registry;
-use crate::store_watch::{Follower, StoreReading};
+use crate::store_watch::{CatalogSource, Follower};
 
 /// Interval between two watch responses for the system's own keys, which batches the
 /// registrations of nodes that start together.
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Documents by key. Removed ones are kept so that peers learn of the removal.
-    documents: KeptDocuments,
+    documents: DocumentCache,
     /// Store revision up to which all documents are known.
     known_revision: StoreRevision,
 }
@@ -33,7 +33,7 @@
     followers: Vec<Arc<dyn Follower>>,
     /// Registry to fill first with the nodes of the own zone, if enabled.
     nodes: Option<Arc<Registry>>,
-    reads_store: watch::Receiver<StoreReading>,
+    reads_store: watch::Receiver<CatalogSource>,
     state: Mutex<State>,
 }
 
@@ -46,7 +46,7 @@
 impl OwnKeys {
     /// Creates a replica that passes all documents to `followers`. `reads_store` tells
     /// whether the node reads them from the store.
-    pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<StoreReading>) -> Self {
+    pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<CatalogSource>) -> Self {
         OwnKeys {
             followers,
             nodes: None,
@@ -80,7 +80,7 @@
     }
 
     /// Applies documents from a peer that knows all documents up to `revision`.
-    pub fn learn(&self, documents: Vec<StoredDocument>, revision: StoreRevision) {
+    pub fn apply_documents(&self, documents: Vec<StoredDocument>, revision: StoreRevision) {
         if revision.is_none() {
             return;
         }
@@ -109,7 +109,7 @@
 
     /// Applies a single document that a peer sent directly. Earlier changes of other
     /// documents may still be unknown.
-    pub fn told(&self, document: StoredDocument) {
+    pub fn apply_document(&self, document: StoredDocument) {
         let entry = to_entry(document);
         self.state().insert_if_newer(&entry);
         // Followers are notified even if a restored store no longer holds the document,
@@ -208,11 +208,11 @@
 
     fn initial_prefix_listed(&self, listing: Listing) {
         if let Some(nodes) = &self.nodes {
-            nodes.zone_learned(listing);
+            nodes.apply_zone_listing(listing);
         }
     }
 
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reads_store.clone())
     }
 
--- a/crates/millwind-engine/src/passed_over.rs
+++ b/crates/millwind-engine/src/passed_over.rs
@@ -30,8 +30,8 @@
     }
 
     /// Records that the configuration cannot be read. Returns whether the reason is new.
-    pub fn note_config(&self, reason: &str) -> bool {
-        let reason = shortened(reason);
+    pub fn record_unreadable_config(&self, reason: &str) -> bool {
+        let reason = truncate_for_log(reason);
         let mut config = self.config();
         let is_new = config.as_ref() != Some(&reason);
         *config = Some(reason);
@@ -39,7 +39,7 @@
     }
 
     /// Records that the configuration can be read.
-    pub fn forget_config(&self) {
+    pub fn clear_unreadable_config(&self) {
         *self.config() = None;
     }
 
@@ -47,7 +47,7 @@
     /// is new; writers repeat an invalid document with each heartbeat.
     pub fn note(&self, key: &str, reason: &str) -> bool {
         let mut documents = self.documents();
-        let reason = shortened(reason);
+        let reason = truncate_for_log(reason);
         let is_full = documents.len() >= MAX_DOCUMENTS;
         match documents.get_mut(key) {
             Some(known) if *known == reason => false,
@@ -69,7 +69,7 @@
     }
 
     /// Forgets the documents under `prefix` for which `present` returns false.
-    pub fn keep_listed(&self, prefix: &str, present: impl Fn(&str) -> bool) {
+    pub fn retain_listed(&self, prefix: &str, present: impl Fn(&str) -> bool) {
         self.documents()
             .retain(|key, _| !key.starts_with(prefix) || present(key));
     }
@@ -81,6 +81,6 @@
 }
 
 /// Truncates a text to the maximum length for a log line.
-pub fn shortened(text: &str) -> String {
+pub fn truncate_for_log(text: &str) -> String {
     text.chars().take(MAX_TEXT_CHARS).collect()
 }
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -9,7 +9,7 @@
 use futures::future::join_all;
 use log::info;
 use millwind_core::Instant;
-use millwind_core::quota::{OtherCounter, Reach};
+use millwind_core::quota::{LenderReach, PeerLender};
 use millwind_wire::exchange::ExchangeRequest;
 use tokio::sync::Notify;
 
@@ -39,11 +39,11 @@
 }
 
 impl ProbeResult {
-    fn to_other_counter(self) -> OtherCounter {
+    fn to_other_counter(self) -> PeerLender {
         match self {
-            ProbeResult::Answered => OtherCounter::Heard,
-            ProbeResult::ProcessGone => OtherCounter::Gone,
-            ProbeResult::Silent => OtherCounter::Silent,
+            ProbeResult::Answered => PeerLender::Reachable,
+            ProbeResult::ProcessGone => PeerLender::Terminated,
+            ProbeResult::Silent => PeerLender::Unresponsive,
         }
     }
 }
@@ -87,7 +87,7 @@
     /// Returns the share of reachable nodes and the state of the other counting node. A
     /// node that was not probed yet is reported as answering, the state in which the
     /// least is lent.
-    pub fn known(&self, other_counter: Option<SocketAddr>) -> Reach {
+    pub fn reach(&self, other_counter: Option<SocketAddr>) -> LenderReach {
         let now = clock::now();
         let mut state = self.state();
         let previous_query = state.queried_at.replace(now);
@@ -103,9 +103,9 @@
         if is_new || is_new_counter {
             self.query_started.notify_one();
         }
-        Reach {
+        LenderReach {
             percent: state.reachable_percent,
-            other: result.map_or(OtherCounter::Heard, ProbeResult::to_other_counter),
+            other: result.map_or(PeerLender::Reachable, ProbeResult::to_other_counter),
         }
     }
 
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -63,7 +63,7 @@
             if let Some(source) = self.pick() {
                 self.compare_and_judge(source).await;
             }
-            self.engine.relays.judge(&self.engine);
+            self.engine.relays.reconsider_source(&self.engine);
         }
     }
 
@@ -74,7 +74,7 @@
     async fn compare_and_judge(&self, source: Source) {
         let mut comparing = std::pin::pin!(self.compare(source));
         while tokio::time::timeout(INTERVAL, &mut comparing).await.is_err() {
-            self.engine.relays.judge(&self.engine);
+            self.engine.relays.reconsider_source(&self.engine);
         }
     }
 
@@ -83,7 +83,7 @@
         if !directory.is_complete() || relays.store_age_ms().is_none() {
             return STARTING_INTERVAL;
         }
-        match relays.are_news_urgent(directory) {
+        match relays.is_polling_urgent(directory) {
             true => URGENT_INTERVAL,
             false => INTERVAL,
         }
@@ -96,7 +96,7 @@
         let is_relay = relays.is_relay(&self.engine.registry);
         let relay = match is_relay {
             true => None,
-            false => random_of(&relays.to_ask(&self.engine.registry)),
+            false => random_of(&relays.relays_to_ask(&self.engine.registry)),
         };
         // A node without fresh news asks neighbours as well: they may hear the
         // store where the relays don't.
@@ -157,7 +157,7 @@
             warn!("event=peer_message_refused peer={address} question=catalog");
             return;
         };
-        self.engine.unreached.answered(address);
+        self.engine.unreachable_peers.answered(address);
         let (instances, own) = match (instances.into_documents(), own.into_documents()) {
             (Ok(instances), Ok(own)) => (instances, own),
             (Err(error), _) | (_, Err(error)) => {
@@ -180,7 +180,7 @@
         }
         // First the requests: with a configuration the node may serve.
         for listing in &evacuations {
-            self.engine.take_evacuations_of_peer(listing, sent);
+            self.engine.handle_peer_evacuations(listing, sent);
         }
         for document in config {
             self.take_config(address, &document);
@@ -189,30 +189,33 @@
         for document in &instances {
             let value = (document.removed == 0).then_some(document.value.as_slice());
             self.engine
-                .take_instance(&*self.codec, &document.key, value, document.revision);
+                .handle_instance_document(&*self.codec, &document.key, value, document.revision);
         }
         if complete == 1 && instances_revision.era > known.era && !known.is_none() {
             // The other node has told all that the store holds since it was restored.
             let present = instances.iter().filter(|document| document.removed == 0);
             let names = present.filter_map(|document| self.codec.instance_name(&document.key));
             self.engine
-                .drop_unlisted(&*self.codec, &names.collect(), instances_revision);
+                .drop_missing_instances(&*self.codec, &names.collect(), instances_revision);
         }
         if complete == 1 {
-            self.engine.catalog_cache.instances_known_to(instances_revision);
+            self.engine
+                .catalog_cache
+                .advance_instances_revision(instances_revision);
             self.engine.directory.listing_known();
         }
-        self.engine.own_keys.learn(own, own_revision);
+        self.engine.own_keys.apply_documents(own, own_revision);
         if own_age_ms < u32::MAX {
             let known = clock::minus_millis(sent, u64::from(own_age_ms));
             self.engine.directory.confirm_terms(known);
         }
         let store_age_ms = (store_age_ms < u32::MAX).then_some(u64::from(store_age_ms));
         if let Some(age_ms) = store_age_ms {
-            self.engine.store_heard_by_peer(clock::minus_millis(sent, age_ms));
+            self.engine
+                .record_peer_store_contact(clock::minus_millis(sent, age_ms));
         }
         if source.is_relay {
-            self.engine.relays.told_by_relay(address, store_age_ms);
+            self.engine.relays.record_relay_answer(address, store_age_ms);
         }
     }
 
@@ -221,7 +224,7 @@
         match config.document.unpack() {
             Ok(document) => {
                 self.engine
-                    .take_config(&*self.codec, &document, ConfigSource::Peer, known_since);
+                    .handle_config_document(&*self.codec, &document, ConfigSource::Peer, known_since);
             }
             Err(error) => warn!(
                 "event=config_refused source=peer peer={peer} version={} error={:?}",
@@ -240,7 +243,7 @@
             clock::now().millis_since(sent),
             error.to_string()
         );
-        self.engine.unreached.failed(address, sent);
+        self.engine.unreachable_peers.failed(address, sent);
         // A starting node asks nodes that may be starting too.
         if self.engine.directory.is_complete() {
             self.engine.owners.doubt_links();
@@ -249,7 +252,7 @@
             info!("event=relay_unreachable relay={address}");
             match self.engine.directory.is_complete() {
                 true => self.engine.relays.avoid(address),
-                false => self.engine.relays.avoid_at_start(address),
+                false => self.engine.relays.avoid_briefly(address),
             }
         }
     }
--- a/crates/millwind-engine/src/peers/server.rs
+++ b/crates/millwind-engine/src/peers/server.rs
@@ -69,9 +69,9 @@
             as_relay,
         } => {
             if *as_relay == 1 {
-                engine.relays.asked_as_relay();
+                engine.relays.record_relay_request();
             }
-            engine.catalog_cache.newer_than(
+            engine.catalog_cache.changes_for_peer(
                 *config_version,
                 *instances_revision,
                 *own_revision,
@@ -92,10 +92,10 @@
             }
         }
         ExchangeRequest::CloseTerm(closing) => ExchangeReply::TermClosed {
-            has_stepped_down: u8::from(term_closing::hand_back(engine, closing).await),
+            has_stepped_down: u8::from(term_closing::return_permit(engine, closing).await),
         },
         ExchangeRequest::LeaderDemand(report) => {
-            engine.leader_demands.take(report);
+            engine.leader_demands.apply_report(report);
             ExchangeReply::Noted
         }
     }
--- a/crates/millwind-engine/src/ports.rs
+++ b/crates/millwind-engine/src/ports.rs
@@ -34,11 +34,11 @@
     /// needed, and fails if the input is invalid.
     fn decode(&self, input: &mut BytesMut) -> Result<Option<CallerMessage>, CodecError>;
     /// Appends the answer to a successful startup.
-    fn encode_welcome(&self, output: &mut BytesMut);
+    fn encode_startup_complete(&self, output: &mut BytesMut);
     /// Appends the complete answer to a statement.
     fn encode_answer(&self, output: &mut BytesMut, answer: &Answer, state: TransactionState);
     /// Appends an error after which the connection is closed.
-    fn encode_farewell(&self, output: &mut BytesMut, answer: &Answer);
+    fn encode_final_error(&self, output: &mut BytesMut, answer: &Answer);
 }
 
 /// The protocol spoken with back ends.
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -10,7 +10,7 @@
 use millwind_core::ids::TenantName;
 use millwind_core::lending::Supply;
 use millwind_core::quota::{
-    Admission, Allowance, Beginning, Budget, Loan, Quota, UNCOUNTED_PERCENT, lent_percent,
+    Admission, Allowance, Budget, InitialBudget, Loan, Quota, UNREACHED_LENDER_PERCENT, lendable_percent,
 };
 use millwind_wire::forward::ForwardedSubject;
 
@@ -61,7 +61,7 @@
     budgets: &Mutex<HashMap<TenantName, Budget>>,
     tenant: &TenantName,
     quota: Supply,
-    beginning: Beginning,
+    beginning: InitialBudget,
     wanted: u32,
 ) -> Loan {
     let now = clock::now();
@@ -114,9 +114,11 @@
                 Admission::Refused { retry_after_ms } => {
                     self.metrics.quota_refusals.inc();
                     let detail = format!("quota of {} a second is used up", quota.rate_per_s);
-                    return Err(Refusal::new(ErrorKind::QuotaExceeded, detail).after_ms(retry_after_ms));
+                    return Err(
+                        Refusal::new(ErrorKind::QuotaExceeded, detail).with_retry_after_ms(retry_after_ms)
+                    );
                 }
-                Admission::AskFirst => {}
+                Admission::LoanRequired => {}
             }
             let _waiting = borrower.wait();
             loan_answered.await;
@@ -161,7 +163,7 @@
     }
 
     async fn request_loan(&self, tenant: &TenantName, quota: Quota, wanted: u32) -> (Loan, Lender) {
-        for counter in self.registry.first_for(tenant.as_str(), COUNTING_NODES) {
+        for counter in self.registry.top_nodes_for(tenant.as_str(), COUNTING_NODES) {
             if counter.is_self {
                 if let Some(loan) = self.lend(tenant, wanted) {
                     return (loan, Lender::Own);
@@ -176,10 +178,10 @@
                 return (loan, Lender::Other);
             }
         }
-        let percent = f64::from(UNCOUNTED_PERCENT) / self.registry.count().max(1) as f64;
-        let part = quota.part(percent);
+        let percent = f64::from(UNREACHED_LENDER_PERCENT) / self.registry.count().max(1) as f64;
+        let part = quota.share(percent);
         (
-            lend(&self.quotas.uncounted, tenant, part, Beginning::Empty, wanted),
+            lend(&self.quotas.uncounted, tenant, part, InitialBudget::Empty, wanted),
             Lender::Nobody,
         )
     }
@@ -189,15 +191,15 @@
     /// loan covers only the share of the nodes on this side.
     pub(crate) fn lend(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let quota = self.tenant_quota(tenant)?;
-        let counters = self.registry.first_for(tenant.as_str(), COUNTING_NODES);
+        let counters = self.registry.top_nodes_for(tenant.as_str(), COUNTING_NODES);
         let rank = counters.iter().position(|counter| counter.is_self)?;
         let other = counters.iter().find(|counter| !counter.is_self);
-        let reach = self.peer_reach.known(other.map(|other| other.address));
-        let part = quota.part(f64::from(lent_percent(rank == 0, reach)));
+        let reach = self.peer_reach.reach(other.map(|other| other.address));
+        let part = quota.share(f64::from(lendable_percent(rank == 0, reach)));
         // The set of nodes is stable, so no other node has counted for the tenant.
         let beginning = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_AFTER_MS {
-            true => Beginning::Unspent,
-            false => Beginning::FirstLoan,
+            true => InitialBudget::Full,
+            false => InitialBudget::Reduced,
         };
         Some(lend(&self.quotas.budgets, tenant, part, beginning, wanted))
     }
--- a/crates/millwind-engine/src/region_terms.rs
+++ b/crates/millwind-engine/src/region_terms.rs
@@ -12,7 +12,7 @@
 impl Engine {
     /// Logs a warning for each region in the active configuration that has no zone, and
     /// one for all databases and tenants whose allowed regions do not overlap.
-    pub(crate) fn tell_of_regions(&self) {
+    pub(crate) fn warn_about_regions(&self) {
         let Some(config) = self.directory.config() else {
             return;
         };
@@ -51,7 +51,8 @@
     let tenants = config.tenants.iter().flat_map(|tenants| &tenants.allowed_regions);
     for (tenant, tenant_regions) in tenants {
         for (name, database) in &config.databases {
-            if database.allowed_regions.both(tenant_regions) != AllowedRegions::Only(BTreeSet::new()) {
+            if database.allowed_regions.intersection(tenant_regions) != AllowedRegions::Only(BTreeSet::new())
+            {
                 continue;
             }
             pairs += 1;
--- a/crates/millwind-engine/src/registration.rs
+++ b/crates/millwind-engine/src/registration.rs
@@ -114,7 +114,7 @@
             }
         } else if is_present && !engine.settings.promotion_fences {
             // Lead permits require data read after the registration.
-            engine.store_contact.note_regained();
+            engine.store_contact.request_reread();
         }
     }
 }
@@ -158,7 +158,7 @@
                 "event=node_registered name={name} revision={revision} departure={:?}",
                 record.departure
             );
-            registry.written(name, record, revision);
+            registry.record_written(name, record, revision);
             true
         }
         Ok(Swap::Conflict { current }) => {
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -9,7 +9,7 @@
 use millwind_core::data_residency::{AllowedRegions, Topology};
 use millwind_core::ids::{InstanceName, ZoneName};
 use millwind_core::lead_permit::PERMIT_MS;
-use millwind_core::owner_ranking::{Nearness, OwnerCandidate, OwnersSought, rank_owners};
+use millwind_core::owner_ranking::{OwnerCandidate, OwnerCounts, Proximity, rank_owners};
 use millwind_store::{Entry, Listing, StoreRevision};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, watch};
@@ -66,7 +66,7 @@
 
 /// Inputs for choosing the owners of an instance.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnedPlace<'a> {
+pub struct OwnerQuery<'a> {
     /// Instance whose owners are chosen.
     pub instance: &'a InstanceName,
     /// Zone of the instance.
@@ -79,11 +79,11 @@
 
 /// Nodes through which an instance is reached, in order of preference.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct OwnersOf {
+pub struct InstanceOwners {
     /// Nodes that own connections to the instance.
     pub owners: Vec<Owner>,
     /// Nodes that take over when no owner is reachable.
-    pub stand_ins: Vec<Owner>,
+    pub backup_owners: Vec<Owner>,
 }
 
 /// The local view of all registered nodes.
@@ -112,14 +112,14 @@
 
 fn owner_candidate(
     (weight, name, node): &WeightedNode<'_>,
-    query: &OwnedPlace<'_>,
+    query: &OwnerQuery<'_>,
     own: &str,
 ) -> OwnerCandidate {
     OwnerCandidate {
         weight: *weight,
-        nearness: Nearness::between(query.topology, query.zone, &node.zone),
+        nearness: Proximity::between(query.topology, query.zone, &node.zone),
         is_allowed: name.as_str() == own
-            || OwnerCandidate::is_carrier(query.regions, query.topology, &node.zone),
+            || OwnerCandidate::may_forward(query.regions, query.topology, &node.zone),
     }
 }
 
@@ -130,12 +130,12 @@
 /// that receive statements.
 fn owner_shortlist<'a>(
     nodes: &'a Nodes,
-    query: &OwnedPlace<'_>,
+    query: &OwnerQuery<'_>,
     own: &str,
-    sought: OwnersSought,
+    sought: OwnerCounts,
 ) -> Vec<WeightedNode<'a>> {
-    let count = sought.owners + sought.stand_ins;
-    let mut classes: BTreeMap<(Nearness, bool), Vec<WeightedNode<'a>>> = BTreeMap::new();
+    let count = sought.owners + sought.backup_owners;
+    let mut classes: BTreeMap<(Proximity, bool), Vec<WeightedNode<'a>>> = BTreeMap::new();
     for weighted in weighted_nodes(nodes, query.instance.as_str()) {
         let candidate = owner_candidate(&weighted, query, own);
         let class = (candidate.nearness, candidate.is_allowed);
@@ -200,7 +200,7 @@
 
     /// Applies a listing of this node's zone, which may be slightly out of date and does
     /// not cover other zones.
-    pub fn zone_learned(&self, listing: Listing) {
+    pub fn apply_zone_listing(&self, listing: Listing) {
         self.apply(listing.entries);
         self.is_zone_known.send_replace(true);
     }
@@ -225,7 +225,7 @@
 
     /// Returns the owners of an instance and their stand-ins, chosen by rendezvous
     /// hashing among the nearest nodes.
-    pub fn owners(&self, query: &OwnedPlace<'_>, sought: OwnersSought) -> OwnersOf {
+    pub fn owners(&self, query: &OwnerQuery<'_>, sought: OwnerCounts) -> InstanceOwners {
         let nodes = self.nodes();
         self.weights_computed
             .fetch_add(nodes.hashes().len() as u64, Ordering::Relaxed);
@@ -237,9 +237,9 @@
             let chosen = indices.into_iter().map(|index| &weighted[index]);
             chosen.map(|weighted| self.owner(weighted)).collect()
         };
-        OwnersOf {
+        InstanceOwners {
             owners: pick(ranked.owners),
-            stand_ins: pick(ranked.stand_ins),
+            backup_owners: pick(ranked.backup_owners),
         }
     }
 
@@ -280,7 +280,7 @@
 
     /// Returns the number of rendezvous weights computed so far, a measure of the cost of
     /// choosing owners and watchers.
-    pub fn nodes_weighed(&self) -> u64 {
+    pub fn weights_computed(&self) -> u64 {
         self.weights_computed.load(Ordering::Relaxed)
     }
 
@@ -294,7 +294,7 @@
 
     /// Returns the first `count` nodes for `key` by rendezvous hashing, regardless of
     /// zone.
-    pub fn first_for(&self, key: &str, count: usize) -> Vec<Owner> {
+    pub fn top_nodes_for(&self, key: &str, count: usize) -> Vec<Owner> {
         let nodes = self.nodes();
         let chosen = heaviest(weighted_nodes(&nodes, key).collect(), count);
         chosen.iter().map(|weighted| self.owner(weighted)).collect()
@@ -416,7 +416,7 @@
     }
 
     /// Applies a record that was written to the store at `revision`.
-    pub fn written(&self, name: &str, record: NodeRecord, revision: StoreRevision) {
+    pub fn record_written(&self, name: &str, record: NodeRecord, revision: StoreRevision) {
         if self.insert_if_newer(&mut self.nodes(), name, record, revision) {
             self.changed();
         }
@@ -428,7 +428,7 @@
     /// Returns the addresses of the other nodes that may hold lead permits: all
     /// registered nodes except those that announced a planned stop or were marked
     /// unreachable at least [`PERMIT_MS`] ago.
-    pub fn permit_holders(&self) -> Vec<SocketAddr> {
+    pub fn possible_permit_holders(&self) -> Vec<SocketAddr> {
         let now = clock::now();
         let nodes = self.nodes();
         let others = nodes.by_name.iter().filter(|(name, _)| **name != self.node);
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -8,14 +8,14 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::catalog_freshness::CatalogFreshness;
-use millwind_core::catalog_relay::{CatalogState, RelayTimes, relays_of_zone};
+use millwind_core::catalog_relay::{CatalogState, RelayTimes, relay_count};
 use tokio::sync::watch;
 
 use crate::clock;
 use crate::directory::Directory;
 use crate::node::Engine;
 use crate::registry::Registry;
-use crate::store_watch::StoreReading;
+use crate::store_watch::CatalogSource;
 
 /// Maximum time for which instance records are polled at the urgent interval while a
 /// group's leader is missing, in milliseconds. It covers the time in which instances
@@ -58,7 +58,7 @@
     zones: usize,
     times: RelayTimes,
     state: Mutex<State>,
-    reading: watch::Sender<StoreReading>,
+    reading: watch::Sender<CatalogSource>,
 }
 
 impl Relays {
@@ -68,9 +68,9 @@
         Relays {
             zone: zone.to_owned(),
             zones: zones.max(1),
-            times: RelayTimes::within(config_bound_ms),
+            times: RelayTimes::for_config_bound(config_bound_ms),
             state: Mutex::new(State::default()),
-            reading: watch::Sender::new(StoreReading::Undecided),
+            reading: watch::Sender::new(CatalogSource::Undecided),
         }
     }
 
@@ -84,17 +84,17 @@
     }
 
     /// Returns a receiver of where this node reads the catalog from.
-    pub fn reading(&self) -> watch::Receiver<StoreReading> {
+    pub fn reading(&self) -> watch::Receiver<CatalogSource> {
         self.reading.subscribe()
     }
 
     /// Returns whether this node reads the store now.
     pub fn is_reading_store(&self) -> bool {
-        *self.reading.borrow() != StoreReading::LeftToRelays
+        *self.reading.borrow() != CatalogSource::Relays
     }
 
     /// Records that another node asked this one as a relay.
-    pub fn asked_as_relay(&self) {
+    pub fn record_relay_request(&self) {
         self.state().asked_at = Some(clock::now());
     }
 
@@ -110,23 +110,26 @@
     }
 
     /// Records that the configuration is no longer watched.
-    pub fn configuration_unwatched(&self) {
-        self.state().freshness.configuration_unwatched();
+    pub fn configuration_watch_ended(&self) {
+        self.state().freshness.configuration_watch_ended();
     }
 
     /// Records that a peer knew the catalog as of `heard`. Returns whether this ends a
     /// gap so long that the store must have been down.
-    pub fn told(&self, heard: Instant) -> bool {
+    pub fn record_peer_freshness(&self, heard: Instant) -> bool {
         let mut state = self.state();
-        let silence_ms = state.freshness.as_of().map(|last| heard.millis_since(last));
-        state.freshness.told(heard);
-        silence_ms.is_some_and(|silence| silence >= self.times.fresh_ms)
+        let silence_ms = state
+            .freshness
+            .current_as_of()
+            .map(|last| heard.millis_since(last));
+        state.freshness.received_from_peer(heard);
+        silence_ms.is_some_and(|silence| silence >= self.times.max_fresh_age_ms)
     }
 
     /// Returns the age of the known catalog in milliseconds, or `None` if the
     /// configuration or the instances were never received.
     pub fn store_age_ms(&self) -> Option<u64> {
-        let heard = self.state().freshness.as_of()?;
+        let heard = self.state().freshness.current_as_of()?;
         Some(clock::now().millis_since(heard))
     }
 
@@ -137,7 +140,7 @@
 
     /// Stops asking a relay briefly, because it may be starting too. Used by nodes that
     /// do not know enough to serve.
-    pub fn avoid_at_start(&self, relay: SocketAddr) {
+    pub fn avoid_briefly(&self, relay: SocketAddr) {
         self.avoid_for(relay, STARTUP_AVOID_MS);
     }
 
@@ -153,9 +156,9 @@
     /// A relay with old data is avoided if this node has fresh data. If neither has fresh
     /// data, the store is down, and asking other nodes as relays would only add load when
     /// it recovers.
-    pub fn told_by_relay(&self, relay: SocketAddr, store_age_ms: Option<u64>) {
+    pub fn record_relay_answer(&self, relay: SocketAddr, store_age_ms: Option<u64>) {
         self.state().relay_answered_at = Some(clock::now());
-        let is_old = |age: Option<u64>| age.is_none_or(|age| age >= self.times.fresh_ms);
+        let is_old = |age: Option<u64>| age.is_none_or(|age| age >= self.times.max_fresh_age_ms);
         if !is_old(store_age_ms) || is_old(self.store_age_ms()) {
             return;
         }
@@ -186,12 +189,12 @@
             true => registry.count(),
             false => zone_nodes * self.zones,
         };
-        relays_of_zone(zone_nodes, all_nodes)
+        relay_count(zone_nodes, all_nodes)
     }
 
     /// Returns the relays to ask: the highest-ranked nodes of the zone that are not
     /// avoided. Empty if the deployment has no relays.
-    pub fn to_ask(&self, registry: &Registry) -> Vec<SocketAddr> {
+    pub fn relays_to_ask(&self, registry: &Registry) -> Vec<SocketAddr> {
         let Some(count) = self.relay_count(registry) else {
             return Vec::new();
         };
@@ -205,7 +208,7 @@
 
     /// Returns whether instance records are needed urgently: a leader has been missing
     /// from them for a short time.
-    pub fn are_news_urgent(&self, directory: &Directory) -> bool {
+    pub fn is_polling_urgent(&self, directory: &Directory) -> bool {
         let is_missing = !directory.knows_claimed_leaders();
         let mut state = self.state();
         if !is_missing {
@@ -219,7 +222,7 @@
 
     /// Waits for relays again after a store outage, as at startup, since they recover at
     /// the same time as this node.
-    pub fn store_answers(&self, engine: &Engine) {
+    pub fn wait_for_relays(&self, engine: &Engine) {
         let now = clock::now();
         {
             let mut state = self.state();
@@ -232,12 +235,12 @@
             state.relay_wait_began = Some(now);
             state.relays_known_since = Some(now);
         }
-        self.judge(engine);
+        self.reconsider_source(engine);
     }
 
     /// Decides again whether this node must read the store. Does nothing until the zone's
     /// nodes are known.
-    pub fn judge(&self, engine: &Engine) {
+    pub fn reconsider_source(&self, engine: &Engine) {
         if !engine.registry.is_zone_known() {
             return;
         }
@@ -245,26 +248,26 @@
         let (known_since, asked, heard, relay_answered) = {
             let mut state = self.state();
             let known_since = *state.relays_known_since.get_or_insert_with(clock::now);
-            let heard = state.freshness.as_of();
+            let heard = state.freshness.current_as_of();
             (known_since, state.asked_at, heard, state.relay_answered_at)
         };
         let catalog = CatalogState {
             is_relay,
-            asked,
+            contacted_as_relay_at: asked,
             is_complete: engine.directory.is_complete(),
-            known_since,
-            heard,
+            members_known_since: known_since,
+            matched_store_at: heard,
             relay_answered,
         };
-        let must_read = catalog.must_read(clock::now(), &self.times);
+        let must_read = catalog.must_read_store(clock::now(), &self.times);
         let reading = match must_read {
-            true => StoreReading::Reading,
-            false => StoreReading::LeftToRelays,
+            true => CatalogSource::Store,
+            false => CatalogSource::Relays,
         };
         let before = *self.reading.borrow();
-        if before == StoreReading::LeftToRelays && must_read {
+        if before == CatalogSource::Relays && must_read {
             // Lets a single call probe the store while the other followers wait.
-            engine.store_contact.note_lost();
+            engine.store_contact.mark_lost();
         }
         if before != reading {
             self.reading.send_replace(reading);
@@ -279,5 +282,5 @@
 /// Decides whether this node reads the store as soon as the nodes of its zone are known.
 pub async fn decide_source_at_start(engine: Arc<Engine>) {
     engine.registry.await_zone_known().await;
-    engine.relays.judge(&engine);
+    engine.relays.reconsider_source(&engine);
 }
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -11,8 +11,8 @@
 use crate::backend::LinkError;
 use crate::backend::PooledConnection;
 use crate::catalog::InstanceRecord;
-use crate::execution::{self, AttemptError, Wanted};
-use crate::floor::ReadFloor;
+use crate::execution::{self, AttemptError, ConnectionRequest};
+use crate::floor::MinimumReadPosition;
 use crate::forward::{Lease, Route};
 use crate::node::Engine;
 use crate::statement::{Envelope, Reply, TransactionState};
@@ -72,12 +72,12 @@
     session: &SessionState,
 ) -> Result<SessionConnection, AttemptError> {
     let priority = operation.database.priority;
-    let aim = operation.aim();
+    let target_time = operation.target_time();
     let connected = match engine.route(record, &operation.user, &operation.regions).await {
         Route::Own => {
-            let wanted = Wanted {
+            let wanted = ConnectionRequest {
                 priority,
-                aim,
+                target_time,
                 user: &operation.user,
                 session,
                 needed: operation.needed(),
@@ -88,7 +88,7 @@
         }
         Route::Through(link) => {
             engine.metrics.forwarded_out.inc();
-            let lease = Lease::new(link, record.clone(), &operation.user, priority, aim);
+            let lease = Lease::new(link, record.clone(), &operation.user, priority, target_time);
             Ok(SessionConnection::Leased(Box::new(lease)))
         }
         Route::Unreachable => Err(AttemptError::Link(LinkError::OwnerUnreachable)),
@@ -105,7 +105,7 @@
     operation: &Operation,
     session: &SessionState,
     read_only: bool,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 ) -> Result<SessionConnection, AttemptError> {
     let mut connection = connect(engine, record, operation, session).await?;
     match &mut connection {
@@ -128,8 +128,8 @@
     connection: &mut SessionConnection,
     operation: &Operation,
     session: &SessionState,
-    floor: ReadFloor,
-    proves_leader: bool,
+    floor: MinimumReadPosition,
+    confirms_leader: bool,
 ) -> Result<Reply, AttemptError> {
     let deadline = operation.deadline;
     let mut envelope = Envelope {
@@ -141,13 +141,13 @@
         SessionConnection::Leased(lease) => {
             lease.requires(floor);
             lease
-                .run(engine, session, &envelope, proves_leader, deadline)
+                .run(engine, session, &envelope, confirms_leader, deadline)
                 .await
         }
         SessionConnection::Own(own) => {
             let since = floor.resolve(engine, operation.group(), deadline).await;
             envelope.since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
-            execution::run(engine, own, session, &envelope, proves_leader, deadline).await
+            execution::run(engine, own, session, &envelope, confirms_leader, deadline).await
         }
     };
     let outcome = result.as_ref().map_or_else(AttemptError::name, |_| "ok");
--- a/crates/millwind-engine/src/session/caller.rs
+++ b/crates/millwind-engine/src/session/caller.rs
@@ -125,7 +125,7 @@
         .tenant()
         .and_then(|tenant| tenants?.allowed_regions.get(tenant));
     match of_tenant {
-        Some(of_tenant) => database.allowed_regions.both(of_tenant),
+        Some(of_tenant) => database.allowed_regions.intersection(of_tenant),
         None => database.allowed_regions.clone(),
     }
 }
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -18,7 +18,7 @@
 use millwind_core::data_residency::AllowedRegions;
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{DatabaseName, GroupName, ZoneName};
-use millwind_core::lead_relocation::worth_of;
+use millwind_core::lead_relocation::statement_weight;
 use millwind_core::position::Position;
 use millwind_core::session_state::{Access, PreparedStatement, SessionState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -110,7 +110,7 @@
     }
 
     /// When the caller should have the answer.
-    fn aim(&self) -> Instant {
+    fn target_time(&self) -> Instant {
         let target_ms = self.database.target_latency_ms;
         self.arrived
             .plus_millis(target_ms.saturating_sub(ANSWER_MARGIN_MS))
@@ -123,7 +123,7 @@
     /// Tells that the operation needs its group's leader.
     fn needs_leader(&self, engine: &Engine) {
         if engine.leader_demands.is_counted() {
-            let worth = worth_of(self.database.priority);
+            let worth = statement_weight(self.database.priority);
             engine.leader_demands.note(self.group(), &self.regions, worth);
         }
         engine.directory.used(self.group(), None);
@@ -166,7 +166,7 @@
         let mut output = BytesMut::new();
         let accepted = self.terms_in_force();
         match &accepted {
-            Ok(_) => self.engine.caller_codec.encode_welcome(&mut output),
+            Ok(_) => self.engine.caller_codec.encode_startup_complete(&mut output),
             Err(refusal) => {
                 info!(
                     "event=session_refused database={} kind={} config_version={}",
@@ -175,7 +175,7 @@
                     self.engine.config_version()
                 );
                 let answer = Err(Failure::Refused(refusal.clone()));
-                self.engine.caller_codec.encode_farewell(&mut output, &answer);
+                self.engine.caller_codec.encode_final_error(&mut output, &answer);
             }
         }
         self.stream.write_all(&output).await.is_ok() && accepted.is_ok()
@@ -461,7 +461,7 @@
 /// one.
 async fn closed_by_evacuation(engine: &Engine, zone: Option<&ZoneName>) {
     match zone {
-        Some(zone) => engine.closed_by_evacuation(zone).await,
+        Some(zone) => engine.wait_until_zone_closed(zone).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 use futures::stream::FuturesUnordered;
 use millwind_core::data_residency::AllowedRegions;
-use millwind_core::eligibility::Ineligible;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{GroupName, InstanceName};
 use millwind_core::selection::{ReadCandidate, order_by_expected_time};
@@ -23,7 +23,7 @@
 use crate::clock;
 use crate::eligibility::InstanceUse;
 use crate::execution::AttemptError;
-use crate::floor::{ReadFloor, StalenessTerms};
+use crate::floor::{MinimumReadPosition, StalenessBound};
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Reply};
 
@@ -80,7 +80,7 @@
             operation,
             &self.state,
             false,
-            ReadFloor::Any,
+            MinimumReadPosition::Any,
         )
         .await?;
         attempt::run(
@@ -88,7 +88,7 @@
             &mut connection,
             operation,
             &self.state,
-            ReadFloor::Any,
+            MinimumReadPosition::Any,
             true,
         )
         .await
@@ -115,12 +115,12 @@
 
     /// What a read of this operation must see: the least position that proves
     /// it safe, or the terms from which the owner that runs it works that out.
-    pub(super) async fn floor_for(&self, operation: &Operation) -> Result<ReadFloor, Refusal> {
+    pub(super) async fn floor_for(&self, operation: &Operation) -> Result<MinimumReadPosition, Refusal> {
         let written = match operation.database.consistency {
             Consistency::BoundedStaleness => None,
             _ => self.written_in(operation.group()),
         };
-        let terms = StalenessTerms {
+        let terms = StalenessBound {
             arrived: operation.arrived,
             staleness_ms: operation.database.settings.staleness_ms,
             written,
@@ -128,7 +128,7 @@
         let mut position = terms.known_position(&self.engine, operation.group());
         if position.is_none() {
             if !self.engine.watches(operation.group()) {
-                return Ok(ReadFloor::Staleness(terms));
+                return Ok(MinimumReadPosition::Staleness(terms));
             }
             position = terms
                 .await_position(&self.engine, operation.group(), operation.deadline)
@@ -137,7 +137,7 @@
         let position =
             position.ok_or_else(|| Refusal::new(ErrorKind::NoPrimary, "no recent position of a leader"))?;
         operation.trail.needs(position);
-        Ok(ReadFloor::Position(position))
+        Ok(MinimumReadPosition::Position(position))
     }
 }
 
@@ -151,10 +151,11 @@
     overloads: &mut Overloads,
 ) -> Result<(), Failure> {
     let has_run = matches!(&error, AttemptError::BackEnd(error)
-        if !error.kind.is_not_run());
-    let is_in_vain = engine.is_in_vain(&error, operation.group(), &operation.regions);
-    let is_in_vain = is_in_vain || overloads.is_enough(&error);
-    if has_run || clock::now() >= operation.deadline || is_in_vain {
+        if !error.kind.has_not_run());
+    let is_permanently_ineligible =
+        engine.is_permanently_ineligible(&error, operation.group(), &operation.regions);
+    let is_permanently_ineligible = is_permanently_ineligible || overloads.is_enough(&error);
+    if has_run || clock::now() >= operation.deadline || is_permanently_ineligible {
         return Err(read_failure(error));
     }
     pause_after(&error).await;
@@ -168,10 +169,10 @@
     match error {
         AttemptError::Link(error) => {
             let kind = match error {
-                LinkError::Silent => ErrorKind::WindowTooShort,
+                LinkError::Silent => ErrorKind::DeadlineTooShort,
                 _ => error.kind(),
             };
-            Refusal::of_link(kind, error).into()
+            Refusal::from_link_error(kind, error).into()
         }
         AttemptError::BackEnd(error) => Failure::BackEnd(error),
     }
@@ -183,7 +184,7 @@
     engine: &Engine,
     group: &GroupName,
     regions: &AllowedRegions,
-) -> Result<Vec<Arc<InstanceRecord>>, Ineligible> {
+) -> Result<Vec<Arc<InstanceRecord>>, IneligibleReason> {
     let now = clock::now();
     let leader = engine.directory.leader(group);
     let mut known = engine.directory.instances_of(group);
@@ -201,9 +202,9 @@
         .map(|known| ReadCandidate {
             instance: known.record.name.clone(),
             latency_us: known.contact.latency_us,
-            outstanding: known.contact.statements.under_way(),
+            outstanding: known.contact.statements.in_flight(),
             slots: known.record.slots,
-            is_near: known.record.zone.as_str() == engine.settings.zone,
+            is_same_zone: known.record.zone.as_str() == engine.settings.zone,
             is_leader: leader
                 .as_ref()
                 .is_some_and(|leader| leader.instance == known.record.name),
@@ -230,7 +231,7 @@
     engine: &Arc<Engine>,
     session: &Arc<SessionState>,
     operation: &Arc<Operation>,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 ) -> Result<Reply, AttemptError> {
     let order = read_order(engine, operation.group(), &operation.regions);
     let mut order = order.map_err(ineligible)?.into_iter();
@@ -255,7 +256,7 @@
                     return Ok(reply);
                 }
                 Some(Err(error)) => {
-                    let is_final = matches!(&error, AttemptError::BackEnd(error) if !error.kind.is_not_run());
+                    let is_final = matches!(&error, AttemptError::BackEnd(error) if !error.kind.has_not_run());
                     if is_final {
                         finish_in_background(running);
                         return Err(error);
@@ -278,8 +279,8 @@
     }
 }
 
-fn ineligible(reason: Ineligible) -> AttemptError {
-    AttemptError::Link(LinkError::Ineligible(reason))
+fn ineligible(reason: IneligibleReason) -> AttemptError {
+    AttemptError::Link(LinkError::IneligibleReason(reason))
 }
 
 /// How long a read waits for an answer before another owner is tried, which may
@@ -313,7 +314,7 @@
     session: &Arc<SessionState>,
     operation: &Arc<Operation>,
     record: Arc<InstanceRecord>,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 ) -> Attempt {
     let engine = engine.clone();
     let session = session.clone();
@@ -329,7 +330,7 @@
     engine: &Arc<Engine>,
     session: &SessionState,
     operation: &Operation,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 ) -> Result<SessionConnection, AttemptError> {
     let mut last = AttemptError::Link(LinkError::NoConnection);
     let order = read_order(engine, operation.group(), &operation.regions);
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -17,7 +17,7 @@
 use crate::catalog::{Consistency, Database, InstanceRecord};
 use crate::clock;
 use crate::execution::AttemptError;
-use crate::floor::ReadFloor;
+use crate::floor::MinimumReadPosition;
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Reply, Request, Statement, TransactionState};
 
@@ -186,10 +186,11 @@
                 Err(FirstError::Attempt(error)) => error,
             };
             open.connection = None;
-            let has_run = matches!(&error, AttemptError::BackEnd(error) if !error.kind.is_not_run());
-            let is_in_vain = engine.is_in_vain(&error, operation.group(), &operation.regions);
-            let is_in_vain = is_in_vain || overloads.is_enough(&error);
-            if has_run || clock::now() >= operation.deadline || is_in_vain {
+            let has_run = matches!(&error, AttemptError::BackEnd(error) if !error.kind.has_not_run());
+            let is_permanently_ineligible =
+                engine.is_permanently_ineligible(&error, operation.group(), &operation.regions);
+            let is_permanently_ineligible = is_permanently_ineligible || overloads.is_enough(&error);
+            if has_run || clock::now() >= operation.deadline || is_permanently_ineligible {
                 return Err(failure_in_transaction(error));
             }
             pause_after(&error).await;
@@ -206,7 +207,15 @@
         let is_on_leader = open.is_on_leader();
         let mut connection = if is_on_leader {
             let record = usable_leader(&engine, operation).await?;
-            attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await?
+            attempt::begin(
+                &engine,
+                &record,
+                operation,
+                &state,
+                false,
+                MinimumReadPosition::Any,
+            )
+            .await?
         } else {
             let floor = self.floor_for(operation).await?;
             begin_at_floor(&engine, &state, operation, floor).await?
@@ -216,7 +225,7 @@
             &mut connection,
             operation,
             &state,
-            ReadFloor::Any,
+            MinimumReadPosition::Any,
             is_on_leader,
         )
         .await?;
@@ -280,11 +289,11 @@
     ) -> Result<Reply, AttemptError> {
         let engine = self.engine.clone();
         let state = self.state.clone();
-        let proves_leader = open.has_written;
+        let confirms_leader = open.has_written;
         let Some(connection) = &mut open.connection else {
             return Err(AttemptError::Link(LinkError::Retired));
         };
-        run_while_busy(&engine, connection, operation, &state, proves_leader).await
+        run_while_busy(&engine, connection, operation, &state, confirms_leader).await
     }
 
     /// A commit without statements still needs an instance's signature.
@@ -294,13 +303,29 @@
         let state = self.state.clone();
         let mut connection = if open.is_on_leader() {
             let record = usable_leader(&engine, operation).await?;
-            attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await
+            attempt::begin(
+                &engine,
+                &record,
+                operation,
+                &state,
+                false,
+                MinimumReadPosition::Any,
+            )
+            .await
         } else {
             let floor = self.floor_for(operation).await?;
             begin_at_floor(&engine, &state, operation, floor).await
         }
         .map_err(failure_in_transaction)?;
-        let reply = attempt::run(&engine, &mut connection, operation, &state, ReadFloor::Any, false).await;
+        let reply = attempt::run(
+            &engine,
+            &mut connection,
+            operation,
+            &state,
+            MinimumReadPosition::Any,
+            false,
+        )
+        .await;
         attempt::success(reply.map_err(failure_in_transaction)?)
     }
 }
@@ -312,7 +337,7 @@
     connection: &mut SessionConnection,
     operation: &Operation,
     state: &SessionState,
-    proves_leader: bool,
+    confirms_leader: bool,
 ) -> Result<Reply, AttemptError> {
     loop {
         let error = match attempt::run(
@@ -320,8 +345,8 @@
             connection,
             operation,
             state,
-            ReadFloor::Any,
-            proves_leader,
+            MinimumReadPosition::Any,
+            confirms_leader,
         )
         .await
         {
@@ -373,7 +398,7 @@
 /// Before its commit was sent, a transaction that lost its connection is
 /// rolled back by the instance.
 fn failure_in_transaction(error: AttemptError) -> Failure {
-    if error.is_not_run() {
+    if error.has_not_run() {
         return error.into_failure();
     }
     match error {
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use millwind_core::eligibility::Ineligible;
+use millwind_core::eligibility::IneligibleReason;
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{GroupName, RegionName};
 
@@ -16,7 +16,7 @@
 use crate::directory::Known;
 use crate::eligibility::InstanceUse;
 use crate::execution::AttemptError;
-use crate::floor::ReadFloor;
+use crate::floor::MinimumReadPosition;
 use crate::node::Engine;
 use crate::peers;
 use crate::statement::BackEndErrorKind;
@@ -49,7 +49,7 @@
                     let refusal = Refusal::new(ErrorKind::OutcomeUnknown, error);
                     return Err(refusal.into());
                 }
-                AttemptError::BackEnd(error) if !error.kind.is_not_run() => {
+                AttemptError::BackEnd(error) if !error.kind.has_not_run() => {
                     return Err(Failure::BackEnd(error));
                 }
                 error if clock::now() >= operation.deadline || overloads.is_enough(&error) => {
@@ -68,7 +68,15 @@
         let engine = self.engine.clone();
         let state = self.state.clone();
         let mut connection = attempt::connect(&engine, record, operation, &state).await?;
-        let reply = attempt::run(&engine, &mut connection, operation, &state, ReadFloor::Any, true).await?;
+        let reply = attempt::run(
+            &engine,
+            &mut connection,
+            operation,
+            &state,
+            MinimumReadPosition::Any,
+            true,
+        )
+        .await?;
         drop(connection);
         self.note_written(operation.group(), reply.position);
         Ok(attempt::success(reply))
@@ -92,9 +100,9 @@
             Some(known) if is_usable(engine, &known, watches) => {
                 match engine.judge_instance(&known, InstanceUse::Leader, &operation.regions) {
                     Ok(()) => return Ok(known.record),
-                    Err(Ineligible::Leaving) => format!("leader {} will end", known.record.name),
-                    Err(Ineligible::ZoneEvacuated)
-                        if engine.has_instance_elsewhere(group, &operation.regions) =>
+                    Err(IneligibleReason::Leaving) => format!("leader {} will end", known.record.name),
+                    Err(IneligibleReason::ZoneEvacuated)
+                        if engine.has_eligible_instance(group, &operation.regions) =>
                     {
                         is_handed_over = true;
                         let record = &known.record;
@@ -149,7 +157,12 @@
     is_reached && may_lead
 }
 
-fn unusable_leader(engine: &Engine, known: &Known, reason: Ineligible, operation: &Operation) -> Refusal {
+fn unusable_leader(
+    engine: &Engine,
+    known: &Known,
+    reason: IneligibleReason,
+    operation: &Operation,
+) -> Refusal {
     let detail = format!(
         "leader {} in zone {}, region {}: {}, allowed regions: {}",
         known.record.name,
@@ -158,7 +171,7 @@
         reason.name(),
         operation.regions
     );
-    Refusal::new(LinkError::Ineligible(reason).kind(), detail)
+    Refusal::new(LinkError::IneligibleReason(reason).kind(), detail)
 }
 
 /// A busy or changing instance is asked again after a moment.
--- a/crates/millwind-engine/src/statement.rs
+++ b/crates/millwind-engine/src/statement.rs
@@ -181,7 +181,7 @@
 
 impl BackEndErrorKind {
     /// Returns whether the statement was certainly not run.
-    pub const fn is_not_run(self) -> bool {
+    pub const fn has_not_run(self) -> bool {
         !matches!(
             self,
             BackEndErrorKind::Failed | BackEndErrorKind::TimedOut | BackEndErrorKind::Other
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -37,20 +37,20 @@
 /// the store itself. The store may refuse the sentinel's calls alone.
 const SENTINEL_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// Maximum delay between two retries.
-pub const MOST_PAUSE: Duration = Duration::from_millis(1_500);
+pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 /// Maximum delay between two retries on a node that relays inform when the store has
 /// recovered.
-pub const MOST_PAUSE_BEHIND_RELAYS: Duration = Duration::from_millis(5_000);
+pub const MAX_RETRY_DELAY_BEHIND_RELAYS: Duration = Duration::from_millis(5_000);
 
 /// Where this node reads the catalog from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreReading {
+pub enum CatalogSource {
     /// Not decided yet: the node lists the catalog but does not watch it.
     Undecided,
     /// The node reads the store.
-    Reading,
+    Store,
     /// The node receives the catalog from relays.
-    LeftToRelays,
+    Relays,
 }
 
 /// Connectivity of the store, shared by all followers of a node. The sentinel, whose keys
@@ -66,13 +66,13 @@
 
 impl StoreContact {
     /// Records that the store does not answer, or may not answer.
-    pub fn note_lost(&self) {
+    pub fn mark_lost(&self) {
         self.is_lost.send_replace(true);
     }
 
     /// Makes all followers read again after an outage or when fresh data is needed, since
     /// a watch may have been lost without an error.
-    pub fn note_regained(&self) {
+    pub fn request_reread(&self) {
         self.regained.send_modify(|count| *count += 1);
         // Wakes followers after the counter has changed, so that each of them reads only
         // once.
@@ -117,7 +117,7 @@
     /// are being watched.
     fn complete(&self, _asked: Instant) {}
     /// Called when changes are no longer watched.
-    fn unwatched(&self) {}
+    fn watch_stopped(&self) {}
     /// Returns whether the keys change often enough to detect an outage on behalf of all
     /// followers.
     fn is_sentinel(&self) -> bool {
@@ -125,12 +125,12 @@
     }
     /// Returns a receiver of where the node reads the prefix from, or `None` if it always
     /// reads the store.
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         None
     }
     /// Returns the maximum delay between two retries while the store does not answer.
-    fn most_pause(&self) -> Duration {
-        MOST_PAUSE
+    fn max_retry_delay(&self) -> Duration {
+        MAX_RETRY_DELAY
     }
     /// Waits between two watch responses, so that changes arrive in batches.
     fn rest(&self) -> BoxFuture<'_, ()> {
@@ -181,7 +181,7 @@
         let delay = self.retry_delay;
         // A node without data cannot serve callers, so it keeps the shortest delay.
         if self.has_read {
-            self.retry_delay = (delay * 2).min(follower.most_pause());
+            self.retry_delay = (delay * 2).min(follower.max_retry_delay());
             self.listing_timeout = USUAL_SILENCE;
         } else {
             self.listing_timeout = (self.listing_timeout * 2).min(USUAL_SILENCE);
@@ -194,7 +194,7 @@
         self.has_read = true;
         let was_lost = end_outage(follower, &mut self.outage_since);
         if follower.is_sentinel() && (was_lost || contact.is_lost()) {
-            contact.note_regained();
+            contact.request_reread();
         }
     }
 }
@@ -210,7 +210,7 @@
     let mut state = FollowState::new();
     let mut reads = follower.reads();
     loop {
-        follower.unwatched();
+        follower.watch_stopped();
         if wait_while_relayed(&mut reads).await {
             state.mark_relayed();
         }
@@ -237,11 +237,11 @@
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
-        follower.unwatched();
+        follower.watch_stopped();
         let Err(error) = outcome else { continue };
         let delay = state.record_failure(&*follower, &error);
         if follower.is_sentinel() {
-            contact.note_lost();
+            contact.mark_lost();
         }
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
@@ -252,27 +252,27 @@
 }
 
 /// Waits while relays deliver the prefix. Returns whether they did when called.
-async fn wait_while_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) -> bool {
+async fn wait_while_relayed(reads: &mut Option<watch::Receiver<CatalogSource>>) -> bool {
     let Some(reads) = reads else { return false };
-    let was_relayed = *reads.borrow_and_update() == StoreReading::LeftToRelays;
+    let was_relayed = *reads.borrow_and_update() == CatalogSource::Relays;
     // The sender lives as long as the node.
-    let _ = reads.wait_for(|reads| *reads != StoreReading::LeftToRelays).await;
+    let _ = reads.wait_for(|reads| *reads != CatalogSource::Relays).await;
     was_relayed
 }
 
 /// Waits until relays deliver the prefix.
-async fn wait_until_relayed(reads: &mut Option<watch::Receiver<StoreReading>>) {
+async fn wait_until_relayed(reads: &mut Option<watch::Receiver<CatalogSource>>) {
     let Some(reads) = reads else {
         return std::future::pending().await;
     };
     // The sender lives as long as the node.
-    let _ = reads.wait_for(|reads| *reads == StoreReading::LeftToRelays).await;
+    let _ = reads.wait_for(|reads| *reads == CatalogSource::Relays).await;
 }
 
 /// Returns whether relays deliver the prefix.
 fn is_relayed(follower: &dyn Follower) -> bool {
     let reads = follower.reads();
-    reads.is_some_and(|reads| *reads.borrow() == StoreReading::LeftToRelays)
+    reads.is_some_and(|reads| *reads.borrow() == CatalogSource::Relays)
 }
 
 /// Waits for a limited time for the decision where this node reads the catalog from.
@@ -281,7 +281,7 @@
     let Some(mut reads) = follower.reads() else {
         return false;
     };
-    let decided = reads.wait_for(|reads| *reads != StoreReading::Undecided);
+    let decided = reads.wait_for(|reads| *reads != CatalogSource::Undecided);
     // After the timeout the node reads the store, whatever is decided later.
     let _ = tokio::time::timeout(SOURCE_DECISION_TIMEOUT, decided).await;
     is_relayed(follower)
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -8,7 +8,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::lead_permit::SETTLE_MS;
+use millwind_core::lead_permit::DRAIN_MS;
 use millwind_core::position::Term;
 use millwind_core::session_state::SessionState;
 use millwind_wire::exchange::TermClosing;
@@ -29,8 +29,8 @@
 
 /// Hands back this node's permit for a closed term. Returns whether the old leader has
 /// confirmed to this node that it stepped down.
-pub async fn hand_back(engine: &Arc<Engine>, closing: &TermClosing) -> bool {
-    engine.own_keys.told(closing.record.clone());
+pub async fn return_permit(engine: &Arc<Engine>, closing: &TermClosing) -> bool {
+    engine.own_keys.apply_document(closing.record.clone());
     let group = GroupName::from(closing.group.as_str());
     let term = Term(closing.term);
     let leader = engine
@@ -75,7 +75,7 @@
 
 /// Waits until no connection to the old leader is in use, for at most [`SETTLE_MS`].
 async fn wait_for_connections(engine: &Engine, record: &InstanceRecord) {
-    let limit = clock::now().plus_millis(SETTLE_MS);
+    let limit = clock::now().plus_millis(DRAIN_MS);
     while engine.pool(record).connections_in_use() > 0 && clock::now() < limit {
         tokio::time::sleep(SETTLE_POLL_INTERVAL).await;
     }
@@ -110,13 +110,13 @@
     record: &InstanceRecord,
     command: Command<'static>,
 ) -> Option<InstanceStatus> {
-    let (status, _) = ask_status_over(engine, record, command).await?;
+    let (status, _) = ask_status_with_connection(engine, record, command).await?;
     Some(status)
 }
 
 /// Like [`ask_status`], but also returns the connection. While that connection stays
 /// open, the instance has not restarted.
-pub async fn ask_status_over(
+pub async fn ask_status_with_connection(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
     command: Command<'static>,
--- a/crates/millwind-engine/src/watch_list.rs
+++ b/crates/millwind-engine/src/watch_list.rs
@@ -51,7 +51,7 @@
     }
 
     fn update(&mut self, engine: &Engine, changed: HashSet<GroupName>) {
-        engine.metrics.groups_judged.inc_by(changed.len() as u64);
+        engine.metrics.groups_evaluated.inc_by(changed.len() as u64);
         let groups = Arc::make_mut(&mut self.groups);
         for group in changed {
             let is_configured = engine.directory.group_limits(&group).is_some();
@@ -67,7 +67,7 @@
     let Some(config) = engine.directory.config() else {
         return HashSet::new();
     };
-    engine.metrics.groups_judged.inc_by(config.groups.len() as u64);
+    engine.metrics.groups_evaluated.inc_by(config.groups.len() as u64);
     let groups = config.groups.keys();
     groups.filter(|group| engine.watches(group)).cloned().collect()
 }
--- a/crates/millwind-engine/tests/fleet_growth.rs
+++ b/crates/millwind-engine/tests/fleet_growth.rs
@@ -6,22 +6,22 @@
 
 use millwind_core::data_residency::{AllowedRegions, Topology};
 use millwind_core::ids::{DatabaseName, GroupName, InstanceName, RegionName, TenantName, ZoneName};
-use millwind_core::owner_ranking::OwnersSought;
+use millwind_core::owner_ranking::OwnerCounts;
 use millwind_core::routing::ReadPolicy;
 use millwind_core::tenant::{Template, Tenant};
 use millwind_engine::catalog::{ConfigSnapshot, Consistency, Database, InstanceRecord, Tenants};
 use millwind_engine::directory::Directory;
-use millwind_engine::lead_terms::LeadTerms;
-use millwind_engine::registry::{Departure, NodeRecord, OwnedPlace, Registry};
+use millwind_engine::lead_terms::LeaderRegionRules;
+use millwind_engine::registry::{Departure, NodeRecord, OwnerQuery, Registry};
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
 
 const ZONES: usize = 6;
 /// Zones that instances run in.
 const INSTANCE_ZONES: usize = 3;
-const SOUGHT: OwnersSought = OwnersSought {
+const SOUGHT: OwnerCounts = OwnerCounts {
     owners: 3,
-    stand_ins: 5,
+    backup_owners: 5,
 };
 const WATCHERS: usize = 3;
 
@@ -62,7 +62,7 @@
 }
 
 fn is_among_owners(registry: &Registry, instance: &InstanceName, zone: &ZoneName) -> bool {
-    let place = OwnedPlace {
+    let place = OwnerQuery {
         instance,
         zone,
         topology: &Topology::default(),
@@ -119,7 +119,7 @@
             registry.is_owner_within(&name, &zone, SOUGHT.owners);
         }
     }
-    registry.nodes_weighed()
+    registry.weights_computed()
 }
 
 /// Every node decides that for every group after each change of the nodes. With every
@@ -150,7 +150,7 @@
     assert_eq!(registry.version(), version + 1);
     assert!(
         registry
-            .permit_holders()
+            .possible_permit_holders()
             .contains(&node_record(5, None).peer_address)
     );
 }
@@ -256,7 +256,7 @@
         groups: HashMap::new(),
         transaction_idle_ms: 1_000,
     };
-    let terms = LeadTerms::of_config(&config);
+    let terms = LeaderRegionRules::of_config(&config);
     assert_eq!(terms.config_version, 7);
     let of = |group: &str| {
         terms
@@ -271,9 +271,9 @@
     assert_eq!(of("group-1"), BTreeSet::from([AllowedRegions::Any, only("west")]));
     assert_eq!(of("group-2"), BTreeSet::from([only("west")]));
     let west = RegionName::from("west");
-    assert!(terms.exclude(&GroupName::from("group-0"), Some(&west)));
-    assert!(!terms.exclude(&GroupName::from("group-1"), Some(&west)));
-    assert!(terms.exclude(&GroupName::from("group-2"), None));
+    assert!(terms.exclude_leader_in(&GroupName::from("group-0"), Some(&west)));
+    assert!(!terms.exclude_leader_in(&GroupName::from("group-1"), Some(&west)));
+    assert!(terms.exclude_leader_in(&GroupName::from("group-2"), None));
 }
 
 fn entry_with_link(index: usize, link_mbps: u32) -> Entry {
@@ -315,7 +315,7 @@
     let registry = Registry::new("nodes/".to_owned(), "node-0".to_owned(), directory);
     assert_eq!(registry.zone_prefix(), "nodes/zone-0/");
     let of_zone = (0..60).step_by(ZONES).map(|index| entry_with_link(index, 20));
-    registry.zone_learned(Listing {
+    registry.apply_zone_listing(Listing {
         revision: StoreRevision::new(0, 60),
         entries: of_zone.collect(),
     });
--- a/crates/millwind-engine/tests/inquiry.rs
+++ b/crates/millwind-engine/tests/inquiry.rs
@@ -6,7 +6,7 @@
 use millwind_engine::catalog::InstanceRecord;
 use millwind_engine::clock;
 use millwind_engine::directory::Directory;
-use millwind_engine::execution::Inquiry;
+use millwind_engine::execution::RequestTracker;
 
 const NAME: &str = "i-a";
 
@@ -32,11 +32,11 @@
     let directory = directory();
     let instance = InstanceName::from(NAME);
     directory.failed(&instance, clock::now(), false);
-    Inquiry::new(&directory, &instance).passed();
+    RequestTracker::new(&directory, &instance).answered_by_peer();
     let contact = directory.instance(&instance).unwrap().contact;
     assert!(directory.is_failing(&instance));
     assert_eq!(contact.last_success, None);
-    assert_eq!(contact.statements.under_way(), 0);
+    assert_eq!(contact.statements.in_flight(), 0);
 }
 
 #[test]
@@ -44,6 +44,6 @@
     let directory = directory();
     let instance = InstanceName::from(NAME);
     directory.failed(&instance, clock::now(), false);
-    Inquiry::new(&directory, &instance).taken();
+    RequestTracker::new(&directory, &instance).answered_without_sample();
     assert!(!directory.is_failing(&instance));
 }
--- a/crates/millwind-engine/tests/own_keys.rs
+++ b/crates/millwind-engine/tests/own_keys.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use millwind_engine::own_keys::OwnKeys;
-use millwind_engine::store_watch::{Follower, StoreReading};
+use millwind_engine::store_watch::{CatalogSource, Follower};
 use millwind_store::{Entry, Listing, StoreRevision};
 use millwind_wire::exchange::{DocumentList, ExchangeReply, StoredDocument, encode_exchange};
 use tokio::sync::watch;
@@ -31,7 +31,7 @@
 
 fn own_keys() -> (OwnKeys, Arc<Witness>) {
     let witness = Arc::new(Witness::default());
-    let (_, reads_store) = watch::channel(StoreReading::Reading);
+    let (_, reads_store) = watch::channel(CatalogSource::Store);
     (OwnKeys::new(vec![witness.clone()], reads_store), witness)
 }
 
@@ -67,7 +67,7 @@
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
     let (pupil, witness) = own_keys();
-    pupil.learn(
+    pupil.apply_documents(
         documents_after(&teacher, StoreRevision::NONE),
         teacher.known_revision(),
     );
@@ -82,15 +82,15 @@
     let (teacher, _) = own_keys();
     teacher.listed(listing(7, vec![entry("a", Some("1"), 3)]));
     let (pupil, witness) = own_keys();
-    pupil.learn(
+    pupil.apply_documents(
         documents_after(&teacher, StoreRevision::NONE),
         teacher.known_revision(),
     );
     teacher.changed(vec![entry("b", Some("2"), 9)]);
     let news = documents_after(&teacher, pupil.known_revision());
     assert_eq!(news.len(), 1);
-    pupil.learn(news.clone(), teacher.known_revision());
-    pupil.learn(news, teacher.known_revision());
+    pupil.apply_documents(news.clone(), teacher.known_revision());
+    pupil.apply_documents(news, teacher.known_revision());
     assert_eq!(
         *witness.changes.lock().unwrap(),
         [entry("b", Some("2"), 9)],
@@ -107,12 +107,12 @@
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
     let (pupil, witness) = own_keys();
-    pupil.learn(
+    pupil.apply_documents(
         documents_after(&teacher, StoreRevision::NONE),
         teacher.known_revision(),
     );
     teacher.listed(listing(12, vec![entry("b", Some("2"), 5)]));
-    pupil.learn(
+    pupil.apply_documents(
         documents_after(&teacher, pupil.known_revision()),
         teacher.known_revision(),
     );
@@ -134,7 +134,7 @@
 #[test]
 fn a_peer_that_knows_nothing_teaches_nothing() {
     let (pupil, witness) = own_keys();
-    pupil.learn(Vec::new(), StoreRevision::NONE);
+    pupil.apply_documents(Vec::new(), StoreRevision::NONE);
     assert_eq!(pupil.known_revision(), plain(0));
     assert!(witness.listings.lock().unwrap().is_empty());
 }
@@ -196,7 +196,7 @@
         entry("nodes/zone-1/node-1", None, 2_002),
     ]);
     let (pupil, witness) = own_keys();
-    pupil.learn(
+    pupil.apply_documents(
         documents_after(&teacher, StoreRevision::NONE),
         teacher.known_revision(),
     );
@@ -252,12 +252,12 @@
         70,
         vec![entry("a", Some("new"), 65), entry("b", Some("lost"), 60)],
     ));
-    restored.learn(
+    restored.apply_documents(
         documents_after(&behind, restored.known_revision()),
         behind.known_revision(),
     );
     assert_eq!(restored.known_revision(), StoreRevision::new(1, 50));
-    behind.learn(
+    behind.apply_documents(
         documents_after(&restored, behind.known_revision()),
         restored.known_revision(),
     );
@@ -281,7 +281,7 @@
     teacher.listed(listing(100, present));
     for known in [StoreRevision::NONE, after] {
         let (pupil, witness) = own_keys();
-        pupil.learn(documents_after(&teacher, known), teacher.known_revision());
+        pupil.apply_documents(documents_after(&teacher, known), teacher.known_revision());
         let listings = witness.listings.lock().unwrap();
         let is_there = listings[0].entries.iter().any(|entry| entry.key == gone.key);
         assert!(!is_there, "{} is told as present after {known}", gone.key);
--- a/crates/millwind-engine/tests/owner_links.rs
+++ b/crates/millwind-engine/tests/owner_links.rs
@@ -46,7 +46,7 @@
         id: "id".to_owned(),
         text: "READ thing".to_owned(),
         execution: vec![],
-        proves_leader: 0,
+        confirms_leader: 0,
     })
 }
 
--- a/crates/millwind-engine/tests/permits.rs
+++ b/crates/millwind-engine/tests/permits.rs
@@ -61,7 +61,7 @@
     let (directory, registry) = node();
     let before = clock::now();
     std::thread::sleep(std::time::Duration::from_millis(2));
-    registry.written(OWN, record(None), StoreRevision::new(0, 5));
+    registry.record_written(OWN, record(None), StoreRevision::new(0, 5));
     directory.confirm_terms(before);
     assert!(!counts_leader(&directory, 1));
     directory.confirm_terms(clock::now());
@@ -93,7 +93,7 @@
     registry.listed(listing(vec![entry(Some(Departure::Unreachable), 5)]));
     directory.confirm_terms(clock::now());
     assert!(!counts_leader(&directory, 1));
-    registry.written(OWN, record(None), StoreRevision::new(0, 6));
+    registry.record_written(OWN, record(None), StoreRevision::new(0, 6));
     directory.confirm_terms(clock::now());
     assert!(counts_leader(&directory, 1));
 }
@@ -123,15 +123,15 @@
         ..entry(departure, 6)
     };
     registry.listed(listing(vec![other(None)]));
-    assert_eq!(registry.permit_holders().len(), 1);
+    assert_eq!(registry.possible_permit_holders().len(), 1);
     registry.listed(listing(vec![other(Some(Departure::Unreachable))]));
     assert_eq!(
-        registry.permit_holders().len(),
+        registry.possible_permit_holders().len(),
         1,
         "marked less than a permit's time ago"
     );
     registry.listed(listing(vec![other(Some(Departure::Stopped))]));
-    assert!(registry.permit_holders().is_empty());
+    assert!(registry.possible_permit_holders().is_empty());
 }
 
 #[test]
--- a/crates/millwind-engine/tests/restored_duties.rs
+++ b/crates/millwind-engine/tests/restored_duties.rs
@@ -1,4 +1,4 @@
-//! Duties before a store that is restored from older copies, again and again: tokens rise,
+//! FailoverOwnership before a store that is restored from older copies, again and again: tokens rise,
 //! closed terms are written again by whoever knows them, and nobody is shut out for good.
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use millwind_core::ids::{GroupName, InstanceName};
 use millwind_core::position::Term;
 use millwind_engine::directory::Directory;
-use millwind_engine::duty::{Claim, Duties, DutyRecord};
+use millwind_engine::duty::{Claim, FailoverOwnership, FailoverRecord};
 use millwind_engine::store_watch::Follower;
 use millwind_store::{
     Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, Watch, WatchReport, Write,
@@ -64,7 +64,7 @@
         }
     }
 
-    fn record(&self, key: &str) -> Option<DutyRecord> {
+    fn record(&self, key: &str) -> Option<FailoverRecord> {
         let held = self.0.lock().unwrap();
         let (value, _) = held.content.items.get(key)?;
         Some(serde_json::from_slice(value).unwrap())
@@ -127,14 +127,14 @@
 }
 
 struct TestNode {
-    duties: Duties<RestoredStore>,
+    duties: FailoverOwnership<RestoredStore>,
     directory: Arc<Directory>,
 }
 
 fn node(name: &str, store: &Arc<RestoredStore>) -> TestNode {
     let directory = Arc::new(Directory::new("zone", 0, false));
     TestNode {
-        duties: Duties::new(
+        duties: FailoverOwnership::new(
             store.clone(),
             PREFIX.to_owned(),
             name.to_owned(),
@@ -176,9 +176,9 @@
 async fn play(nodes: &[TestNode; 2], store: &RestoredStore, group: &GroupName, step: Step) -> Option<u64> {
     let claimed = match step {
         Step::Hold(node) => (node, Claim::Hold),
-        Step::Order(node) => (node, Claim::Order(replica())),
+        Step::Order(node) => (node, Claim::Promote(replica())),
         Step::Close(node, term) => {
-            let claim = Claim::Close {
+            let claim = Claim::CloseTerm {
                 chosen: replica(),
                 term: Term(term),
                 retired: None,
--- a/crates/millwind-engine/tests/stale_relays.rs
+++ b/crates/millwind-engine/tests/stale_relays.rs
@@ -50,10 +50,10 @@
 fn a_relay_without_fresh_news_is_left_by_a_node_that_has_them() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
-    let first = relays.to_ask(&registry);
-    relays.told(clock::now());
-    relays.told_by_relay(first[0], Some(OLD_MS));
-    let then = relays.to_ask(&registry);
+    let first = relays.relays_to_ask(&registry);
+    relays.record_peer_freshness(clock::now());
+    relays.record_relay_answer(first[0], Some(OLD_MS));
+    let then = relays.relays_to_ask(&registry);
     assert!(!then.contains(&first[0]), "{then:?}");
     assert_eq!(then.len(), first.len());
 }
@@ -62,17 +62,17 @@
 fn a_relay_without_fresh_news_is_kept_while_nobody_has_any() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
-    let first = relays.to_ask(&registry);
-    relays.told_by_relay(first[0], Some(OLD_MS));
-    assert_eq!(relays.to_ask(&registry), first);
+    let first = relays.relays_to_ask(&registry);
+    relays.record_relay_answer(first[0], Some(OLD_MS));
+    assert_eq!(relays.relays_to_ask(&registry), first);
 }
 
 #[test]
 fn a_relay_with_fresh_news_is_kept() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
-    let first = relays.to_ask(&registry);
-    relays.told(clock::now());
-    relays.told_by_relay(first[0], Some(100));
-    assert_eq!(relays.to_ask(&registry), first);
+    let first = relays.relays_to_ask(&registry);
+    relays.record_peer_freshness(clock::now());
+    relays.record_relay_answer(first[0], Some(100));
+    assert_eq!(relays.relays_to_ask(&registry), first);
 }
--- a/crates/millwind-engine/tests/store_watch.rs
+++ b/crates/millwind-engine/tests/store_watch.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use millwind_engine::store_watch::{Follower, StoreContact, StoreReading, follow};
+use millwind_engine::store_watch::{CatalogSource, Follower, StoreContact, follow};
 use millwind_store::{
     Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, Watch, WatchReport, Write,
 };
@@ -53,7 +53,7 @@
 /// Counts its listings.
 struct Counter {
     listings: AtomicUsize,
-    reading: watch::Receiver<StoreReading>,
+    reading: watch::Receiver<CatalogSource>,
 }
 
 impl Follower for Counter {
@@ -67,7 +67,7 @@
 
     fn changed(&self, _entries: Vec<Entry>) {}
 
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reading.clone())
     }
 }
@@ -75,7 +75,7 @@
 /// A fleet that starts as a whole would else read the whole catalog once for each node.
 #[tokio::test(start_paused = true)]
 async fn a_node_that_turns_out_to_be_no_relay_in_time_lists_nothing() {
-    let (decision, reading) = watch::channel(StoreReading::Undecided);
+    let (decision, reading) = watch::channel(CatalogSource::Undecided);
     let follower = Arc::new(Counter {
         listings: AtomicUsize::new(0),
         reading,
@@ -84,14 +84,14 @@
     let contact = Arc::new(StoreContact::default());
     tokio::spawn(follow(store, "prefix".to_owned(), follower.clone(), contact));
     tokio::time::sleep(DECISION_LIMIT / 2).await;
-    decision.send_replace(StoreReading::LeftToRelays);
+    decision.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING * 4 + DECISION_LIMIT).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 0, "listings");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_first_listing_is_not_given_up_when_the_node_turns_out_to_be_no_relay() {
-    let (decision, reading) = watch::channel(StoreReading::Undecided);
+    let (decision, reading) = watch::channel(CatalogSource::Undecided);
     let follower = Arc::new(Counter {
         listings: AtomicUsize::new(0),
         reading,
@@ -105,12 +105,12 @@
         contact,
     ));
     tokio::time::sleep(DECISION_LIMIT + LISTING / 2).await;
-    decision.send_replace(StoreReading::LeftToRelays);
+    decision.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 0, "watches");
     // It reads on once it has to.
-    decision.send_replace(StoreReading::Reading);
+    decision.send_replace(CatalogSource::Store);
     tokio::time::sleep(LISTING * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 1, "watches");
@@ -120,7 +120,7 @@
 /// was out answers again.
 struct Sentinel {
     listings: AtomicUsize,
-    reading: watch::Sender<StoreReading>,
+    reading: watch::Sender<CatalogSource>,
 }
 
 impl Follower for Sentinel {
@@ -139,10 +139,10 @@
     }
 
     fn store_answers(&self) {
-        self.reading.send_replace(StoreReading::LeftToRelays);
+        self.reading.send_replace(CatalogSource::Relays);
     }
 
-    fn reads(&self) -> Option<watch::Receiver<StoreReading>> {
+    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reading.subscribe())
     }
 }
@@ -151,7 +151,7 @@
 async fn a_node_whose_relays_have_no_news_reads_a_store_that_answers_it_at_once() {
     let follower = Arc::new(Sentinel {
         listings: AtomicUsize::new(0),
-        reading: watch::Sender::new(StoreReading::Undecided),
+        reading: watch::Sender::new(CatalogSource::Undecided),
     });
     let contact = Arc::new(StoreContact::default());
     tokio::spawn(follow(
@@ -161,12 +161,12 @@
         contact.clone(),
     ));
     tokio::time::sleep(DECISION_LIMIT + LISTING / 2).await;
-    follower.reading.send_replace(StoreReading::LeftToRelays);
+    follower.reading.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
     // Its news have grown old; the store was never out for this node.
-    contact.note_lost();
-    follower.reading.send_replace(StoreReading::Reading);
+    contact.mark_lost();
+    follower.reading.send_replace(CatalogSource::Store);
     tokio::time::sleep(LISTING * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
 }
--- a/crates/millwind-engine/tests/turns.rs
+++ b/crates/millwind-engine/tests/turns.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use millwind_core::concurrency_limit::TurnEnd;
+use millwind_core::concurrency_limit::ExecutionEnd;
 use millwind_engine::backend::turns::{Turn, Turns};
 use millwind_engine::backend::{LinkError, Urgency};
 use millwind_engine::clock;
@@ -30,7 +30,7 @@
     for _ in 0..60 {
         let turn = take(turns, Urgency::Priority(1)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(millis)).await;
-        turn.end(TurnEnd::Ran);
+        turn.end(ExecutionEnd::Ran);
     }
 }
 
@@ -45,11 +45,11 @@
         tokio::spawn(async move {
             let turn = take(&turns, urgency).await.unwrap();
             sender.send(urgency).unwrap();
-            turn.end(TurnEnd::Ran);
+            turn.end(ExecutionEnd::Ran);
         });
         tokio::task::yield_now().await;
     }
-    taken.pop().unwrap().end(TurnEnd::Ran);
+    taken.pop().unwrap().end(ExecutionEnd::Ran);
     for expected in [Urgency::InTransaction, Urgency::Priority(0), Urgency::Priority(2)] {
         assert_eq!(receiver.recv().await, Some(expected));
     }
@@ -77,8 +77,8 @@
     let deadline = clock::now().plus_millis(10);
     let given_up = turns.take(Urgency::Priority(0), deadline, deadline);
     assert!(given_up.await.is_err());
-    taken.pop().unwrap().end(TurnEnd::TurnedAway);
-    taken.pop().unwrap().end(TurnEnd::Unknown);
+    taken.pop().unwrap().end(ExecutionEnd::Rejected);
+    taken.pop().unwrap().end(ExecutionEnd::Unknown);
     assert!(take(&turns, Urgency::Priority(1)).await.is_ok());
 }
 
@@ -91,15 +91,18 @@
     let deadline = clock::now().plus_millis(2_000);
     for (name, aim_ms) in [("late", 1), ("in time", 500)] {
         let (turns, sender) = (turns.clone(), sender.clone());
-        let aim = clock::now().plus_millis(aim_ms);
+        let target_time = clock::now().plus_millis(aim_ms);
         tokio::spawn(async move {
-            let turn = turns.take(Urgency::Priority(1), aim, deadline).await.unwrap();
+            let turn = turns
+                .take(Urgency::Priority(1), target_time, deadline)
+                .await
+                .unwrap();
             sender.send(name).unwrap();
-            turn.end(TurnEnd::Ran);
+            turn.end(ExecutionEnd::Ran);
         });
         tokio::task::yield_now().await;
     }
-    taken.pop().unwrap().end(TurnEnd::Ran);
+    taken.pop().unwrap().end(ExecutionEnd::Ran);
     assert_eq!(receiver.recv().await, Some("in time"));
     assert_eq!(receiver.recv().await, Some("late"));
 }
--- a/crates/millwind-lab/src/hollow/scene.rs
+++ b/crates/millwind-lab/src/hollow/scene.rs
@@ -242,7 +242,7 @@
             .collect();
         self.network.on_node(relay, |plane, now| {
             let outgoing = plane.platform_changes(now, revision, &changes);
-            plane.platform_heard(now, revision);
+            plane.record_platform_contact(now, revision);
             outgoing
         });
     }
--- a/crates/millwind-lab/tests/error_kinds.rs
+++ b/crates/millwind-lab/tests/error_kinds.rs
@@ -277,10 +277,10 @@
     assert!(
         refused
             .iter()
-            .any(|(told, _)| *told == hint(ErrorKind::WindowTooShort)),
+            .any(|(told, _)| *told == hint(ErrorKind::DeadlineTooShort)),
         "{refused:?}"
     );
-    let allowed = [ErrorKind::WindowTooShort, ErrorKind::QueueFull].map(hint);
+    let allowed = [ErrorKind::DeadlineTooShort, ErrorKind::QueueFull].map(hint);
     assert!(
         refused.iter().all(|(told, _)| allowed.contains(told)),
         "{refused:?}"
--- a/crates/millwind-model/src/configuration.rs
+++ b/crates/millwind-model/src/configuration.rs
@@ -101,11 +101,11 @@
         let zones = ["z0", "z1"].map(|zone| (zone.to_owned(), "r0".to_owned()));
         gate.set_zones(&zones.into(), true);
         if let Some(unit) = node.contact_unit {
-            gate.platform_contact(Instant::from_millis(unit * UNIT_MS));
+            gate.record_platform_contact(Instant::from_millis(unit * UNIT_MS));
         }
         // The other zone is in contact and was heard lately unless cut off.
         let age_ms = if node.cut { UNIT_MS as u32 } else { 0 };
-        gate.zone_report(
+        gate.record_zone_report(
             now(state),
             &ZoneReport {
                 zone: "z1".to_owned(),
--- a/crates/millwind-model/src/leadership.rs
+++ b/crates/millwind-model/src/leadership.rs
@@ -192,7 +192,7 @@
             let mut next = state.clone();
             let permit = self.permit(state, node);
             match node.write {
-                None if permit == Permit::Good => {
+                None if permit == Permit::Valid => {
                     next.nodes[index].write = Some(Write::Sent);
                     steps.push((format!("node {index} sends a write to the old leader"), next));
                 }
