--- a/crates/millwind-model/src/pausing.rs
+++ b/crates/millwind-model/src/pausing.rs
@@ -130,10 +130,10 @@
         received: Position::new(1, received),
         is_leaving: false,
         is_evacuated: false,
-        allowed_worth: 0,
+        servable_share: 0,
         is_cold: false,
-        is_named: false,
-        is_near: false,
+        is_named_in_order: false,
+        is_in_own_zone: false,
     }
 }
 
--- a/crates/millwind-model/src/writes.rs
+++ b/crates/millwind-model/src/writes.rs
@@ -12,7 +12,7 @@
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::InstanceName;
 use millwind_core::invariant::Invariant;
-use millwind_core::outcome::{NextStep, Progress, RequestTraits, after_failure};
+use millwind_core::outcome::{NextStep, RequestProgress, RequestTraits, next_step_after_failure};
 use millwind_core::position::{Coverage, LogPosition, Position, Term, TermStart, coverage};
 
 use crate::checker::Model;
@@ -359,15 +359,15 @@
             may_repeat: false,
             has_request_id: write == IDENTIFIED,
         };
-        let next = after_failure(Progress::Sent, traits, ErrorKind::BackEndUnreachable);
+        let next = next_step_after_failure(RequestProgress::Sent, traits, ErrorKind::BackEndUnreachable);
         if !self.keeps(Rule::NoRepeatAfterSent) && write != IDENTIFIED {
             state.stages[write] = Stage::NotSent;
             return;
         }
         match next {
-            NextStep::Resolve => state.stages[write] = Stage::Ambiguous,
-            NextStep::RunAgain => state.stages[write] = Stage::NotSent,
-            NextStep::Tell(_) => {
+            NextStep::ResolveOutcome => state.stages[write] = Stage::Ambiguous,
+            NextStep::Retry => state.stages[write] = Stage::NotSent,
+            NextStep::Report(_) => {
                 state.stages[write] = Stage::Done;
                 state.told[write] = Told::Unknown;
             }
@@ -470,7 +470,7 @@
         let mut decided = BTreeMap::new();
         for (index, shown) in pending.shown.iter().enumerate() {
             let Some((term, received)) = shown else { continue };
-            let verdicts = tracker.observe(
+            let verdicts = tracker.record_status(
                 &instance_name(index),
                 ASKED_AFTER,
                 Term(*term),
--- a/crates/millwind-node/src/admin.rs
+++ b/crates/millwind-node/src/admin.rs
@@ -12,7 +12,7 @@
 use axum::routing::{get, post};
 use futures::StreamExt;
 use millwind_core::config_state::DocumentKind;
-use millwind_core::control::Standing;
+use millwind_core::control::RolloutState;
 use millwind_core::routing::ReadPolicy;
 use millwind_store::Store;
 use millwind_wire::control::Liveness;
@@ -480,11 +480,11 @@
     };
     let count = |wanted| standings.values().filter(|standing| **standing == wanted).count();
     Json(StandingsReport {
-        in_force: count(Standing::InForce),
-        stopped: count(Standing::Stopped),
+        in_force: count(RolloutState::InForce),
+        stopped: count(RolloutState::Stopped),
         pending: standings
             .iter()
-            .filter(|(_, standing)| **standing == Standing::Pending)
+            .filter(|(_, standing)| **standing == RolloutState::Pending)
             .map(|(node, _)| node.clone())
             .collect(),
     })
--- a/crates/millwind-node/src/control.rs
+++ b/crates/millwind-node/src/control.rs
@@ -9,7 +9,7 @@
 use log::{info, warn};
 use millwind_core::Instant;
 use millwind_core::config_state::{ConfigState, ResolvedConfig};
-use millwind_core::control::{ControlPlane, Standing};
+use millwind_core::control::{ControlPlane, RolloutState};
 use millwind_core::freshness::{NotServing, ServingGate};
 use millwind_core::ids::{InstanceName, NodeName, RegionName, ZoneName};
 use millwind_core::membership::Outgoing;
@@ -91,7 +91,7 @@
     }
 
     /// The node that owns `instance` when these could not be reached.
-    pub fn owner_except(
+    pub fn owner_excluding(
         &self,
         instance: &InstanceName,
         zone: &ZoneName,
@@ -103,7 +103,7 @@
         }
         self.members
             .owners
-            .owner_except(instance, zone, region, avoided)
+            .owner_excluding(instance, zone, region, avoided)
             .cloned()
     }
 
@@ -365,7 +365,7 @@
             } => {
                 let outgoing = self.plane.platform_changes(now, revision, &documents);
                 if let Some(asked) = asked {
-                    self.plane.platform_heard(asked, revision);
+                    self.plane.record_platform_contact(asked, revision);
                 }
                 outgoing
             }
@@ -394,7 +394,7 @@
     type Return = ();
 
     async fn handle(&mut self, _depart: Depart, _context: &mut Context<Self>) {
-        let outgoing = self.plane.depart();
+        let outgoing = self.plane.announce_departure();
         self.send_all(outgoing);
     }
 }
@@ -407,7 +407,7 @@
 }
 
 impl Handler<AskStandings> for ControlActor {
-    type Return = BTreeMap<String, Standing>;
+    type Return = BTreeMap<String, RolloutState>;
 
     async fn handle(&mut self, ask: AskStandings, _context: &mut Context<Self>) -> Self::Return {
         let now = clock::now();
@@ -438,6 +438,6 @@
                 )
             })
             .collect();
-        self.plane.standings(now, ask.revision, &reports)
+        self.plane.rollout_states(now, ask.revision, &reports)
     }
 }
--- a/crates/millwind-node/src/gateway/directory.rs
+++ b/crates/millwind-node/src/gateway/directory.rs
@@ -109,7 +109,7 @@
     pub fn ban(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
         self.with(spec, |entry| {
             if let Some(hint) = entry.hint(instance) {
-                hint.banned_until = clock::now().plus_millis(BAN_MS);
+                hint.excluded_until = clock::now().plus_millis(BAN_MS);
             }
         });
     }
@@ -165,9 +165,9 @@
                     primary: held.is_some_and(|hint| hint.primary),
                     position: held.and_then(|hint| hint.position),
                     lag_ms: held.map_or(0, |hint| hint.lag_ms),
-                    history: held.map(|hint| hint.history.clone()).unwrap_or_default(),
+                    term_starts: held.map(|hint| hint.term_starts.clone()).unwrap_or_default(),
                     leaving: instance.leaving,
-                    banned_until: held.map_or(Instant::default(), |hint| hint.banned_until),
+                    excluded_until: held.map_or(Instant::default(), |hint| hint.excluded_until),
                 }
             })
             .collect();
@@ -189,7 +189,7 @@
         let newest = known_term.is_none_or(|term| position.term >= term);
         if let Some(hint) = self.hint(instance) {
             hint.position = Some((clock::now(), position));
-            hint.history = history;
+            hint.term_starts = history;
             hint.primary = primary && newest;
         }
         if !(primary && newest) {
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -8,9 +8,9 @@
 use log::warn;
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{InstanceName, NodeName};
-use millwind_core::outcome::{NextStep, Progress, after_failure};
+use millwind_core::outcome::{NextStep, RequestProgress, next_step_after_failure};
 use millwind_core::position::Position;
-use millwind_core::routing::{Choice, ReadRequest, Reason, order_for_read};
+use millwind_core::routing::{RankedCandidate, ReadRequest, Reason, order_for_read};
 use millwind_core::tenant::{GroupSpec, TenantSettings};
 use millwind_wire::{
     CancelRequest, ExecuteReply, ExecuteRequest, ExecuteResult, Intent, PeerMessage, ResolveRequest,
@@ -78,7 +78,7 @@
 
 struct Failed {
     kind: ErrorKind,
-    progress: Progress,
+    progress: RequestProgress,
     /// The owner itself could not be reached; the instance may be well.
     is_unreached: bool,
     detail: String,
@@ -100,7 +100,7 @@
     /// Encoded frontend messages.
     pub batch: &'a [u8],
     /// Candidates as they were weighed, for watchers.
-    pub weighed: Vec<Choice>,
+    pub weighed: Vec<RankedCandidate>,
 }
 
 impl Dispatch<'_> {
@@ -130,7 +130,7 @@
             .and_then(|entry| self.gateway.owner_of(entry))
             .ok_or_else(|| Failed {
                 kind: ErrorKind::BackEndUnreachable,
-                progress: Progress::NotSent,
+                progress: RequestProgress::NotSent,
                 is_unreached: false,
                 detail: "no node owns the instance".to_owned(),
             })
@@ -145,7 +145,7 @@
         let regions = &self.tenant.allowed_regions;
         Err(Failed {
             kind: ErrorKind::RegionNotAllowed,
-            progress: Progress::NotSent,
+            progress: RequestProgress::NotSent,
             is_unreached: false,
             detail: format!("owner {node} stands outside of allowed regions {regions}"),
         })
@@ -210,8 +210,8 @@
         let reply = reply.map_err(|error| Failed {
             kind: ErrorKind::BackEndUnreachable,
             progress: match error {
-                CallError::NotSent => Progress::NotSent,
-                CallError::Lost => Progress::Sent,
+                CallError::NotSent => RequestProgress::NotSent,
+                CallError::Lost => RequestProgress::Sent,
             },
             is_unreached: error == CallError::NotSent,
             detail: format!("owner of {instance}: {error}"),
@@ -267,17 +267,17 @@
     /// window allow; returns the last failure.
     async fn read_in_order(
         &self,
-        order: &[Choice],
+        order: &[RankedCandidate],
         token: Option<Position>,
         attempts: &mut u32,
     ) -> Result<Outcome, Failed> {
         let mut last = Failed {
             kind: ErrorKind::ReplicaBehind,
-            progress: Progress::NotSent,
+            progress: RequestProgress::NotSent,
             is_unreached: false,
             detail: "no instance may serve the read".to_owned(),
         };
-        for choice in order.iter().filter(|choice| choice.reason.eligible()) {
+        for choice in order.iter().filter(|choice| choice.reason.is_eligible()) {
             if *attempts > 0 && !self.withdraw() {
                 return Err(last);
             }
@@ -307,7 +307,7 @@
         }
     }
 
-    fn read_order(&mut self, token: Option<Position>) -> Vec<Choice> {
+    fn read_order(&mut self, token: Option<Position>) -> Vec<RankedCandidate> {
         let mut hints = self.gateway.directory.hints(&self.spec);
         let config = self.gateway.control.config();
         for hint in &mut hints {
@@ -315,7 +315,7 @@
         }
         let request = ReadRequest {
             token,
-            wait_ms: self.replica_wait_ms(),
+            max_wait_ms: self.replica_wait_ms(),
             policy: self.tenant.read_policy,
             regions: self.tenant.allowed_regions.clone(),
         };
@@ -332,7 +332,7 @@
         self.tenant.replica_wait_ms.min(left / 2)
     }
 
-    async fn read_on(&self, choice: &Choice, token: Option<Position>) -> Result<Outcome, Failed> {
+    async fn read_on(&self, choice: &RankedCandidate, token: Option<Position>) -> Result<Outcome, Failed> {
         let mut request = self.request(&choice.instance, Intent::Read);
         request.token = wire(token);
         request.wait_ms = self.replica_wait_ms() as u32;
@@ -407,12 +407,12 @@
                 self.gateway.directory.not_primary(&self.spec, &primary.instance);
             }
             match self.next_step(intent, &failed) {
-                NextStep::Tell(kind) => return Err(Refusal::new(kind, failed.detail)),
-                NextStep::Resolve => return self.resolve(&failed.detail).await,
-                NextStep::RunAgain if clock::now() >= hold_until => {
+                NextStep::Report(kind) => return Err(Refusal::new(kind, failed.detail)),
+                NextStep::ResolveOutcome => return self.resolve(&failed.detail).await,
+                NextStep::Retry if clock::now() >= hold_until => {
                     return Err(Refusal::new(failed.kind, failed.detail));
                 }
-                NextStep::RunAgain => tokio::time::sleep(RETRY_PAUSE).await,
+                NextStep::Retry => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
@@ -421,7 +421,7 @@
         // The owner has already waited for these; waiting again helps nobody.
         let settled = matches!(
             failed.kind,
-            ErrorKind::WindowTooShort
+            ErrorKind::DeadlineTooShort
                 | ErrorKind::QueueFull
                 | ErrorKind::InvalidSetting
                 | ErrorKind::AnswerTooLarge
@@ -430,15 +430,17 @@
                 | ErrorKind::RegionNotAllowed
         );
         if settled {
-            return NextStep::Tell(failed.kind);
+            return NextStep::Report(failed.kind);
         }
         match (intent, failed.progress) {
             // An undone autocommit write has run nowhere: it is only held.
-            (_, Progress::ProvenUndone) if failed.kind == ErrorKind::NotPrimary => NextStep::RunAgain,
+            (_, RequestProgress::ConfirmedNotApplied) if failed.kind == ErrorKind::NotPrimary => {
+                NextStep::Retry
+            }
             // Without a commit, a begun transaction is undone with its link.
-            (Intent::Begin, Progress::Sent) => NextStep::RunAgain,
-            (Intent::Floor, _) => NextStep::RunAgain,
-            _ => after_failure(failed.progress, self.terms.traits, failed.kind),
+            (Intent::Begin, RequestProgress::Sent) => NextStep::Retry,
+            (Intent::Floor, _) => NextStep::Retry,
+            _ => next_step_after_failure(failed.progress, self.terms.traits, failed.kind),
         }
     }
 
@@ -453,7 +455,7 @@
             Ok(outcome) => return Ok(outcome),
             Err(failed) => failed,
         };
-        let may_have_committed = intent == Intent::Commit && failed.progress == Progress::Sent;
+        let may_have_committed = intent == Intent::Commit && failed.progress == RequestProgress::Sent;
         if !may_have_committed {
             return Err(Refusal::new(ErrorKind::TransactionLost, failed.detail));
         }
@@ -540,16 +542,16 @@
 }
 
 /// Whether the tenant's terms exclude all candidates that there are.
-fn is_excluded_everywhere(order: &[Choice]) -> bool {
+fn is_excluded_everywhere(order: &[RankedCandidate]) -> bool {
     let mut reasons = order.iter().map(|choice| choice.reason);
     !order.is_empty() && reasons.all(|reason| reason == Reason::RegionNotAllowed)
 }
 
 /// Whether a candidate has discarded the session's position and none is left
 /// that may still have it.
-fn is_discarded_everywhere(order: &[Choice]) -> bool {
+fn is_discarded_everywhere(order: &[RankedCandidate]) -> bool {
     let discarded = order.iter().any(|choice| choice.reason == Reason::Discarded);
-    discarded && order.iter().all(|choice| !choice.reason.eligible())
+    discarded && order.iter().all(|choice| !choice.reason.is_eligible())
 }
 
 fn wire(position: Option<Position>) -> WirePosition {
@@ -589,9 +591,9 @@
         } => Err(Failed {
             kind: ErrorKind::from_code(kind).unwrap_or(ErrorKind::OutcomeUnknown),
             progress: match progress {
-                0 => Progress::NotSent,
-                2 => Progress::ProvenUndone,
-                _ => Progress::Sent,
+                0 => RequestProgress::NotSent,
+                2 => RequestProgress::ConfirmedNotApplied,
+                _ => RequestProgress::Sent,
             },
             is_unreached: false,
             detail,
--- a/crates/millwind-node/src/gateway/explain.rs
+++ b/crates/millwind-node/src/gateway/explain.rs
@@ -79,7 +79,7 @@
         }
         let request = ReadRequest {
             token: None,
-            wait_ms: settings.replica_wait_ms,
+            max_wait_ms: settings.replica_wait_ms,
             policy: settings.read_policy,
             regions: settings.allowed_regions.clone(),
         };
--- a/crates/millwind-node/src/gateway/mod.rs
+++ b/crates/millwind-node/src/gateway/mod.rs
@@ -138,7 +138,7 @@
     pub(crate) fn owner_of(&self, instance: &InstanceSpec) -> Option<Owner> {
         let view = self.control.view();
         let avoided = self.avoidance.avoided();
-        let node = view.owner_except(&instance.name, &instance.zone, &instance.region, &avoided)?;
+        let node = view.owner_excluding(&instance.name, &instance.zone, &instance.region, &avoided)?;
         if node.as_str() == view.own_name() {
             return Some(Owner::This);
         }
--- a/crates/millwind-node/src/gateway/residency.rs
+++ b/crates/millwind-node/src/gateway/residency.rs
@@ -1,6 +1,6 @@
 //! Whether a tenant's terms allow an instance, or the node that owns it, by their region.
 
-use millwind_core::eligibility::judge_carrier;
+use millwind_core::eligibility::check_forwarding;
 use millwind_core::ids::{InstanceName, NodeName, RegionName};
 use millwind_core::tenant::{GroupSpec, TenantSettings};
 
@@ -20,5 +20,5 @@
     let view = gateway.control.view();
     let record = view.members().iter().find(|record| record.node == node.0);
     let region = record.map(|record| RegionName::from(record.region.as_str()));
-    judge_carrier(&tenant.allowed_regions, region.as_ref()).is_ok()
+    check_forwarding(&tenant.allowed_regions, region.as_ref()).is_ok()
 }
--- a/crates/millwind-node/src/owner/execute.rs
+++ b/crates/millwind-node/src/owner/execute.rs
@@ -9,7 +9,7 @@
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::group_view::{InstanceStatus, Role};
 use millwind_core::ids::{InstanceName, TenantName};
-use millwind_core::outcome::Progress;
+use millwind_core::outcome::RequestProgress;
 use millwind_core::position::{Coverage, Position, Term, coverage};
 use millwind_wire::{ExecuteRequest, Intent, WirePosition};
 
@@ -48,7 +48,7 @@
     /// What the caller is told, unless the gateway finds a way around.
     pub kind: ErrorKind,
     /// How far the batch got.
-    pub progress: Progress,
+    pub progress: RequestProgress,
     /// Detail for people.
     pub detail: String,
 }
@@ -58,7 +58,7 @@
     pub fn not_sent(kind: ErrorKind, detail: impl ToString) -> Self {
         Failure {
             kind,
-            progress: Progress::NotSent,
+            progress: RequestProgress::NotSent,
             detail: detail.to_string(),
         }
     }
@@ -67,7 +67,7 @@
     pub fn sent(detail: impl ToString) -> Self {
         Failure {
             kind: ErrorKind::OutcomeUnknown,
-            progress: Progress::Sent,
+            progress: RequestProgress::Sent,
             detail: detail.to_string(),
         }
     }
@@ -76,7 +76,7 @@
     pub fn undone(kind: ErrorKind, detail: impl ToString) -> Self {
         Failure {
             kind,
-            progress: Progress::ProvenUndone,
+            progress: RequestProgress::ConfirmedNotApplied,
             detail: detail.to_string(),
         }
     }
@@ -126,7 +126,7 @@
             id: self.request.request_id,
             tenant: TenantName::from(self.request.tenant.as_str()),
             weight: self.request.weight,
-            value: self.request.value,
+            priority: self.request.value,
             deadline: self.deadline,
         };
         self.pool
@@ -160,7 +160,7 @@
         let work = self.read_with_position(&mut connection);
         let (status, answer) = tokio::time::timeout(clock::until(self.deadline), work)
             .await
-            .map_err(|_| Failure::not_sent(ErrorKind::WindowTooShort, "no answer in the window"))?
+            .map_err(|_| Failure::not_sent(ErrorKind::DeadlineTooShort, "no answer in the window"))?
             .map_err(read_failure)?;
         self.monitor.observe(&self.instance, status.clone()).await;
         if answer.transaction_status == STATUS_IDLE {
--- a/crates/millwind-node/src/owner/monitor.rs
+++ b/crates/millwind-node/src/owner/monitor.rs
@@ -324,7 +324,7 @@
     type Return = Sequence;
 
     async fn handle(&mut self, _draw: DrawSequence, _context: &mut Context<Self>) -> Sequence {
-        self.tracker.draw()
+        self.tracker.next_sequence()
     }
 }
 
@@ -343,7 +343,9 @@
         self.view
             .observe(clock::now(), &observed.instance, observed.status);
         if let Some(asked) = observed.asked {
-            let decided = self.tracker.observe(&observed.instance, asked, term, received);
+            let decided = self
+                .tracker
+                .record_status(&observed.instance, asked, term, received);
             self.decide(decided);
         }
         self.publish();
@@ -365,7 +367,7 @@
                 self.group, lost.instance, lost.error
             );
         }
-        self.view.unreachable(&lost.instance);
+        self.view.mark_unreachable(&lost.instance);
         self.publish();
     }
 }
--- a/crates/millwind-node/src/owner/pool.rs
+++ b/crates/millwind-node/src/owner/pool.rs
@@ -93,7 +93,7 @@
                 if let Ok(Ok(connection)) = granted.try_recv() {
                     drop(self.slot(connection));
                 }
-                Err(ErrorKind::WindowTooShort)
+                Err(ErrorKind::DeadlineTooShort)
             }
         }
     }
@@ -237,7 +237,7 @@
         let mut expired = Vec::new();
         let next = self.queue.release(clock::now(), held_us, &mut expired);
         for id in expired {
-            self.refuse(id, ErrorKind::WindowTooShort);
+            self.refuse(id, ErrorKind::DeadlineTooShort);
         }
         if let Some(ticket) = next {
             self.grant(ticket.id);
--- a/crates/millwind-node/src/owner/service.rs
+++ b/crates/millwind-node/src/owner/service.rs
@@ -10,7 +10,7 @@
 use millwind_core::Instant;
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::outcome::Progress;
+use millwind_core::outcome::RequestProgress;
 use millwind_core::placement::owner_connection_cap;
 use millwind_core::position::TermStart;
 use millwind_core::tenant::{GroupSpec, InstanceSpec};
@@ -474,9 +474,9 @@
         Err(failure) => ExecuteResult::Failed {
             kind: failure.kind.code(),
             progress: match failure.progress {
-                Progress::NotSent => 0,
-                Progress::Sent | Progress::Answered => 1,
-                Progress::ProvenUndone => 2,
+                RequestProgress::NotSent => 0,
+                RequestProgress::Sent | RequestProgress::Answered => 1,
+                RequestProgress::ConfirmedNotApplied => 2,
             },
             detail: failure.detail,
         },
--- a/crates/millwind-node/src/pg/error_answer.rs
+++ b/crates/millwind-node/src/pg/error_answer.rs
@@ -1,6 +1,6 @@
 //! Turns an error kind into the answer a caller gets, by the one table.
 
-use millwind_core::error_kind::{Effect, ErrorKind, Repeat};
+use millwind_core::error_kind::{Effect, ErrorKind, RetryAdvice};
 use pgwire::messages::PgWireBackendMessage;
 use pgwire::messages::response::ErrorResponse;
 
@@ -21,11 +21,11 @@
 }
 
 /// The repeat advice's name in hints and logs.
-pub const fn repeat_name(repeat: Repeat) -> &'static str {
+pub const fn repeat_name(repeat: RetryAdvice) -> &'static str {
     match repeat {
-        Repeat::Yes => "yes",
-        Repeat::No => "no",
-        Repeat::WithRequestId => "with_request_id",
+        RetryAdvice::Yes => "yes",
+        RetryAdvice::No => "no",
+        RetryAdvice::WithRequestId => "with_request_id",
     }
 }
 
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -179,7 +179,7 @@
     #[bw(write_with = text::write_list)]
     pub execution: Vec<ForwardedExecution>,
     /// One if a success proves that the instance leads.
-    pub proves_leader: u8,
+    pub confirms_leader: u8,
 }
 
 /// What is lent.
