--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -1,4 +1,4 @@
-//! How instances have answered this node, and what peers say of them.
+//! Health of instances as seen by this node, and what peers report about them.
 
 use log::info;
 use millwind_core::Instant;
@@ -11,72 +11,77 @@
 use crate::clock;
 use crate::peers::Testimony;
 
-/// Weight of a new sample in the mean latency, as one part in so many.
+/// A new sample enters the moving averages of latency with weight `1 / LATENCY_WEIGHT`.
 const LATENCY_WEIGHT: u64 = 8;
-/// Assumed latency of an instance in this node's zone, in microseconds.
-const NEAR_LATENCY_US: u64 = 10_000;
-/// Assumed latency of an instance elsewhere, in microseconds.
-const FAR_LATENCY_US: u64 = 40_000;
-/// A failing instance is left alone for this long by reads, in milliseconds.
-const AVOID_MS: u64 = 400;
-/// An instance that lacked a position is left alone for this long, in
+/// Initial latency estimate for an instance in this node's zone, in microseconds.
+const SAME_ZONE_LATENCY_US: u64 = 10_000;
+/// Initial latency estimate for an instance in another zone, in microseconds.
+const OTHER_ZONE_LATENCY_US: u64 = 40_000;
+/// Time for which reads avoid an instance after a failure, in milliseconds.
+const FAILURE_AVOID_MS: u64 = 400;
+/// Time for which reads avoid an instance that lagged behind a required position, in
 /// milliseconds.
-const BEHIND_MS: u64 = 100;
+const LAGGING_AVOID_MS: u64 = 100;
 
-/// How an instance has answered this node.
+/// Health of an instance as observed by this node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Contact {
-    /// Last answer of any kind.
+    /// Time of the last response of any kind.
     pub last_success: Option<Instant>,
-    /// Since when nothing but failures were seen.
+    /// When the first request of the current run of failures was sent; none while the
+    /// instance responds.
     pub failing_since: Option<Instant>,
-    /// The last failure was a refused connection.
+    /// Whether the last failure suggests that the process is gone, as a refused or broken
+    /// connection does.
     pub is_refusing: bool,
-    /// Mean time from question to answer, in microseconds.
+    /// Moving average of statement latency, in microseconds.
     pub latency_us: u64,
-    /// Mean time of a health check, in microseconds; none before the first.
+    /// Moving average of health check latency, in microseconds; none before the first check.
     pub check_us: Option<u64>,
-    /// A peer has asked about it, and it was not heard since.
+    /// Whether a peer has reported doubts about the instance since its last response or
+    /// health check.
     pub is_doubted: bool,
-    /// How statements end there, whatever its health checks say.
+    /// Outcomes of recent statements, independent of health checks.
     pub statements: StatementHealth,
-    /// Not chosen for reads before this time.
+    /// Reads avoid the instance until this time.
     pub avoid_until: Instant,
 }
 
 impl Contact {
-    /// Since when statements are under way there and none is answered.
+    /// Since when the instance has answered none of its pending statements, once that time
+    /// exceeds the limit for its usual latency.
     pub fn unresponsive_since(&self) -> Option<Instant> {
         self.statements.unresponsive_since(clock::now(), self.latency_us)
     }
 
-    /// Whether one more statement may be sent there.
+    /// Whether one more statement may be sent to the instance.
     pub fn admits_statement(&self) -> bool {
         self.statements.admits(clock::now(), self.latency_us)
     }
 
-    /// Whether its statements hang or fail, so that others should serve.
+    /// Whether statements on the instance hang or fail, so that another should be preferred.
     pub fn is_sick(&self) -> bool {
         self.unresponsive_since().is_some() || self.statements.is_outlier(clock::now())
     }
 }
 
 impl Directory {
-    /// Peers said this of an instance.
+    /// Records what peers reported about an instance.
     pub fn heard_of(&self, instance: &InstanceName, testimony: Testimony) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.testimony = Some((clock::now(), testimony));
         }
     }
 
-    /// What peers said of an instance within the last `most_ms`.
+    /// What peers reported about an instance within the last `most_ms`.
     pub fn testimony(&self, instance: &InstanceName, most_ms: u64) -> Option<Testimony> {
         let state = self.state();
         let (heard, testimony) = state.instances.get(instance)?.testimony?;
         (clock::now().millis_since(heard) <= most_ms).then_some(testimony)
     }
 
-    /// Whether the last contacts with an instance have all failed.
+    /// Whether the most recent requests to an instance all failed; true if the instance is
+    /// unknown.
     pub fn is_failing(&self, instance: &InstanceName) -> bool {
         let state = self.state();
         state
@@ -85,12 +90,13 @@
             .is_none_or(|known| known.contact.failing_since.is_some())
     }
 
-    /// An instance is left alone by reads for a moment.
+    /// Makes reads avoid an instance for a short time.
     pub fn avoid(&self, instance: &InstanceName) {
-        self.avoid_for(instance, AVOID_MS);
+        self.avoid_for(instance, FAILURE_AVOID_MS);
     }
 
-    /// A cold instance had no place: reads leave it alone until there may be one.
+    /// Makes reads avoid a cold instance that has used up its statement rate, until more
+    /// statements may be admitted.
     pub fn avoid_while_full(&self, instance: &InstanceName) {
         self.avoid_for(instance, BORROWING.denied_pause_ms);
     }
@@ -102,14 +108,14 @@
         }
     }
 
-    /// A question to `instance` is under way.
+    /// Records that a statement was sent to `instance`.
     pub fn asked(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.statements.sent(clock::now());
         }
     }
 
-    /// A question to `instance` ended; `latency_us` if it was a statement's.
+    /// Records a response of `instance`; `latency_us` is set if it answers a statement.
     pub fn answered(&self, instance: &InstanceName, latency_us: Option<u64>) {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
@@ -128,14 +134,14 @@
         }
     }
 
-    /// A health check of `instance` begins.
+    /// Records that a health check of `instance` starts.
     pub fn checking(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.is_doubted = false;
         }
     }
 
-    /// A health check of `instance` took `micros`.
+    /// Records that a health check of `instance` took `micros`.
     pub fn checked(&self, instance: &InstanceName, micros: u64) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             let mean = known.contact.check_us.unwrap_or(micros);
@@ -143,21 +149,22 @@
         }
     }
 
-    /// A peer has doubts about `instance`.
+    /// Records that a peer has doubts about `instance`.
     pub fn doubt(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.is_doubted = true;
         }
     }
 
-    /// A statement on `instance` is no longer under way.
+    /// Records that a statement on `instance` is no longer pending.
     pub fn settled(&self, instance: &InstanceName, was_answered: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.statements.ended(was_answered);
         }
     }
 
-    /// A statement on `instance` succeeded, or failed where it should not.
+    /// Records the outcome of a statement on `instance`: a success, or a failure that counts
+    /// against the instance.
     pub fn statement_ended(&self, instance: &InstanceName, succeeded: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             let statements = &mut known.contact.statements;
@@ -169,7 +176,8 @@
         }
     }
 
-    /// This process stood still: silence meanwhile says nothing of instances.
+    /// Restarts the measurement of silence for all instances after this process was
+    /// suspended.
     pub fn forgive_silence(&self) {
         let now = clock::now();
         for known in self.state().instances.values_mut() {
@@ -177,14 +185,15 @@
         }
     }
 
-    /// A question sent to `instance` at `asked` came to nothing.
+    /// Records that a request sent to `instance` at `asked` failed. A response that arrived
+    /// after `asked` outweighs the failure.
     pub fn failed(&self, instance: &InstanceName, asked: Instant, is_refusing: bool) {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
         let contact = &mut known.contact;
-        contact.avoid_until = clock::now().plus_millis(AVOID_MS);
+        contact.avoid_until = clock::now().plus_millis(FAILURE_AVOID_MS);
         if contact.last_success.is_some_and(|success| success > asked) {
             return;
         }
@@ -194,24 +203,29 @@
         contact.failing_since.get_or_insert(asked);
         contact.is_refusing = is_refusing;
         if is_refusing {
-            state.doubt_life(instance);
+            state.discard_announcements(instance);
         }
     }
 
-    /// `instance` lacked a position that a read needs.
+    /// Makes reads avoid `instance`, which lagged behind the position that a read requires.
     pub fn behind(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.avoid_until = clock::now().plus_millis(BEHIND_MS);
+            known.contact.avoid_until = clock::now().plus_millis(LAGGING_AVOID_MS);
         }
     }
 
-    pub(super) fn new_contact(&self, record: &InstanceRecord) -> Contact {
-        let is_near = record.zone.as_str() == self.zone;
+    /// The initial health of the instance of `record`, before any request was sent.
+    pub(super) fn initial_contact(&self, record: &InstanceRecord) -> Contact {
+        let is_same_zone = record.zone.as_str() == self.zone;
         Contact {
             last_success: None,
             failing_since: None,
             is_refusing: false,
-            latency_us: if is_near { NEAR_LATENCY_US } else { FAR_LATENCY_US },
+            latency_us: if is_same_zone {
+                SAME_ZONE_LATENCY_US
+            } else {
+                OTHER_ZONE_LATENCY_US
+            },
             check_us: None,
             is_doubted: false,
             statements: StatementHealth::default(),
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the zones that operators have asked to be emptied.
+//! Zones that operators have requested to evacuate, as known to this node.
 
 use log::info;
 use millwind_core::Instant;
@@ -11,7 +11,7 @@
 use crate::clock;
 
 impl Directory {
-    /// Takes in all requests to evacuate a zone that the store held at `revision`.
+    /// Applies the complete list of evacuation requests that the store held at `revision`.
     pub fn apply_evacuations(
         &self,
         requests: &[DatedEvacuation],
@@ -20,7 +20,7 @@
         self.change_evacuations(|evacuations, now| evacuations.apply_dated(requests, revision, now))
     }
 
-    /// Takes in requests that a watch of the store told as changed.
+    /// Applies changes of evacuation requests reported by a watch of the store.
     pub fn apply_evacuation_events(&self, events: &[EvacuationEvent]) -> EvacuationChange {
         self.change_evacuations(|evacuations, now| evacuations.apply_events(events, now))
     }
@@ -33,10 +33,10 @@
         let (change, after) = {
             let mut state = self.state();
             let change = apply(&mut state.evacuations, now);
-            // Under the same lock: nobody may see a zone in use whose instances are
-            // not cold yet.
+            // The instances become cold under the same lock, so that no reader sees the zone
+            // in use while its instances still count as warm.
             for zone in &change.taken_back {
-                state.zone_unused_until(zone, now);
+                state.mark_zone_cold(zone, now);
             }
             (change, state.evacuations.clone())
         };
@@ -61,14 +61,14 @@
         change
     }
 
-    /// Since when the evacuation of a zone may have been asked for; none where it is not
-    /// being evacuated.
+    /// The earliest time at which the evacuation of a zone may have been requested; none if
+    /// the zone is not being evacuated.
     pub fn evacuated_since(&self, zone: &ZoneName) -> Option<Instant> {
         self.state().evacuations.since(zone)
     }
 
-    /// When this node heard that a zone may be used again: its instances were not used
-    /// meanwhile, and count as cold from then on.
+    /// When this node learnt that the evacuation of a zone was cancelled. The instances of the
+    /// zone count as cold from that time on.
     pub fn returned_from_evacuation_at(&self, zone: &ZoneName) -> Option<Instant> {
         self.state().evacuations.returned_at(zone)
     }
@@ -78,7 +78,7 @@
         self.state().evacuations.clone()
     }
 
-    /// Tells of each change of the evacuated zones.
+    /// Subscribes to the number of changes to the evacuated zones.
     pub fn evacuation_changes(&self) -> watch::Receiver<u64> {
         self.evacuation_changes.subscribe()
     }
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -1,4 +1,5 @@
-//! Lives of instances: what ends when one begins anew under the name that it had.
+//! Incarnations of instances: which state is discarded when an instance restarts under the
+//! same name.
 
 use log::info;
 use millwind_core::Instant;
@@ -10,46 +11,50 @@
 use crate::catalog::InstanceRecord;
 use crate::clock;
 
-/// A leader that began anew without the log of its former life leads nothing for this
-/// time, in milliseconds: enough to promote a replica that holds the log. After that
-/// nobody is left who does, and what is there is better than nothing.
-const FORMER_LOG_MS: u64 = 10_000;
+/// Time for which a leader that restarted without its previous log is not accepted, in
+/// milliseconds. It leaves time to promote a replica that holds the log; after that the
+/// restarted leader is accepted, so that the group stays available.
+const PREVIOUS_LOG_WAIT_MS: u64 = 10_000;
 
-/// A leader that was told to step down, and did.
+/// A leader that has confirmed its step-down.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct SteppedDown {
     pub instance: InstanceName,
     pub term: Term,
 }
 
-/// What the log of an instance's former life held, which may have led.
+/// Log position that a restarted instance may have reached as leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct FormerLog {
+pub(super) struct PreviousLog {
     position: Position,
     until: Instant,
 }
 
 impl Group {
-    /// The newest term whose leader has told this node that it leads no longer.
+    /// The newest term whose leader has confirmed its step-down; zero if there is none.
     pub(super) fn stepped_down_term(&self) -> Term {
-        self.stepped_down.as_ref().map_or(Term(0), |told| told.term)
+        self.stepped_down
+            .as_ref()
+            .map_or(Term(0), |step_down| step_down.term)
     }
 
-    /// What `instance` has told of its lead holds no longer.
-    pub(super) fn end_life(&mut self, instance: &InstanceName) {
-        self.told_terms.remove(instance);
-        self.void_step_down(instance);
+    /// Discards the announced term, the step-down and the presumed leadership of `instance`.
+    pub(super) fn discard_lead_state(&mut self, instance: &InstanceName) {
+        self.announced_terms.remove(instance);
+        self.discard_step_down(instance);
         self.leader.take_if(|leader| leader.instance == *instance);
     }
 
-    /// A process that begins anew has forgotten that it was told to step down: it leads
-    /// its old term again unless another was promoted meanwhile.
-    fn void_step_down(&mut self, instance: &InstanceName) {
-        self.stepped_down.take_if(|told| told.instance == *instance);
+    /// Discards the step-down of `instance`. A restarted process has lost its step-down and
+    /// leads its old term again unless another instance was promoted.
+    fn discard_step_down(&mut self, instance: &InstanceName) {
+        self.stepped_down
+            .take_if(|step_down| step_down.instance == *instance);
     }
 
-    /// `instance` began anew, by its record as a leader (`claims_lead`) or a replica.
-    fn begin_life(&mut self, instance: &InstanceName, claims_lead: bool) {
+    /// Discards the state of the previous incarnation of `instance`, whose new record claims
+    /// leadership or not (`claims_lead`).
+    fn start_incarnation(&mut self, instance: &InstanceName, claims_lead: bool) {
         let led = self
             .leader
             .as_ref()
@@ -57,64 +62,68 @@
         let newest = self.observations.newest().filter(|_| led);
         if let Some(newest) = newest {
             let now = clock::now();
-            self.former_logs.retain(|_, former| now < former.until);
-            let former = FormerLog {
+            self.previous_logs.retain(|_, previous| now < previous.until);
+            let previous = PreviousLog {
                 position: newest.position,
-                until: now.plus_millis(FORMER_LOG_MS),
+                until: now.plus_millis(PREVIOUS_LOG_WAIT_MS),
             };
-            self.former_logs.insert(instance.clone(), former);
+            self.previous_logs.insert(instance.clone(), previous);
         }
-        self.end_life(instance);
-        // A replica leads again only by a promotion, and then tells a later term.
+        self.discard_lead_state(instance);
+        // A replica becomes leader only by a promotion, which gives it a later term.
         if !claims_lead {
             self.retired.take_if(|retired| retired == instance);
         }
     }
 
-    /// Whether `instance`, which answers as the leader of `term`, lacks what it held in
-    /// its former life as the leader of the same term.
-    pub(super) fn lacks_former_log(&self, instance: &InstanceName, term: Term, position: Position) -> bool {
-        self.former_logs.get(instance).is_some_and(|former| {
-            let is_same_lead = term <= former.position.term;
-            is_same_lead && position < former.position && clock::now() < former.until
+    /// Whether `instance`, which answers as leader of `term` at `position`, has lost log that
+    /// its previous incarnation held in this term or a later one.
+    pub(super) fn lacks_previous_log(&self, instance: &InstanceName, term: Term, position: Position) -> bool {
+        self.previous_logs.get(instance).is_some_and(|previous| {
+            let is_no_later_term = term <= previous.position.term;
+            is_no_later_term && position < previous.position && clock::now() < previous.until
         })
     }
 }
 
-/// Nothing that is believed of the former life of an instance holds for the one that
-/// wrote `record`: how it answers, what peers said of it, whether it leads and what it
-/// has told of its terms. What ends with a life outside of the directory (connections)
-/// is ended by the caller.
-pub(super) fn begin_life(state: &mut State, former: &Known, record: &InstanceRecord, evidence: LifeEvidence) {
+/// Discards the group state of the previous incarnation of the instance that wrote
+/// `record`: presumed leadership, announced terms and step-down. The caller replaces the
+/// state of the instance itself and closes its connections.
+pub(super) fn start_incarnation(
+    state: &mut State,
+    previous: &Known,
+    record: &InstanceRecord,
+    evidence: LifeEvidence,
+) {
     let name = &record.name;
     info!(
         "event=instance_life_began instance={name} group={} evidence={} previous={} new={} former_age_ms={} claims_lead={}",
         record.group,
         evidence.name(),
-        shown(&former.record),
-        shown(record),
-        clock::now().millis_since(former.heard),
+        incarnation_label(&previous.record),
+        incarnation_label(record),
+        clock::now().millis_since(previous.heard),
         record.claims_lead
     );
-    if former.record.group != record.group
-        && let Some(group) = state.groups.get_mut(&former.record.group)
+    if previous.record.group != record.group
+        && let Some(group) = state.groups.get_mut(&previous.record.group)
     {
-        group.end_life(name);
+        group.discard_lead_state(name);
     }
     if let Some(group) = state.groups.get_mut(&record.group) {
-        group.begin_life(name, record.claims_lead);
+        group.start_incarnation(name, record.claims_lead);
     }
 }
 
-fn shown(record: &InstanceRecord) -> String {
+fn incarnation_label(record: &InstanceRecord) -> String {
     record
         .incarnation
-        .map_or_else(|| "untold".to_owned(), |incarnation| incarnation.to_string())
+        .map_or_else(|| "unknown".to_owned(), |incarnation| incarnation.to_string())
 }
 
 impl State {
-    /// Whether a question to `instance` that was asked at `asked` was answered by the
-    /// life that is known now.
+    /// Whether the response to a request sent to `instance` at `asked` comes from the current
+    /// incarnation.
     pub(super) fn is_of_present_life(&self, instance: &InstanceName, asked: Instant) -> bool {
         let known = self.instances.get(instance);
         known
@@ -122,35 +131,35 @@
             .is_none_or(|began| asked > began)
     }
 
-    /// Whether `group` has another instance that may hold what `instance` lacks.
+    /// Whether `group` has another instance whose record is present in the store.
     pub(super) fn has_other_member(&self, group: &GroupName, instance: &InstanceName) -> bool {
         let members = self.members.get(group).into_iter().flatten();
         let mut others = members.filter(|name| *name != instance);
         others.any(|name| self.instances.get(name).is_some_and(|known| !known.is_gone))
     }
 
-    /// The process of `instance` may have ended: what it told of its terms may be
-    /// forgotten by the one that answers next.
-    pub(super) fn doubt_life(&mut self, instance: &InstanceName) {
+    /// Discards the announced term and the step-down of `instance`, whose process may have
+    /// ended. A new process at the same address would not know them.
+    pub(super) fn discard_announcements(&mut self, instance: &InstanceName) {
         let Some(known) = self.instances.get(instance) else {
             return;
         };
         if let Some(group) = self.groups.get_mut(&known.record.group) {
-            group.told_terms.remove(instance);
-            group.void_step_down(instance);
+            group.announced_terms.remove(instance);
+            group.discard_step_down(instance);
         }
     }
 }
 
 impl Directory {
-    /// Whether what `instance` answered to a question asked at `asked` tells of the life
-    /// that is known now.
+    /// Whether the response to a request sent to `instance` at `asked` comes from the current
+    /// incarnation.
     pub fn is_of_present_life(&self, instance: &InstanceName, asked: Instant) -> bool {
         self.state().is_of_present_life(instance, asked)
     }
 
-    /// Since when the present life of an instance is known; none for the first that
-    /// this node has seen.
+    /// When this node first saw the current incarnation of an instance; none for the first
+    /// incarnation that this node has seen.
     pub fn life_began(&self, instance: &InstanceName) -> Option<Instant> {
         self.state().instances.get(instance)?.life_began
     }
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -1,14 +1,14 @@
-//! What this node believes: the configuration, the instances, who leads each
-//! group, what the leaders reported, and how each instance answers.
+//! This node's view of the cluster: the configuration, the instances, the leader of
+//! each group, the log positions that leaders reported, and the health of each instance.
 
 mod changes;
 mod contact;
-mod departures;
 mod evacuation;
 mod lives;
 mod permits;
+mod removals;
 mod usage;
-mod warmth;
+mod warm_up;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -30,97 +30,97 @@
 use crate::logging::LineLimit;
 use crate::peers::Testimony;
 
-use warmth::sight_of;
+use warm_up::observe_warm_up;
 
 pub use contact::Contact;
-use lives::{FormerLog, SteppedDown, begin_life};
+use lives::{PreviousLog, SteppedDown, start_incarnation};
 
-/// Lines about single instances' records at most: a node of a fleet that starts learns of
-/// 3,000 instances within seconds, and so do all others; some 4,000 lines from each of 985
-/// nodes tell no more than their count.
-const BELIEF_LINES_PER_SECOND: u64 = 20;
+/// Most log lines per second about the records of single instances. A starting node reads
+/// the records of all instances within seconds.
+const INSTANCE_LINES_PER_SECOND: u64 = 20;
 
-/// An instance with what is known of it.
+/// What this node knows about one instance.
 #[derive(Debug, Clone)]
 pub struct Known {
-    /// Its own record.
+    /// The instance's record, as last read.
     pub record: Arc<InstanceRecord>,
-    /// When its record last changed in the store, as seen here.
+    /// When this node last received the record.
     pub heard: Instant,
-    /// Since when it is known to leave, or to be gone from the store.
+    /// When this node learnt that the instance is leaving or that its record was removed.
     pub leaving_since: Option<Instant>,
-    /// Its record is gone from the store.
+    /// Whether the record was removed from the store.
     pub is_gone: bool,
-    /// What lies under its key cannot be read: nobody says that it may be used.
-    pub is_disowned: bool,
-    /// It gets no new work: it announced its end, is disowned, or its record has been
-    /// gone for longer than one that merely missed its heartbeats.
+    /// Whether the value under the instance's key could not be decoded.
+    pub is_undecodable: bool,
+    /// Whether the instance gets no new work: it announced its shutdown, its record cannot
+    /// be decoded, or the record has been absent for longer than the grace period.
     pub is_leaving: bool,
-    /// How it has answered.
+    /// How the instance has responded to this node.
     pub contact: Contact,
-    /// What peers said of it, and when.
+    /// What peers last reported about the instance, and when.
     pub testimony: Option<(Instant, Testimony)>,
-    /// What was seen of this life that tells whether it is warm.
+    /// Observations of the current incarnation from which `warmth` is computed.
     sight: Sight,
-    /// Whether it is warm.
+    /// Whether the instance is warm.
     pub warmth: Warmth,
-    /// Since when this life of the instance is known; none for the first one.
+    /// When this node first saw the current incarnation; none for the first incarnation
+    /// that this node has seen.
     pub life_began: Option<Instant>,
 }
 
 impl Known {
-    /// Whether `record` tells nothing but that the instance lives on.
-    fn is_heartbeat(&self, record: &InstanceRecord) -> bool {
-        let is_life_same = began_anew(&self.record.life_signs(), &record.life_signs()).is_none();
-        let is_used = !self.is_gone && !self.is_disowned;
-        is_used && is_life_same && self.record.says_but_for_heartbeat(record)
+    /// Whether `record` differs from the known record at most in its heartbeat.
+    fn differs_only_in_heartbeat(&self, record: &InstanceRecord) -> bool {
+        let is_same_incarnation = began_anew(&self.record.life_signs(), &record.life_signs()).is_none();
+        let is_usable = !self.is_gone && !self.is_undecodable;
+        is_usable && is_same_incarnation && self.record.says_but_for_heartbeat(record)
     }
 }
 
-/// What an instance's record changed.
+/// How a record that was read differs from the one known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RecordChange {
-    /// More than its heartbeat.
+    /// Something other than the heartbeat changed.
     pub has_changed: bool,
-    /// The instance was not known, or was gone.
+    /// The instance was unknown, or its record had been removed.
     pub is_new: bool,
-    /// The instance began anew under its name.
+    /// The instance restarted under the same name.
     pub has_begun_anew: bool,
 }
 
-/// Who is believed to lead a group.
+/// The presumed leader of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leader {
     /// The instance.
     pub instance: InstanceName,
-    /// Its term, once it has proved it.
+    /// The leader's term; none until the leader has proved it by an answer.
     pub term: Option<Term>,
 }
 
 /// The last commit of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Written {
-    /// Its position.
+    /// Log position of the commit.
     pub position: Position,
-    /// A time after it was acknowledged.
+    /// A time at or after the acknowledgement of the commit.
     pub acknowledged: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Group {
     leader: Option<Leader>,
-    /// Where promotions don't fence: the terms that are closed.
+    /// Closed terms; used only where promotions don't fence the old leader.
     closed_terms: ClosedTerms,
-    /// Terms that instances have said they lead, where their logs don't show it:
-    /// a new leader's log stands in an earlier term until its first commit.
-    told_terms: HashMap<InstanceName, Term>,
-    /// The leader of the newest term that has told this node that it leads no longer.
+    /// Terms that instances have announced as leader. A new leader's log is still in an
+    /// earlier term until its first commit, so its position does not show the term.
+    announced_terms: HashMap<InstanceName, Term>,
+    /// The leader of the newest term that has confirmed its step-down to this node.
     stepped_down: Option<SteppedDown>,
-    /// What instances that may have led held before they began anew, until one has
-    /// proved its lead.
-    former_logs: HashMap<InstanceName, FormerLog>,
-    /// The leader whose term was closed last: its word that it leads is not
-    /// believed without proof of a later term.
+    /// Last known log positions of possible leaders before they restarted; cleared once
+    /// an instance has proved its leadership.
+    previous_logs: HashMap<InstanceName, PreviousLog>,
+    /// The leader of the term that was closed last. Its claim to lead is ignored until it
+    /// proves a later term.
     retired: Option<InstanceName>,
     observations: LeaderObservations,
     last_use: Option<Instant>,
@@ -132,25 +132,25 @@
 struct State {
     config: Option<Arc<ConfigSnapshot>>,
     instances: BTreeMap<InstanceName, Known>,
-    /// Instances by group: a group's are looked up with every statement.
+    /// Index of `instances` by group; read for every statement.
     members: HashMap<GroupName, BTreeSet<InstanceName>>,
-    /// Groups that changed since the watch list last took them in.
+    /// Groups that changed since the last call of `take_changed_groups`.
     changed_groups: HashSet<GroupName>,
-    /// Version of the configuration whose groups all have an instance that says that it
-    /// leads; none where some have none, or that is not known.
-    claims_checked_for: Option<u64>,
-    /// A group that was last found without one.
-    unclaimed: Option<GroupName>,
-    has_listing: bool,
-    store_heard: Option<Instant>,
-    /// Everything that the store held of closed terms at this time is known.
-    terms_confirmed: Option<Instant>,
-    /// Since when this node is registered, so that a promoter asks it for its
-    /// permits; news of before give it none.
+    /// Version of the configuration for which every group was found to have an instance
+    /// that claims leadership; none if that is not the case or was not checked.
+    fully_claimed_version: Option<u64>,
+    /// The group without such an instance that the last check found.
+    unclaimed_group: Option<GroupName>,
+    has_instance_listing: bool,
+    last_store_contact: Option<Instant>,
+    /// Time as of which this node knows all closed terms in the store.
+    closed_terms_confirmed: Option<Instant>,
+    /// When this node was registered. A promoter revokes permits only from registered
+    /// nodes, so closed terms that were confirmed earlier give no permit.
     registered_since: Option<Instant>,
     evacuations: Evacuations,
-    /// This node ends and takes no permits any more.
-    is_ending: bool,
+    /// Whether this node is shutting down and acquires no more permits.
+    is_shutting_down: bool,
     groups: HashMap<GroupName, Group>,
 }
 
@@ -173,32 +173,32 @@
     }
 }
 
-/// Beliefs of a node.
+/// This node's view of the cluster, shared by all of its tasks.
 #[derive(Debug)]
 pub struct Directory {
     zone: String,
     gone_grace_ms: u64,
-    /// A promotion takes the lead from the old leader by itself.
+    /// Whether a promotion fences the old leader.
     is_fenced: bool,
     state: Mutex<State>,
     leaders_changed: Notify,
     observed: Notify,
     completed: Notify,
-    /// Version of the configuration in force, zero before the first.
+    /// Version of the active configuration; zero before the first one.
     config_version: watch::Sender<u64>,
-    /// Counts the changes of evacuated zones.
+    /// Number of changes to the set of evacuated zones.
     evacuation_changes: watch::Sender<u64>,
-    /// For lines about single instances' records.
-    belief_lines: LineLimit,
+    /// Limits log lines about the records of single instances.
+    instance_lines: LineLimit,
 }
 
 impl Directory {
-    /// Nothing is known yet.
+    /// Returns an empty directory for a node in `zone`.
     ///
-    /// A record that goes without an announcement counts as leaving after
-    /// `gone_grace_ms`: a store that was out takes records back that are
-    /// written again with the next heartbeat. Unless promotions fence
-    /// (`is_fenced`), a leader's answers count only under a permit.
+    /// An instance whose record disappears without an announced shutdown counts as leaving
+    /// only after `gone_grace_ms`: an outage of the store can drop records that the next
+    /// heartbeat writes again. Unless promotions fence the old leader (`is_fenced`), a
+    /// leader's answers count only under a permit.
     pub fn new(zone: &str, gone_grace_ms: u64, is_fenced: bool) -> Self {
         Directory {
             zone: zone.to_owned(),
@@ -210,7 +210,7 @@
             completed: Notify::new(),
             config_version: watch::Sender::new(0),
             evacuation_changes: watch::Sender::new(0),
-            belief_lines: LineLimit::new("instances", BELIEF_LINES_PER_SECOND),
+            instance_lines: LineLimit::new("instances", INSTANCE_LINES_PER_SECOND),
         }
     }
 
@@ -218,22 +218,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Zone of this node.
+    /// The zone of this node.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// The configuration in force.
+    /// The active configuration; none before the first one was applied.
     pub fn config(&self) -> Option<Arc<ConfigSnapshot>> {
         self.state().config.clone()
     }
 
-    /// Version of the configuration in force, as it changes.
+    /// Subscribes to the version of the active configuration.
     pub fn config_versions(&self) -> watch::Receiver<u64> {
         self.config_version.subscribe()
     }
 
-    /// Puts a configuration in force unless a newer one is; true if it changed.
+    /// Activates `config` unless the active configuration is as new or newer. Returns whether
+    /// the configuration was activated.
     pub fn apply_config(&self, config: ConfigSnapshot, origin: &ConfigOrigin) -> bool {
         let version = config.version;
         {
@@ -258,14 +259,15 @@
         true
     }
 
-    /// Whether enough is known to serve callers.
+    /// Whether the configuration, the instances and the evacuated zones are known, as is
+    /// required to serve callers.
     pub fn is_complete(&self) -> bool {
         let state = self.state();
-        state.config.is_some() && state.has_listing && state.evacuations.is_known()
+        state.config.is_some() && state.has_instance_listing && state.evacuations.is_known()
     }
 
-    /// Waits until more is known of the configuration or the instances, or
-    /// until `deadline`.
+    /// Waits for an update of the configuration, the instances or the evacuated zones, or
+    /// until `deadline`. Returns at once if the directory is complete.
     pub async fn completed(&self, deadline: Instant) {
         let completed = self.completed.notified();
         if !self.is_complete() {
@@ -273,21 +275,21 @@
         }
     }
 
-    /// Limits of a group; none if it is not configured.
+    /// The limits of a group; none if the group is not configured.
     pub fn group_limits(&self, group: &GroupName) -> Option<GroupLimits> {
         let config = self.config()?;
         config.groups.get(group).copied()
     }
 
-    /// Takes in an instance's record as the store holds it now. A life begun anew leads
-    /// only once it has proved it, whatever its record says.
+    /// Applies the current record of an instance. A restarted instance is not presumed to
+    /// lead until it proves its term, even if the record claims leadership.
     pub fn apply_record(&self, record: InstanceRecord) -> RecordChange {
         let now = clock::now();
         let mut state = self.state();
         if let Some(known) = state.instances.get_mut(&record.name)
-            && known.is_heartbeat(&record)
+            && known.differs_only_in_heartbeat(&record)
         {
-            known.sight = sight_of(Some(known), false, &record, now);
+            known.sight = observe_warm_up(Some(known), false, &record, now);
             known.record = Arc::new(record);
             known.heard = now;
             return RecordChange::default();
@@ -300,17 +302,17 @@
         let has_changed =
             is_new || previous.is_some_and(|known| !known.record.says_but_for_heartbeat(&record));
         if has_changed {
-            state.group_changed(&record.group);
+            state.mark_group_changed(&record.group);
         }
-        if has_changed && self.belief_lines.admit() {
+        if has_changed && self.instance_lines.admit() {
             info!(
                 "event=instance_seen instance={} group={} address={} zone={} leaving={} claims_lead={}",
                 record.name, record.group, record.address, record.zone, record.is_leaving, record.claims_lead
             );
         }
-        let same_life = previous.filter(|_| began.is_none());
-        let leaving_before = same_life.and_then(|known| known.leaving_since);
-        let sight = sight_of(previous, began.is_some(), &record, now);
+        let same_incarnation = previous.filter(|_| began.is_none());
+        let leaving_before = same_incarnation.and_then(|known| known.leaving_since);
+        let sight = observe_warm_up(previous, began.is_some(), &record, now);
         let name = record.name.clone();
         let group = record.group.clone();
         let newly_claims = record.claims_lead && !claimed_before;
@@ -320,12 +322,12 @@
             (false, _) => None,
         };
         if let (Some(evidence), Some(former)) = (began, previous) {
-            begin_life(&mut state, former, &record, evidence);
+            start_incarnation(&mut state, former, &record, evidence);
             self.leaders_changed.notify_waiters();
         }
         let known = Known {
-            contact: same_life.map_or_else(|| self.new_contact(&record), |known| known.contact),
-            testimony: same_life.and_then(|known| known.testimony),
+            contact: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.contact),
+            testimony: same_incarnation.and_then(|known| known.testimony),
             life_began: match began {
                 Some(_) => Some(now),
                 None => previous.and_then(|known| known.life_began),
@@ -334,7 +336,7 @@
             heard: now,
             leaving_since,
             is_gone: false,
-            is_disowned: false,
+            is_undecodable: false,
             is_leaving: false,
             sight,
             warmth: Warmth::Warm,
@@ -342,9 +344,9 @@
         state.insert(known);
         if began.is_none() {
             if newly_claims {
-                self.claimed(&mut state, &group, &name);
+                self.apply_lead_claim(&mut state, &group, &name);
             } else if claimed_before {
-                demoted_by_record(&mut state, &group, &name);
+                withdraw_lead_claim(&mut state, &group, &name);
             }
         }
         RecordChange {
@@ -354,15 +356,15 @@
         }
     }
 
-    /// An instance newly says that it leads: believed unless another one has
-    /// proved it and still claims it.
-    fn claimed(&self, state: &mut State, group: &GroupName, instance: &InstanceName) {
+    /// Makes `instance` the presumed leader after its record began to claim leadership,
+    /// unless it led the term that was closed last.
+    fn apply_lead_claim(&self, state: &mut State, group: &GroupName, instance: &InstanceName) {
         let entry = state.groups.entry(group.clone()).or_default();
         let current = entry.leader.as_ref().map(|leader| leader.instance.clone());
         if current.as_ref() == Some(instance) || entry.retired.as_ref() == Some(instance) {
             return;
         }
-        if self.belief_lines.admit() {
+        if self.instance_lines.admit() {
             info!(
                 "event=leader_claimed group={group} instance={instance} previous={}",
                 current.as_ref().map_or("none", |name| name.as_str())
@@ -372,38 +374,39 @@
             instance: instance.clone(),
             term: None,
         });
-        state.group_changed(group);
+        state.mark_group_changed(group);
         self.leaders_changed.notify_waiters();
     }
 
-    /// The store answered about instances.
+    /// Records that the store answered a request about instances.
     pub fn store_heard(&self) {
-        self.state().store_heard = Some(clock::now());
+        self.state().last_store_contact = Some(clock::now());
     }
 
-    /// When the store last answered about instances.
+    /// When the store last answered a request about instances.
     pub fn last_store_contact(&self) -> Option<Instant> {
-        self.state().store_heard
+        self.state().last_store_contact
     }
 
-    /// All instances are known, from a peer.
+    /// Records that a peer has sent the complete list of instances.
     pub fn listing_known(&self) {
-        self.state().has_listing = true;
+        self.state().has_instance_listing = true;
         self.completed.notify_waiters();
     }
 
-    /// An instance with what is known of it.
+    /// What is known about `instance`; none if the instance is unknown.
     pub fn instance(&self, instance: &InstanceName) -> Option<Known> {
         let state = self.state();
         state
             .instances
             .get(instance)
-            .map(|known| self.as_of_now(&state, known))
+            .map(|known| self.evaluated_now(&state, known))
     }
 
-    fn as_of_now(&self, state: &State, known: &Known) -> Known {
+    /// Returns a copy of `known` with the fields that depend on the current time computed.
+    fn evaluated_now(&self, state: &State, known: &Known) -> Known {
         let now = clock::now();
-        let is_announced = known.record.is_leaving || known.is_disowned;
+        let is_announced = known.record.is_leaving || known.is_undecodable;
         let is_over = |since: Instant| now.millis_since(since) >= self.gone_grace_ms;
         Known {
             is_leaving: is_announced || (known.is_gone && known.leaving_since.is_some_and(is_over)),
@@ -412,40 +415,42 @@
         }
     }
 
-    /// The instances of a group.
+    /// All known instances of a group.
     pub fn instances_of(&self, group: &GroupName) -> Vec<Known> {
         let state = self.state();
         let members = state.members.get(group).into_iter().flatten();
         members
             .filter_map(|name| state.instances.get(name))
-            .map(|known| self.as_of_now(&state, known))
+            .map(|known| self.evaluated_now(&state, known))
             .collect()
     }
 
-    /// All instances.
+    /// All known instances.
     pub fn instances(&self) -> Vec<Known> {
         let state = self.state();
         state
             .instances
             .values()
-            .map(|known| self.as_of_now(&state, known))
+            .map(|known| self.evaluated_now(&state, known))
             .collect()
     }
 
-    /// Who is believed to lead a group.
+    /// The presumed leader of a group.
     pub fn leader(&self, group: &GroupName) -> Option<Leader> {
         self.state().groups.get(group)?.leader.clone()
     }
 
-    /// Waits until the belief about leaders changes, or until `deadline`.
+    /// Waits until the presumed leader of any group changes, or until `deadline`.
     pub async fn leaders_changed(&self, deadline: Instant) {
         let changed = self.leaders_changed.notified();
         let _ = tokio::time::timeout_at(clock::deadline(deadline), changed).await;
     }
 
-    /// `instance` answered a question sent at `asked` as the leader of its term,
-    /// with its log at `position`; false if that proves nothing, since the
-    /// permit for the term is not good.
+    /// Records that `instance` answered a request sent at `asked` as leader, with its log
+    /// at `position`. Returns false if the answer must not be used: there is no valid permit
+    /// for the term, the instance restarted without its previous log and the group has other
+    /// instances, or, where promotions don't fence, the answer comes from an earlier
+    /// incarnation.
     pub fn leader_proved(
         &self,
         group: &GroupName,
@@ -455,15 +460,15 @@
     ) -> bool {
         let mut state = self.state();
         if !state.is_of_present_life(instance, asked) {
-            // It counts as an answer, and tells nothing of the one that lives now.
+            // The answer is valid but proves nothing about the current incarnation.
             return self.is_fenced;
         }
-        let term = led_term(&state, group, instance, position);
-        if !self.permit_in(&state, group, term).covers_answer() {
+        let term = leader_term(&state, group, instance, position);
+        if !self.permit_for_term(&state, group, term).covers_answer() {
             return false;
         }
         let entry = state.groups.get(group);
-        let lacks_log = entry.is_some_and(|entry| entry.lacks_former_log(instance, term, position));
+        let lacks_log = entry.is_some_and(|entry| entry.lacks_previous_log(instance, term, position));
         if lacks_log && state.has_other_member(group, instance) {
             info!(
                 "event=leader_lacks_former_log group={group} instance={instance} term={term} position={}:{}",
@@ -482,7 +487,7 @@
             return true;
         }
         entry.retired = None;
-        entry.former_logs.clear();
+        entry.previous_logs.clear();
         let leader = Leader {
             instance: instance.clone(),
             term: Some(term),
@@ -499,44 +504,45 @@
             position.term, position.log_position.0
         );
         entry.leader = Some(leader);
-        state.group_changed(group);
+        state.mark_group_changed(group);
         if is_other {
             self.leaders_changed.notify_waiters();
         }
         true
     }
 
-    /// `instance` denied that it leads.
+    /// Clears the presumed leader of `group` if that is `instance`, which has denied leadership.
     pub fn leader_denied(&self, group: &GroupName, instance: &InstanceName) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
-        let is_believed = entry
+        let is_presumed_leader = entry
             .leader
             .as_ref()
             .is_some_and(|leader| leader.instance == *instance);
-        if is_believed {
+        if is_presumed_leader {
             info!("event=leader_denied group={group} instance={instance}");
             entry.leader = None;
-            state.group_changed(group);
+            state.mark_group_changed(group);
         }
     }
 
-    /// The newest position that a leader of the group has proved.
+    /// The newest recorded position of a leader of the group.
     pub fn newest_observation(&self, group: &GroupName) -> Option<LeaderObservation> {
         self.state().groups.get(group)?.observations.newest()
     }
 }
 
-/// The term in which an instance leads that answers as a leader with its log at
-/// `position`: the log's, or a later one that it has told.
-fn led_term(state: &State, group: &GroupName, instance: &InstanceName, position: Position) -> Term {
+/// The term of a leader whose log is at `position`: the term of the log, or a later one
+/// that the instance has announced.
+fn leader_term(state: &State, group: &GroupName, instance: &InstanceName, position: Position) -> Term {
     let entry = state.groups.get(group);
-    let told = entry.and_then(|entry| entry.told_terms.get(instance));
-    told.map_or(position.term, |told| position.term.max(*told))
+    let announced = entry.and_then(|entry| entry.announced_terms.get(instance));
+    announced.map_or(position.term, |announced| position.term.max(*announced))
 }
 
-/// An instance no longer says that it leads.
-fn demoted_by_record(state: &mut State, group: &GroupName, instance: &InstanceName) {
+/// Clears the presumed leader of `group` if it is `instance` and its record no longer
+/// claims leadership.
+fn withdraw_lead_claim(state: &mut State, group: &GroupName, instance: &InstanceName) {
     let still_claims = state
         .instances
         .get(instance)
@@ -547,11 +553,11 @@
     let Some(entry) = state.groups.get_mut(group) else {
         return;
     };
-    let is_believed = entry
+    let is_presumed_leader = entry
         .leader
         .as_ref()
         .is_some_and(|leader| leader.instance == *instance);
-    if is_believed {
+    if is_presumed_leader {
         info!("event=leader_stepped_down group={group} instance={instance}");
         entry.leader = None;
     }
--- a/crates/millwind-engine/src/directory/departures.rs
+++ b/crates/millwind-engine/src/directory/removals.rs
@@ -1,4 +1,4 @@
-//! Instances whose records are gone.
+//! Removal of instances whose records disappeared from the store.
 
 use std::collections::HashSet;
 
@@ -9,7 +9,8 @@
 use crate::clock;
 
 impl Directory {
-    /// An instance's record is gone from the store.
+    /// Marks an instance whose record was removed from the store. Returns false if the
+    /// instance is unknown or was marked before.
     pub fn remove_record(&self, instance: &InstanceName) -> bool {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
@@ -22,25 +23,27 @@
         known.leaving_since.get_or_insert(clock::now());
         let group = known.record.group.clone();
         info!("event=instance_gone instance={instance} group={group}");
-        state.group_changed(&group);
+        state.mark_group_changed(&group);
         true
     }
 
-    /// The record of an instance cannot be read any more: it is gone, and gets no grace
-    /// as one whose heartbeats the store merely missed.
+    /// Marks an instance whose record can no longer be decoded. The instance counts as
+    /// removed, without the grace period for missed heartbeats. Returns false if the instance
+    /// is unknown or its record was already absent.
     pub fn disown(&self, instance: &InstanceName) -> bool {
-        let is_news = self.remove_record(instance);
+        let is_newly_removed = self.remove_record(instance);
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.is_disowned = true;
+            known.is_undecodable = true;
         }
-        is_news
+        is_newly_removed
     }
 
-    /// The whole list of instances was read; returns those that are gone now.
+    /// Applies a complete listing of instances: marks all that are not in `present` as removed
+    /// and returns them.
     pub fn listing_applied(&self, present: &HashSet<InstanceName>) -> Vec<InstanceName> {
         let missing: Vec<InstanceName> = {
             let mut state = self.state();
-            state.has_listing = true;
+            state.has_instance_listing = true;
             state
                 .instances
                 .values()
@@ -55,7 +58,8 @@
         missing
     }
 
-    /// Forgets instances that have been gone for `bound_ms`.
+    /// Drops instances that have been leaving or removed for more than `bound_ms` and whose
+    /// record is absent. Returns their names.
     pub fn forget_gone(&self, bound_ms: u64) -> Vec<InstanceName> {
         let now = clock::now();
         let mut state = self.state();
@@ -73,11 +77,12 @@
         for name in &forgotten {
             let group = state.instances.get(name).map(|known| known.record.group.clone());
             if let Some(group) = group {
-                state.group_changed(&group);
+                state.mark_group_changed(&group);
             }
-            // It may come back under this name, and is not compared with this life then.
+            // Without the record, an instance that returns under this name is not recognized
+            // as restarted, so its leadership state is discarded here.
             for group in state.groups.values_mut() {
-                group.end_life(name);
+                group.discard_lead_state(name);
             }
             state.remove(name);
         }
--- a/crates/millwind-engine/src/directory/usage.rs
+++ b/crates/millwind-engine/src/directory/usage.rs
@@ -1,4 +1,4 @@
-//! How groups are used, and which positions reads in them need.
+//! Usage of groups, and the log positions that reads require.
 
 use millwind_core::Instant;
 use millwind_core::ids::GroupName;
@@ -8,8 +8,9 @@
 use crate::clock;
 
 impl Directory {
-    /// The least position that proves a read of staleness `staleness_ms` safe,
-    /// which arrived at `arrived` in a session that has written `written`.
+    /// The least log position that an instance must have reached to serve a read which arrived
+    /// at `arrived`, allows a staleness of `staleness_ms` and must see the session's own
+    /// commit `written`. None if no observation of the leader is recent enough.
     pub fn floor(
         &self,
         group: &GroupName,
@@ -25,7 +26,8 @@
         Some(own.map_or(floor, |own| own.max(floor)))
     }
 
-    /// As [`Directory::floor`], waiting for an observation until `deadline`.
+    /// Like [`Directory::floor`], but waits until `deadline` for an observation that is recent
+    /// enough.
     pub async fn await_floor(
         &self,
         group: &GroupName,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Notes that a group is in use, by databases of this staleness.
+    /// Records the use of a group by a database with the allowed staleness `staleness_ms`.
     pub fn used(&self, group: &GroupName, staleness_ms: Option<u64>) {
         let mut state = self.state();
         if !state.groups.contains_key(group) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Notes that a group is in use over this node's own connections.
+    /// Records the use of a group through this node's own connections.
     pub fn used_directly(&self, group: &GroupName) {
         let mut state = self.state();
         if let Some(entry) = state.groups.get_mut(group) {
@@ -68,12 +70,12 @@
         }
     }
 
-    /// When a group was last used over this node's own connections.
+    /// When a group was last used through this node's own connections.
     pub fn last_direct_use(&self, group: &GroupName) -> Option<Instant> {
         self.state().groups.get(group)?.last_direct_use
     }
 
-    /// When a group was last used, and the least staleness asked of it.
+    /// When a group was last used, and the least staleness that a database on the group allows.
     pub fn usage(&self, group: &GroupName) -> (Option<Instant>, Option<u64>) {
         let state = self.state();
         state
--- a/crates/millwind-engine/src/directory/warmth.rs
+++ b/crates/millwind-engine/src/directory/warm_up.rs
@@ -1,4 +1,4 @@
-//! Which instances are cold.
+//! Tracks which instances are cold and limited in their statement rate.
 
 use log::info;
 use millwind_core::Instant;
@@ -9,28 +9,31 @@
 use crate::catalog::InstanceRecord;
 use crate::clock;
 
-/// What is seen of an instance's warmth when its record is read, after what was seen
-/// before.
-pub(super) fn sight_of(
+/// The warm-up observations of an instance after its record was read, based on those of
+/// `previous`.
+pub(super) fn observe_warm_up(
     previous: Option<&Known>,
     has_begun_anew: bool,
     record: &InstanceRecord,
     now: Instant,
 ) -> Sight {
-    let told_ms = record.warm_up_left_ms;
+    let warm_up_left_ms = record.warm_up_left_ms;
     let Some(previous) = previous else {
-        return Sight::first(told_ms, now);
+        return Sight::first(warm_up_left_ms, now);
     };
     match has_begun_anew {
-        true => Sight::new_life(told_ms, now),
-        false => previous.sight.read_again(told_ms, now).heard(record.heartbeat),
+        true => Sight::new_life(warm_up_left_ms, now),
+        false => previous
+            .sight
+            .read_again(warm_up_left_ms, now)
+            .heard(record.heartbeat),
     }
 }
 
 impl State {
-    /// The instances of a zone may be used again, which nobody has used for a while:
-    /// they are taken as cold.
-    pub(super) fn zone_unused_until(&mut self, zone: &ZoneName, now: Instant) {
+    /// Marks the instances of a zone as cold from `now` on, after the end of an evacuation
+    /// during which they were not used.
+    pub(super) fn mark_zone_cold(&mut self, zone: &ZoneName, now: Instant) {
         let of_zone = self
             .instances
             .values_mut()
@@ -40,6 +43,7 @@
         }
     }
 
+    /// The warm-up settings of the instance's group; none if the group has none.
     pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpTerms> {
         let config = self.config.as_ref()?;
         config.groups.get(&known.record.group)?.warm_up
@@ -47,9 +51,9 @@
 }
 
 impl Directory {
-    /// The process of `instance` seems to have ended by what a question asked at `asked`
-    /// showed: all connections to it are lost, or none can be opened. Whoever answers
-    /// next may have begun just now.
+    /// Records that the process of `instance` may have ended, as shown by a request sent at
+    /// `asked`: all connections to it are lost, or none can be opened. A new process may answer
+    /// next, so the instance counts as cold unless its records show that the process survived.
     pub fn doubt_process(&self, instance: &InstanceName, asked: Instant) {
         let mut state = self.state();
         if !state.is_of_present_life(instance, asked) {
@@ -67,8 +71,8 @@
         known.sight = known.sight.doubted(known.record.heartbeat, clock::now());
     }
 
-    /// The terms under which statements may be sent to an instance; none where it is
-    /// warm. One whose record was not read yet is not known here, and gets nothing.
+    /// The warm-up limits for statements sent to an instance; none if the instance is warm or
+    /// unknown.
     pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpTerms> {
         let state = self.state();
         let known = state.instances.get(instance)?;
