--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an instance.
+//! A connection to a back-end instance.
 
 use std::io::ErrorKind as IoErrorKind;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 use crate::ports::BackEndCodec;
 use crate::statement::{BackEndErrorKind, BackEndMessage, Command, Envelope, Reply, TransactionState};
 
-/// Unacknowledged bytes break a connection after this time.
+/// TCP user timeout: a connection is closed when sent bytes stay unacknowledged for this time.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A silent idle connection is probed after this time.
-const KEEPALIVE: Duration = Duration::from_secs(2);
-const READ_CAPACITY: usize = 4_096;
+/// Idle time before the first TCP keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+const INITIAL_READ_CAPACITY: usize = 4_096;
 
-/// An open connection; closed when dropped.
+/// An open connection with its session state; closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -32,11 +32,11 @@
     output: BytesMut,
     codec: Arc<dyn BackEndCodec>,
     user: ConnectionUser,
-    held: ConnectionState,
+    session_state: ConnectionState,
     transaction: TransactionState,
-    /// Answers that were asked for and not read yet.
-    outstanding: usize,
-    /// Keeps the pool's count of open connections.
+    /// Number of replies that were requested and not yet read.
+    pending_replies: usize,
+    /// The pool's permit for this connection.
     permit: Permit,
 }
 
@@ -47,7 +47,8 @@
 }
 
 impl Connection {
-    /// Opens a connection and its session at the instance on behalf of `user`.
+    /// Connects to the instance and starts a session for `user`. Fails if this is rejected or
+    /// not done by `deadline`.
     pub async fn open(
         record: &InstanceRecord,
         codec: Arc<dyn BackEndCodec>,
@@ -62,16 +63,16 @@
             Ok(Err(_)) => return Err(LinkError::Refused),
             Ok(Ok(stream)) => stream,
         };
-        set_options(&stream);
+        set_socket_options(&stream);
         let mut connection = Connection {
             stream,
-            input: BytesMut::with_capacity(READ_CAPACITY),
+            input: BytesMut::with_capacity(INITIAL_READ_CAPACITY),
             output: BytesMut::new(),
             codec,
             user,
-            held: ConnectionState::default(),
+            session_state: ConnectionState::default(),
             transaction: TransactionState::Idle,
-            outstanding: 0,
+            pending_replies: 0,
             permit,
         };
         connection.start_session(record, deadline).await?;
@@ -82,7 +83,7 @@
     async fn start_session(&mut self, record: &InstanceRecord, deadline: Instant) -> Result<(), LinkError> {
         self.codec
             .encode_startup(&mut self.output, &record.group, &record.name, &self.user);
-        self.outstanding = 1;
+        self.pending_replies = 1;
         let reply = match self.finish_exchange(deadline).await {
             Ok(reply) => reply,
             Err(LinkError::Silent) => return Err(LinkError::ConnectTimeout),
@@ -94,46 +95,47 @@
         }
     }
 
-    /// On whose behalf it is open.
+    /// The user for whom the connection is open.
     pub fn user(&self) -> &ConnectionUser {
         &self.user
     }
 
-    /// Closes the connection and keeps the right to open another. The instance
-    /// hears of the end before it hears of one that is opened later from here.
+    /// Closes the connection and returns its permit to open another. The instance receives the
+    /// close before it receives the startup of a connection that is opened afterwards.
     pub fn close(self) -> Permit {
         self.permit
     }
 
-    /// Where the connection stands.
+    /// The transaction state after the last reply.
     pub fn transaction(&self) -> TransactionState {
         self.transaction
     }
 
-    /// Whether every answer was read, so that the connection may be used again.
+    /// Whether all replies were read, so that the connection may be reused.
     pub fn is_settled(&self) -> bool {
-        self.outstanding == 0 && self.input.is_empty()
+        self.pending_replies == 0 && self.input.is_empty()
     }
 
-    /// Whether the far end has neither closed nor sent anything unasked.
+    /// Whether the instance has neither closed the connection nor sent unexpected data.
     pub fn is_alive(&self) -> bool {
         let mut probe = [0_u8; 1];
         matches!(self.stream.try_read(&mut probe), Err(error) if error.kind() == IoErrorKind::WouldBlock)
     }
 
-    /// How many steps would bring it to `session`.
+    /// Number of steps that prepare the connection for `session` and the statement `needed`.
     pub fn steps_to(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
-        self.held.steps_to(session, needed).len()
+        self.session_state.steps_to(session, needed).len()
     }
 
-    /// Sends one command and waits for its whole answer.
+    /// Sends one command and waits until `deadline` for its complete reply.
     pub async fn exchange(&mut self, envelope: &Envelope<'_>, deadline: Instant) -> Result<Reply, LinkError> {
         self.codec.encode(&mut self.output, envelope);
-        self.outstanding += 1;
+        self.pending_replies += 1;
         self.finish_exchange(deadline).await
     }
 
-    /// Brings the connection to `session` and runs a statement, in one flight.
+    /// Prepares the connection for `session` and runs a statement. All commands are sent
+    /// together, without waiting for the replies in between.
     pub async fn run(
         &mut self,
         session: &SessionState,
@@ -144,32 +146,32 @@
             Command::Execute { statement, .. } => Some(statement),
             _ => None,
         };
-        let steps = self.held.steps_to(session, needed);
+        let steps = self.session_state.steps_to(session, needed);
         for step in &steps {
-            self.push_step(step);
+            self.encode_step(step);
         }
         self.codec.encode(&mut self.output, envelope);
-        self.outstanding += 1;
+        self.pending_replies += 1;
         self.flush(deadline).await?;
         for step in &steps {
             let reply = self.read_reply(deadline).await?;
             if reply.result.is_err() {
-                // The statement behind it may run in a wrong state: say that
-                // nothing is known, and use the connection no more.
+                // The statement may have run in a wrong session state: its outcome is unknown.
+                // The replies left unread keep the connection from being reused.
                 return Err(LinkError::Protocol);
             }
-            self.held.apply(step);
+            self.session_state.apply(step);
         }
         let reply = self.read_reply(deadline).await?;
         if let (Err(error), Some(statement)) = (&reply.result, needed)
             && error.kind == BackEndErrorKind::UnknownStatement
         {
-            self.held.prepared.remove(statement);
+            self.session_state.prepared.remove(statement);
         }
         Ok(reply)
     }
 
-    fn push_step(&mut self, step: &PreparationStep) {
+    fn encode_step(&mut self, step: &PreparationStep) {
         let command = match step {
             PreparationStep::Reset => Command::Reset,
             PreparationStep::Set { name, value } => Command::Set { name, value },
@@ -177,7 +179,7 @@
         };
         let envelope = Envelope::own(command);
         self.codec.encode(&mut self.output, &envelope);
-        self.outstanding += 1;
+        self.pending_replies += 1;
     }
 
     async fn finish_exchange(&mut self, deadline: Instant) -> Result<Reply, LinkError> {
@@ -197,14 +199,14 @@
     }
 
     async fn read_reply(&mut self, deadline: Instant) -> Result<Reply, LinkError> {
-        let reading = self.read_reply_unbounded();
+        let reading = self.read_reply_without_timeout();
         match tokio::time::timeout_at(clock::deadline(deadline), reading).await {
             Err(_) => Err(LinkError::Silent),
             Ok(result) => result,
         }
     }
 
-    async fn read_reply_unbounded(&mut self) -> Result<Reply, LinkError> {
+    async fn read_reply_without_timeout(&mut self) -> Result<Reply, LinkError> {
         let mut rows = Vec::new();
         let mut result = Ok(String::new());
         loop {
@@ -217,11 +219,14 @@
                     BackEndMessage::Row(row) => rows.push(row),
                     BackEndMessage::Complete(signature) => result = Ok(signature),
                     BackEndMessage::Error(error) => {
-                        let ends = error.kind == BackEndErrorKind::WrongInstance
+                        let ends_startup = error.kind == BackEndErrorKind::WrongInstance
                             || error.kind == BackEndErrorKind::TooManyConnections;
                         result = Err(error);
-                        if ends && self.held == ConnectionState::default() && self.outstanding == 1 {
-                            // A refused startup ends without a ready message.
+                        if ends_startup
+                            && self.session_state == ConnectionState::default()
+                            && self.pending_replies == 1
+                        {
+                            // A rejected startup is not followed by a ready message.
                             return Ok(self.reply(rows, result, TransactionState::Idle, None));
                         }
                     }
@@ -237,6 +242,7 @@
         }
     }
 
+    /// Builds a reply and updates the connection's transaction state.
     fn reply(
         &mut self,
         rows: Vec<String>,
@@ -244,7 +250,7 @@
         state: TransactionState,
         position: Option<millwind_core::position::Position>,
     ) -> Reply {
-        self.outstanding -= 1;
+        self.pending_replies -= 1;
         self.transaction = state;
         Reply {
             rows,
@@ -255,14 +261,14 @@
     }
 }
 
-/// Short limits on silence: a machine without power never says that it is gone.
-fn set_options(stream: &TcpStream) {
+/// Sets short TCP timeouts, since a machine that loses power does not close its connections.
+fn set_socket_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let keepalive = socket2::TcpKeepalive::new()
-        .with_time(KEEPALIVE)
+        .with_time(KEEPALIVE_IDLE)
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
-    // Options that the system refuses only make the detection slower.
+    // Failures are ignored: without these options, dead peers are only detected later.
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
     let _ = socket.set_tcp_keepalive(&keepalive);
--- a/crates/millwind-engine/src/backend/demand.rs
+++ b/crates/millwind-engine/src/backend/demand.rs
@@ -1,42 +1,42 @@
-//! How many connections of a pool were needed at the same time lately.
+//! Recent peak demand for the connections of a pool.
 
 use millwind_core::Instant;
 
-/// Time for which a peak counts in full, in milliseconds; it is forgotten after
-/// twice that time.
+/// Length of a window in milliseconds. A peak is remembered for one to two windows.
 const WINDOW_MS: u64 = 1_000;
 
-/// The highest demand of the present window and of the one before.
+/// The highest demand in the current window and in the previous one.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakDemand {
     window_start: Instant,
-    present: usize,
-    before: usize,
+    current: usize,
+    previous: usize,
 }
 
 impl PeakDemand {
-    /// `needed` connections are needed now.
+    /// Records that `needed` connections are needed at `now`.
     pub fn note(&mut self, now: Instant, needed: usize) {
-        self.turn(now);
-        self.present = self.present.max(needed);
+        self.advance_window(now);
+        self.current = self.current.max(needed);
     }
 
-    /// The most that were needed at the same time lately.
+    /// The highest recent number of connections needed at the same time.
     pub fn lately(&mut self, now: Instant) -> usize {
-        self.turn(now);
-        self.present.max(self.before)
+        self.advance_window(now);
+        self.current.max(self.previous)
     }
 
-    fn turn(&mut self, now: Instant) {
+    /// Starts a new window if the current one is over.
+    fn advance_window(&mut self, now: Instant) {
         let age = now.millis_since(self.window_start);
         if age < WINDOW_MS {
             return;
         }
-        self.before = match age < 2 * WINDOW_MS {
-            true => self.present,
+        self.previous = match age < 2 * WINDOW_MS {
+            true => self.current,
             false => 0,
         };
-        self.present = 0;
+        self.current = 0;
         self.window_start = now;
     }
 }
--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -1,4 +1,4 @@
-//! Why an exchange with an instance came to nothing.
+//! Errors of exchanges with instances.
 
 use millwind_core::eligibility::Ineligible;
 use millwind_core::error_kind::ErrorKind;
@@ -6,62 +6,63 @@
 
 use crate::statement::{BackEndError, BackEndErrorKind};
 
-/// A failed exchange.
+/// Why an exchange with an instance failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum LinkError {
-    /// Nobody listens there, or the connection was reset while opening.
-    #[error("connection refused")]
+    /// The TCP connection failed other than by a timeout: it was refused, reset, or the address
+    /// is unreachable.
+    #[error("connection to the instance refused")]
     Refused,
-    /// The connection did not open in time.
-    #[error("connection did not open in time")]
+    /// The connection or its session was not established in time.
+    #[error("timed out connecting to the instance")]
     ConnectTimeout,
-    /// The instance closed the connection instead of opening its session, as
-    /// one does that has too many.
-    #[error("connection was closed while opening")]
+    /// The connection failed before the session was established. Instances that have reached
+    /// their connection limit may close new connections.
+    #[error("connection closed during session startup")]
     TurnedAway,
-    /// The instance refused the opening of the session.
-    #[error("startup refused: {} {}", .0.code, .0.text)]
+    /// The instance rejected the session startup with an error.
+    #[error("session startup rejected: {} {}", .0.code, .0.text)]
     StartupRefused(BackEndError),
-    /// No connection or turn became free in time, or would have.
-    #[error("no connection or turn free in time")]
+    /// No connection or turn became free in time, or none was expected to.
+    #[error("no connection or execution turn became free in time")]
     NoConnection,
-    /// The instance is no longer used.
+    /// The pool of the instance was retired.
     #[error("instance is no longer used")]
     Retired,
-    /// No node that could run the statement was reached.
-    #[error("no node that holds connections was reached")]
+    /// None of the nodes that hold connections to the instance was reachable.
+    #[error("no node with connections to the instance was reachable")]
     OwnerUnreachable,
-    /// The node that holds the connections has lost the instance.
-    #[error("the node that holds connections does not reach the instance")]
+    /// The node that holds the connections cannot reach the instance.
+    #[error("the node that holds the connections cannot reach the instance")]
     InstanceFailing,
-    /// No leader's position was observed in time.
-    #[error("no recent position of a leader")]
+    /// No leader position was observed in time.
+    #[error("no recent log position of the leader is known")]
     NoObservation,
     /// The connection broke after bytes were sent.
-    #[error("connection broke")]
+    #[error("connection to the instance broke")]
     Lost,
-    /// No answer came in time after bytes were sent.
-    #[error("no answer in time")]
+    /// No reply arrived in time after bytes were sent.
+    #[error("no reply from the instance in time")]
     Silent,
-    /// The answer came from an instance that may no longer lead.
-    #[error("the instance that answered may no longer lead")]
+    /// The reply came from an instance that may no longer be the leader.
+    #[error("the instance that replied may no longer be the leader")]
     NoPermit,
-    /// The answer was no message of the protocol.
-    #[error("answer cannot be read")]
+    /// The reply violates the protocol, or a command that prepares the session failed.
+    #[error("invalid reply from the instance")]
     Protocol,
-    /// The statement may not use the instance, or the way to it.
-    #[error("not eligible: {}", .0.name())]
+    /// The statement may not use the instance or the route to it.
+    #[error("instance not eligible: {}", .0.name())]
     Ineligible(Ineligible),
-    /// The instance has just started, and takes no more statements now.
-    #[error("the instance is warming up and takes no more statements now")]
+    /// The instance is warming up and accepts no further statements for now.
+    #[error("the instance is warming up and accepts no further statements for now")]
     WarmingUp {
-        /// When the caller may come back, in milliseconds.
+        /// Delay after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
 impl LinkError {
-    /// The name in logs.
+    /// The error name used in logs.
     pub const fn name(&self) -> &'static str {
         match self {
             LinkError::Refused => "refused",
@@ -90,7 +91,7 @@
         )
     }
 
-    /// Whether the instance itself showed that it is in trouble.
+    /// Whether the error indicates a failure of the instance itself.
     pub const fn is_evidence(&self) -> bool {
         matches!(
             self,
@@ -98,7 +99,8 @@
         )
     }
 
-    /// Whether the instance takes no more connections now.
+    /// Whether the instance appears to have rejected the connection because of its connection
+    /// limit.
     pub fn is_over_limit(&self) -> bool {
         match self {
             LinkError::TurnedAway => true,
@@ -107,17 +109,18 @@
         }
     }
 
-    /// Whether another instance listens at the address now.
+    /// Whether another instance now listens at the address.
     pub fn is_wrong_instance(&self) -> bool {
         matches!(self, LinkError::StartupRefused(error) if error.kind == BackEndErrorKind::WrongInstance)
     }
 
-    /// Whether the instance's process seems to be gone, not merely silent.
+    /// Whether the error suggests that the instance's process is gone and not just unresponsive.
     pub fn is_refusing(&self) -> bool {
         matches!(self, LinkError::Refused | LinkError::Lost) || self.is_wrong_instance()
     }
 
-    /// When a caller may come back; none for what the table of errors says.
+    /// Delay after which the caller may retry, in milliseconds; none if the default of the
+    /// error kind applies.
     pub const fn retry_after_ms(&self) -> Option<u32> {
         match self {
             LinkError::WarmingUp { retry_after_ms } => Some(*retry_after_ms),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// What a caller is told where nothing has run.
+    /// The error kind reported to the caller if the statement was not run.
     pub const fn kind(&self) -> ErrorKind {
         match self {
             LinkError::NoConnection => ErrorKind::QueueFull,
--- a/crates/millwind-engine/src/backend/mod.rs
+++ b/crates/millwind-engine/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to back-end instances and the pools that share them.
+//! Connections to back-end instances, connection pools and admission of statements.
 
 pub mod connection;
 pub mod demand;
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of one instance: its idle connections, its share of the
-//! instance's connections, and the statements that wait for one.
+//! The connection pool of one instance: idle connections, the limit of open connections
+//! and the queue of waiting requests.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,49 +20,50 @@
 use crate::clock;
 use crate::ports::BackEndCodec;
 
-/// Longest wait for a new connection, in milliseconds.
-const CONNECT_LIMIT_MS: u64 = 1_000;
-/// After the instance said that it takes no more connections, none is opened
-/// for this time, in milliseconds.
-const LIMIT_PAUSE_MS: u64 = 300;
-/// After that pause connections are opened one at a time for this time, in
+/// Timeout for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
+/// Time for which no connection is opened after the instance has rejected one because of its
+/// connection limit, in milliseconds.
+const REJECTION_PAUSE_MS: u64 = 300;
+/// Time, counted from the end of that pause, during which connections are opened one at a
+/// time, in milliseconds.
+const SERIAL_OPEN_MS: u64 = 2_000;
+/// Interval at which a waiting request retries to open a connection meanwhile, in
 /// milliseconds.
-const CAREFUL_MS: u64 = 2_000;
-/// Between two looks of a waiter meanwhile, in milliseconds.
-const CAREFUL_TICK_MS: u64 = 60;
-/// Weight of a new sample in the mean time of use, as one part in so many.
+const SERIAL_OPEN_RETRY_MS: u64 = 60;
+/// A new sample enters the moving average of the time of use with weight `1 / USE_WEIGHT`.
 const USE_WEIGHT: u64 = 16;
 
-/// What a connection is wanted for.
+/// What a connection is acquired for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A statement of this priority; zero comes first.
+    /// A statement.
     Statement {
-        /// The database's priority.
+        /// Priority of the database; zero is the most urgent.
         priority: u8,
-        /// When the caller should have the answer.
+        /// Target time for the answer.
         aim: Instant,
     },
-    /// A health check, which may use one connection beyond the share.
+    /// A health check, which may use one connection beyond the pool's limit.
     Probe,
 }
 
-/// Place of a health check among those who wait.
+/// Queue rank of a health check.
 const PROBE_RANK: u8 = 0;
-/// Place of a statement whose answer will be late in any case: behind all that
-/// can still be in time.
+/// Queue rank of a statement that is expected to miss its target time. It waits behind all
+/// statements that can still meet theirs.
 const LATE_RANK: u8 = u8::MAX;
 
-/// One open connection, or the right to open one.
+/// The right to open one connection and keep it open; returned to the pool when dropped.
 #[derive(Debug)]
 pub struct Permit {
     pool: Arc<Pool>,
-    /// A connection is being opened with it.
+    /// Whether the connection is still being opened.
     is_opening: bool,
 }
 
 impl Permit {
-    /// The connection is open.
+    /// Records that the connection is open.
     pub fn opened(&mut self) {
         if self.is_opening {
             self.is_opening = false;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The connection was closed and another is opened in its place.
-    fn reopening(mut self) -> Permit {
+    /// Reuses the permit of a closed connection to open another.
+    fn into_opening(mut self) -> Permit {
         self.is_opening = true;
         self.pool.state().opening += 1;
         self
@@ -82,10 +83,11 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         self.opened();
-        self.pool.permit_returned();
+        self.pool.release_permit();
     }
 }
 
+/// What a waiting request receives.
 enum Grant {
     Idle(Box<Connection>),
     Open(Permit),
@@ -94,47 +96,47 @@
 struct Waiter {
     rank: u8,
     user: ConnectionUser,
-    /// Others that came later and went first.
+    /// Number of later requests that were served first.
     passed_over: u8,
     grant: oneshot::Sender<Grant>,
 }
 
 #[derive(Default)]
 struct PoolState {
-    /// Least recently used first.
+    /// Idle connections, least recently used first.
     idle: Vec<Connection>,
     open: usize,
     share: usize,
     waiters: VecDeque<Waiter>,
-    /// Mean time for which a connection is used, in microseconds.
+    /// Moving average of the time for which a connection is in use, in microseconds.
     mean_use_us: u64,
-    /// Connections that are being opened.
+    /// Number of connections that are being opened.
     opening: usize,
-    /// How many were needed at the same time lately.
+    /// Recent peak of connections needed at the same time.
     demand: PeakDemand,
     no_open_before: Instant,
-    /// The last connections that rested were found to be lost.
+    /// Whether removing a dead connection left no live idle connection; cleared when read.
     has_lost_all: bool,
     is_retired: bool,
 }
 
 impl PoolState {
-    /// Notes how many connections are needed now.
-    fn note_demand(&mut self) {
+    /// Records how many connections are needed now.
+    fn record_demand(&mut self) {
         let needed = self.open - self.idle.len() + self.waiters.len();
         self.demand.note(clock::now(), needed);
     }
 
-    /// Time until a connection would have been used by one that waits at `rank`, in
-    /// microseconds.
-    fn expected_us(&self, rank: u8) -> u64 {
+    /// Expected time until a request that is queued now at `rank` has finished using its
+    /// connection, in microseconds.
+    fn expected_completion_us(&self, rank: u8) -> u64 {
         let ahead = self.waiters.iter().filter(|waiter| waiter.rank <= rank);
         let turns = ahead.count() as u64 + 1;
         self.mean_use_us * turns / self.open.max(1) as u64 + self.mean_use_us
     }
 
-    /// Takes the one out of the line that a connection of `user` goes to next.
-    fn next_for(&mut self, user: &ConnectionUser) -> Option<Waiter> {
+    /// Removes and returns the waiter that receives a connection of `user` next.
+    fn take_waiter_for(&mut self, user: &ConnectionUser) -> Option<Waiter> {
         self.waiters.retain(|waiter| !waiter.grant.is_closed());
         let view = |waiter: &Waiter| Waiting {
             rank: waiter.rank,
@@ -142,21 +144,21 @@
             passed_over: waiter.passed_over,
         };
         let index = next_in_line(self.waiters.iter().map(view))?;
-        for passed_over in self.waiters.iter_mut().take(index) {
-            passed_over.passed_over += 1;
+        for skipped in self.waiters.iter_mut().take(index) {
+            skipped.passed_over += 1;
         }
         self.waiters.remove(index)
     }
 
-    /// Whether a connection may be opened now: not right after the instance
-    /// said that it takes no more, and for a while after that one at a time.
+    /// Whether a connection may be opened now. After the instance has rejected a connection
+    /// because of its limit, none is opened for a pause, then one at a time for a while.
     fn may_open(&self, now: Instant) -> bool {
-        let is_careful = now < self.no_open_before.plus_millis(CAREFUL_MS);
-        now >= self.no_open_before && (!is_careful || self.opening == 0)
+        let opens_serially = now < self.no_open_before.plus_millis(SERIAL_OPEN_MS);
+        now >= self.no_open_before && (!opens_serially || self.opening == 0)
     }
 }
 
-/// The pool of one instance.
+/// The connection pool of one instance.
 pub struct Pool {
     record: InstanceRecord,
     codec: Arc<dyn BackEndCodec>,
@@ -171,7 +173,7 @@
 }
 
 impl Pool {
-    /// A pool that may hold `share` connections.
+    /// Creates a pool that may hold up to `share` connections.
     pub fn new(record: InstanceRecord, codec: Arc<dyn BackEndCodec>, share: usize) -> Arc<Pool> {
         let state = PoolState {
             share,
@@ -189,17 +191,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The instance.
+    /// The record of the instance.
     pub fn record(&self) -> &InstanceRecord {
         &self.record
     }
 
-    /// Turns of this node's statements there.
+    /// The admission queue for this node's statements on the instance.
     pub fn turns(&self) -> &Arc<Turns> {
         &self.turns
     }
 
-    /// Changes how many connections it may hold.
+    /// Changes how many connections the pool may hold, and closes idle ones beyond that.
     pub fn set_share(&self, share: usize) {
         let surplus = {
             let mut state = self.state();
@@ -210,13 +212,13 @@
         drop(surplus);
     }
 
-    /// Whether the instance is no longer used, or began anew: what is answered on a
-    /// connection of this pool tells nothing of the one that lives now.
+    /// Whether the pool was retired because its instance was removed, replaced or restarted.
+    /// Answers on its connections prove nothing about the current instance.
     pub fn is_retired(&self) -> bool {
         self.state().is_retired
     }
 
-    /// Closes idle connections and refuses statements from now on.
+    /// Closes idle connections, fails waiting requests and rejects all further ones.
     pub fn retire(&self) {
         let (idle, waiters) = {
             let mut state = self.state();
@@ -230,10 +232,9 @@
         drop(waiters);
     }
 
-    /// Closes idle connections beyond `spare` more than were needed at the same
-    /// time lately, those first that were used least lately: what one node does
-    /// not need is there for others, also while an instance still counts those
-    /// of nodes that lost their power.
+    /// Closes idle connections, least recently used first, until at most `spare` more are open
+    /// than the recent peak demand. This leaves connections of the instance to other nodes,
+    /// also while the instance still counts connections of crashed nodes.
     pub fn trim(&self, spare: usize) {
         let unneeded = {
             let mut state = self.state();
@@ -244,7 +245,7 @@
         drop(unneeded);
     }
 
-    /// Closes all connections that rest but `kept`.
+    /// Closes all idle connections but `kept`.
     pub fn close_resting(&self, kept: usize) {
         let unneeded = {
             let mut state = self.state();
@@ -254,20 +255,21 @@
         drop(unneeded);
     }
 
-    /// Open connections.
+    /// Number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.state().open
     }
 
-    /// Connections that a statement, a transaction or a health check holds.
+    /// Number of connections in use by a statement, a transaction or a health check.
     pub fn connections_in_use(&self) -> usize {
         let state = self.state();
-        let unused = state.idle.len() + state.opening;
-        state.open.saturating_sub(unused)
+        let not_in_use = state.idle.len() + state.opening;
+        state.open.saturating_sub(not_in_use)
     }
 
-    /// A connection of `user` if one rests or can be opened at once; none where one
-    /// would have to be waited for.
+    /// Returns a connection of `user` if one is idle or can be opened without waiting for
+    /// another request; otherwise none. Fails if the pool is retired or opening a connection
+    /// fails.
     pub async fn acquire_at_once(
         self: &Arc<Self>,
         purpose: Purpose,
@@ -277,22 +279,26 @@
         deadline: Instant,
     ) -> Result<Option<PooledConnection>, LinkError> {
         if let Some(connection) = self.take_idle(user, session, needed)? {
-            self.state().note_demand();
+            self.state().record_demand();
             return Ok(Some(PooledConnection::new(self.clone(), connection, purpose)));
         }
-        let Some(permit) = self.take_permit(purpose).or_else(|| self.make_room(user)) else {
+        let Some(permit) = self
+            .take_permit(purpose)
+            .or_else(|| self.evict_other_tenant(user))
+        else {
             return Ok(None);
         };
         match self.open(permit, purpose, user, deadline).await {
-            // The instance is full: one of those that are open will do.
-            Err(error) if error.is_over_limit() && self.may_share(deadline) => Ok(None),
+            // The instance has reached its limit, so the caller waits for an open connection.
+            Err(error) if error.is_over_limit() && self.can_wait_for_open(deadline) => Ok(None),
             opened => opened.map(Some),
         }
     }
 
-    /// A connection of `user` outside of any transaction, for one statement or
-    /// transaction of `session`. Where all that this node may hold are open, one
-    /// that rests on behalf of another user is closed for it.
+    /// Returns a connection of `user` outside of any transaction, for one statement or
+    /// transaction of `session`. If no more connections may be opened, an idle connection of
+    /// another tenant is closed to make room. Fails if the pool is retired, no connection is
+    /// expected to become free in time, or opening one fails.
     pub async fn acquire(
         self: &Arc<Self>,
         purpose: Purpose,
@@ -306,19 +312,19 @@
             if let Some(connection) = at_once.await? {
                 return Ok(connection);
             }
-            // One may have become free while another was refused.
+            // A connection may have become idle while opening another was rejected.
             if let Some(connection) = self.take_idle(user, session, needed)? {
                 return Ok(PooledConnection::new(self.clone(), connection, purpose));
             }
             let rank = self.rank(purpose, deadline).ok_or(LinkError::NoConnection)?;
-            let limit = self.wait_limit(deadline);
+            let limit = self.retry_deadline(deadline);
             match self.wait(rank, user, limit).await {
                 Ok(Grant::Idle(connection)) if connection.is_alive() => {
                     return Ok(PooledConnection::new(self.clone(), *connection, purpose));
                 }
                 Ok(Grant::Idle(_)) => {}
                 Ok(Grant::Open(permit)) => match self.open(permit, purpose, user, deadline).await {
-                    Err(error) if error.is_over_limit() && self.may_share(deadline) => {}
+                    Err(error) if error.is_over_limit() && self.can_wait_for_open(deadline) => {}
                     opened => return opened,
                 },
                 Err(LinkError::NoConnection) if clock::now() < deadline => {}
@@ -334,23 +340,23 @@
         user: &ConnectionUser,
         deadline: Instant,
     ) -> Result<PooledConnection, LinkError> {
-        let limit = clock::now().plus_millis(CONNECT_LIMIT_MS).min(deadline);
+        let limit = clock::now().plus_millis(CONNECT_TIMEOUT_MS).min(deadline);
         let opened = Connection::open(&self.record, self.codec.clone(), user.clone(), permit, limit).await;
         let mut state = self.state();
         if opened.as_ref().is_err_and(LinkError::is_over_limit) {
-            state.no_open_before = clock::now().plus_millis(LIMIT_PAUSE_MS);
+            state.no_open_before = clock::now().plus_millis(REJECTION_PAUSE_MS);
         }
         drop(state);
         opened.map(|connection| PooledConnection::new(self.clone(), connection, purpose))
     }
 
-    /// Whether there are open connections to wait for.
-    fn may_share(&self, deadline: Instant) -> bool {
+    /// Whether there is time left and an open connection to wait for.
+    fn can_wait_for_open(&self, deadline: Instant) -> bool {
         clock::now() < deadline && self.state().open > 0
     }
 
-    /// The idle connection of `user` that needs the fewest steps; dead ones are
-    /// dropped.
+    /// Takes the live idle connection of `user` that needs the fewest steps to match `session`.
+    /// Dead connections found on the way are dropped. Fails if the pool is retired.
     fn take_idle(
         &self,
         user: &ConnectionUser,
@@ -381,22 +387,23 @@
                 state.has_lost_all |= !state.idle.iter().any(Connection::is_alive);
             }
         };
-        // Dropped outside of the lock: that returns their permits.
+        // Dropping a connection returns its permit, which locks the pool state.
         drop(dead);
         Ok(chosen)
     }
 
-    /// Whether no connection rests any more since the far end has closed all that did,
-    /// as a process does that ends. Tells it once.
+    /// Whether the instance has closed all idle connections, as a terminating process does.
+    /// Returns true once per occurrence.
     pub fn has_lost_all(&self) -> bool {
         std::mem::take(&mut self.state().has_lost_all)
     }
 
-    /// Whether a connection rests that the far end keeps open.
+    /// Whether an idle connection is still open at the instance.
     pub fn has_live_connection(&self) -> bool {
         self.state().idle.iter().any(Connection::is_alive)
     }
 
+    /// Returns a permit to open a connection for `purpose`, if the limit allows it now.
     fn take_permit(self: &Arc<Self>, purpose: Purpose) -> Option<Permit> {
         let mut state = self.state();
         let allowed = match purpose {
@@ -408,17 +415,17 @@
         }
         state.open += 1;
         state.opening += 1;
-        state.note_demand();
+        state.record_demand();
         Some(Permit {
             pool: self.clone(),
             is_opening: true,
         })
     }
 
-    /// Closes the least recently used connection that rests on behalf of another
-    /// user than `user`, and gives the right to open one in its place. Those of the
-    /// system stay: health checks would open them again at once.
-    fn make_room(&self, user: &ConnectionUser) -> Option<Permit> {
+    /// Closes the least recently used idle connection of a tenant other than `user` and returns
+    /// its permit. Connections of the system user stay open, since health checks would reopen
+    /// them at once.
+    fn evict_other_tenant(&self, user: &ConnectionUser) -> Option<Permit> {
         let closed = {
             let mut state = self.state();
             if state.is_retired || !state.may_open(clock::now()) {
@@ -428,19 +435,18 @@
             let index = state.idle.iter().position(is_closable)?;
             state.idle.remove(index)
         };
-        Some(closed.close().reopening())
+        Some(closed.close().into_opening())
     }
 
-    /// The place of a statement among those who wait for a connection; none where
-    /// none is expected to become free so early that there is time left to use
-    /// it: the statement had better go elsewhere now.
+    /// The queue rank of a request. None if the request is not expected to be served before
+    /// `deadline`, so that the statement can be tried elsewhere at once.
     fn rank(&self, purpose: Purpose, deadline: Instant) -> Option<u8> {
         let Purpose::Statement { priority, aim } = purpose else {
             return Some(PROBE_RANK);
         };
         let now = clock::now();
         let state = self.state();
-        let expected = |rank| Instant(now.0 + state.expected_us(rank));
+        let expected = |rank| Instant(now.0 + state.expected_completion_us(rank));
         let rank = priority.saturating_add(1).min(LATE_RANK - 1);
         if expected(rank) <= aim {
             return Some(rank);
@@ -448,24 +454,27 @@
         (expected(LATE_RANK) <= deadline).then_some(LATE_RANK)
     }
 
-    /// Takes in that a connection was used since `since`.
-    pub(super) fn note_use(&self, since: Instant) {
+    /// Adds the use of a connection since `since` to the average time of use.
+    pub(super) fn record_use(&self, since: Instant) {
         let used_us = clock::now().0.saturating_sub(since.0);
         let mut state = self.state();
         state.mean_use_us = (state.mean_use_us * (USE_WEIGHT - 1) + used_us) / USE_WEIGHT;
     }
 
-    /// A waiter looks again when connections may be opened again.
-    fn wait_limit(&self, deadline: Instant) -> Instant {
+    /// Returns when a waiting request must retry: at `deadline`, or earlier while the opening
+    /// of connections is restricted after a rejection by the instance.
+    fn retry_deadline(&self, deadline: Instant) -> Instant {
         let no_open_before = self.state().no_open_before;
         let now = clock::now();
-        if now >= no_open_before.plus_millis(CAREFUL_MS) {
+        if now >= no_open_before.plus_millis(SERIAL_OPEN_MS) {
             return deadline;
         }
-        let next_try = no_open_before.max(now.plus_millis(CAREFUL_TICK_MS));
+        let next_try = no_open_before.max(now.plus_millis(SERIAL_OPEN_RETRY_MS));
         deadline.min(next_try.plus_millis(1))
     }
 
+    /// Queues a request at `rank` until it is granted a connection or a permit. Fails if the
+    /// pool is retired or at `deadline`.
     async fn wait(&self, rank: u8, user: &ConnectionUser, deadline: Instant) -> Result<Grant, LinkError> {
         let (sender, receiver) = oneshot::channel();
         {
@@ -478,7 +487,7 @@
             };
             let index = state.waiters.partition_point(|other| other.rank <= rank);
             state.waiters.insert(index, waiter);
-            state.note_demand();
+            state.record_demand();
         }
         match tokio::time::timeout_at(clock::deadline(deadline), receiver).await {
             Ok(Ok(grant)) => Ok(grant),
@@ -487,8 +496,8 @@
         }
     }
 
-    /// Takes back a settled connection that is outside of any transaction: the
-    /// next in line gets it, or the right to open one in its place.
+    /// Takes back a connection without pending replies that is outside of any transaction. The
+    /// next waiter receives it or, if it belongs to another user, the permit to replace it.
     pub(super) fn give_back(&self, connection: Connection) {
         let mut returned = connection;
         loop {
@@ -497,15 +506,15 @@
                 if state.is_retired || state.open > state.share + 1 {
                     return drop(state);
                 }
-                let Some(waiter) = state.next_for(returned.user()) else {
+                let Some(waiter) = state.take_waiter_for(returned.user()) else {
                     state.idle.push(returned);
                     return;
                 };
                 waiter
             };
             if waiter.user != *returned.user() {
-                // An unused permit comes back when it is dropped.
-                drop(waiter.grant.send(Grant::Open(returned.close().reopening())));
+                // If the waiter is gone, the dropped permit returns to the pool.
+                drop(waiter.grant.send(Grant::Open(returned.close().into_opening())));
                 return;
             }
             match waiter.grant.send(Grant::Idle(Box::new(returned))) {
@@ -516,14 +525,15 @@
         }
     }
 
-    /// A connection was closed or not opened: the next waiter may open one.
-    fn permit_returned(self: &Arc<Self>) {
+    /// Releases the permit of a connection that was closed or not opened. If the limit allows,
+    /// the next waiter receives a permit.
+    fn release_permit(self: &Arc<Self>) {
         let waiter = {
             let mut state = self.state();
             state.open -= 1;
             let may_open = state.open < state.share && !state.is_retired && state.may_open(clock::now());
             let waiter = if may_open {
-                pop_live(&mut state.waiters)
+                pop_waiting(&mut state.waiters)
             } else {
                 None
             };
@@ -534,7 +544,7 @@
             waiter
         };
         if let Some(waiter) = waiter {
-            // An unused permit comes back here when it is dropped.
+            // If the waiter is gone, the dropped permit is released here again.
             let permit = Permit {
                 pool: self.clone(),
                 is_opening: true,
@@ -544,7 +554,8 @@
     }
 }
 
-fn pop_live(waiters: &mut VecDeque<Waiter>) -> Option<Waiter> {
+/// Removes and returns the first waiter that has not given up.
+fn pop_waiting(waiters: &mut VecDeque<Waiter>) -> Option<Waiter> {
     while let Some(waiter) = waiters.pop_front() {
         if !waiter.grant.is_closed() {
             return Some(waiter);
@@ -553,11 +564,12 @@
     None
 }
 
-/// Opens up to `count` connections ahead of need.
-pub async fn open_ahead(pool: Arc<Pool>, count: usize, pace: Duration) {
+/// Opens up to `count` connections in advance, pausing for `pause` after each, and stops at
+/// the first failure.
+pub async fn prewarm(pool: Arc<Pool>, count: usize, pause: Duration) {
     let mut held = Vec::new();
     for _ in 0..count {
-        let deadline = clock::now().plus_millis(CONNECT_LIMIT_MS);
+        let deadline = clock::now().plus_millis(CONNECT_TIMEOUT_MS);
         let purpose = Purpose::Statement {
             priority: u8::MAX,
             aim: deadline,
@@ -575,6 +587,6 @@
             Ok(connection) => held.push(connection),
             Err(_) => return,
         }
-        tokio::time::sleep(pace).await;
+        tokio::time::sleep(pause).await;
     }
 }
--- a/crates/millwind-engine/src/backend/pooled.rs
+++ b/crates/millwind-engine/src/backend/pooled.rs
@@ -1,4 +1,4 @@
-//! A connection of a pool in the hands of a user.
+//! A connection that is checked out of a pool.
 
 use std::sync::Arc;
 
@@ -10,21 +10,20 @@
 use crate::clock;
 use crate::statement::{Command, Envelope, TransactionState};
 
-/// A connection is given this long to roll back before it is closed.
+/// Time limit for a rollback before the connection is closed, in milliseconds.
 const ROLLBACK_LIMIT_MS: u64 = 3_000;
 
-/// A connection that goes back to its pool when dropped: at once if it is
-/// settled, after a rollback if a transaction is open, never if an answer is
-/// outstanding.
+/// A connection that returns to its pool when dropped. If a transaction is open, it is rolled
+/// back first; if replies are pending, the connection is closed instead.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Arc<Pool>,
     purpose: Purpose,
-    since: Instant,
+    acquired_at: Instant,
     connection: Option<Connection>,
-    /// A statement of its present user has run on it.
+    /// Whether a statement has run since the connection was acquired.
     has_run: bool,
-    /// The turn of its first statement, if that was taken before the connection.
+    /// The turn of the first statement, if it was taken before the connection was acquired.
     turn: Option<Turn>,
 }
 
@@ -33,14 +32,14 @@
         PooledConnection {
             pool,
             purpose,
-            since: clock::now(),
+            acquired_at: clock::now(),
             connection: Some(connection),
             has_run: false,
             turn: None,
         }
     }
 
-    /// How urgent the next statement on it is.
+    /// The urgency of the next statement on the connection.
     pub fn urgency(&self) -> Urgency {
         match self.purpose {
             Purpose::Statement { priority, .. } if !self.has_run => Urgency::Priority(priority),
@@ -48,7 +47,7 @@
         }
     }
 
-    /// When the caller should have the answer to the first statement on it.
+    /// Target time for the answer to the first statement; now for a health check.
     pub fn aim(&self) -> Instant {
         match self.purpose {
             Purpose::Statement { aim, .. } => aim,
@@ -56,22 +55,22 @@
         }
     }
 
-    /// Keeps the turn in which it was opened for its first statement.
+    /// Stores the turn in which the connection was acquired, for its first statement.
     pub fn keep_turn(&mut self, turn: Turn) {
         self.turn = Some(turn);
     }
 
-    /// The turn that was kept for the statement that runs now.
+    /// Takes the stored turn, if there is one.
     pub fn take_turn(&mut self) -> Option<Turn> {
         self.turn.take()
     }
 
-    /// A statement of its present user has run on it.
+    /// Records that a statement has run on the connection.
     pub fn note_run(&mut self) {
         self.has_run = true;
     }
 
-    /// The pool it belongs to.
+    /// The pool of the connection.
     pub fn pool(&self) -> &Arc<Pool> {
         &self.pool
     }
@@ -96,7 +95,7 @@
         let Some(connection) = self.connection.take() else {
             return;
         };
-        self.pool.note_use(self.since);
+        self.pool.record_use(self.acquired_at);
         if !connection.is_settled() {
             return;
         }
@@ -110,6 +109,8 @@
     }
 }
 
+/// Rolls back the open transaction and returns the connection to its pool; closes the
+/// connection if the rollback fails.
 async fn roll_back(pool: Arc<Pool>, mut connection: Connection) {
     let envelope = Envelope::own(Command::Rollback);
     let deadline = clock::now().plus_millis(ROLLBACK_LIMIT_MS);
--- a/crates/millwind-engine/src/backend/pools.rs
+++ b/crates/millwind-engine/src/backend/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of all instances that are in use.
+//! The connection pools of all instances in use.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,22 +6,22 @@
 
 use millwind_core::ids::InstanceName;
 
-use super::pool::{Pool, open_ahead};
+use super::pool::{Pool, prewarm};
 use crate::catalog::InstanceRecord;
 use crate::ports::BackEndCodec;
 
-/// Between two connections that are opened ahead of need.
-const OPEN_PACE: Duration = Duration::from_millis(20);
+/// Pause after each connection that is opened in advance.
+const PREWARM_PAUSE: Duration = Duration::from_millis(20);
 
-/// Pools by instance.
+/// Connection pools by instance.
 pub struct Pools {
     codec: Arc<dyn BackEndCodec>,
-    pools: Mutex<HashMap<InstanceName, Shared>>,
+    pools: Mutex<HashMap<InstanceName, PoolEntry>>,
 }
 
-/// A pool with the version of the nodes that its share follows from.
+/// A pool with the version of the node registry from which its share was computed.
 #[derive(Debug)]
-struct Shared {
+struct PoolEntry {
     pool: Arc<Pool>,
     version: u64,
 }
@@ -33,7 +33,7 @@
 }
 
 impl Pools {
-    /// No pools yet.
+    /// Creates an empty set of pools.
     pub fn new(codec: Arc<dyn BackEndCodec>) -> Self {
         Pools {
             codec,
@@ -41,47 +41,47 @@
         }
     }
 
-    /// The protocol spoken with back ends.
+    /// The codec of the back-end protocol.
     pub fn codec(&self) -> &Arc<dyn BackEndCodec> {
         &self.codec
     }
 
-    /// The pool of `record`; its share of the instance's connections is worked out
-    /// anew whenever `version`, that of the known nodes, has changed: a node that
-    /// has just heard of others holds too many otherwise.
+    /// Returns the pool of `record`, creating it if there is none for its address. The pool's
+    /// share of the instance's connections is recomputed whenever `version`, the version of
+    /// the node registry, has changed.
     pub fn pool(&self, record: &InstanceRecord, version: u64, share: impl FnOnce() -> usize) -> Arc<Pool> {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
         let present = pools.get_mut(&record.name);
-        if let Some(shared) = present.filter(|shared| shared.pool.record().address == record.address) {
-            if shared.version != version {
-                shared.version = version;
-                shared.pool.set_share(share());
+        if let Some(entry) = present.filter(|entry| entry.pool.record().address == record.address) {
+            if entry.version != version {
+                entry.version = version;
+                entry.pool.set_share(share());
             }
-            return shared.pool.clone();
+            return entry.pool.clone();
         }
         let pool = Pool::new(record.clone(), self.codec.clone(), share());
-        let shared = Shared {
+        let entry = PoolEntry {
             pool: pool.clone(),
             version,
         };
-        if let Some(replaced) = pools.insert(record.name.clone(), shared) {
+        if let Some(replaced) = pools.insert(record.name.clone(), entry) {
             replaced.pool.retire();
         }
         pool
     }
 
-    /// The instance of `record` began anew: its pool, if there is one, starts without
-    /// connections and with nothing learnt of its load. Whoever still holds the former
-    /// record gets the new pool as well.
+    /// Replaces the pool of a restarted instance, if there is one, by an empty pool without
+    /// load statistics. Lookups with the previous record return the new pool if the address
+    /// is the same.
     pub fn begin_life(&self, record: &InstanceRecord, version: u64, share: usize) {
         let former = {
             let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
-            let Some(shared) = pools.get_mut(&record.name) else {
+            let Some(entry) = pools.get_mut(&record.name) else {
                 return;
             };
-            shared.version = version;
+            entry.version = version;
             let pool = Pool::new(record.clone(), self.codec.clone(), share);
-            std::mem::replace(&mut shared.pool, pool)
+            std::mem::replace(&mut entry.pool, pool)
         };
         former.retire();
     }
@@ -89,40 +89,40 @@
     /// All pools.
     pub fn all(&self) -> Vec<Arc<Pool>> {
         let pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
-        pools.values().map(|shared| shared.pool.clone()).collect()
+        pools.values().map(|entry| entry.pool.clone()).collect()
     }
 
-    /// Closes connections that nobody needs; `spare_of` tells how many are kept
-    /// beyond those that were needed lately.
+    /// Closes surplus idle connections in all pools; `spare_of` returns how many are kept
+    /// beyond the recent peak demand.
     pub fn trim(&self, spare_of: impl Fn(&InstanceRecord) -> usize) {
         for pool in self.all() {
             pool.trim(spare_of(pool.record()));
         }
     }
 
-    /// Gives all pools their share of the instances' connections.
+    /// Sets the share of every pool to the result of `share_of`.
     pub fn set_shares(&self, share_of: impl Fn(&InstanceRecord) -> usize) {
         for pool in self.all() {
             pool.set_share(share_of(pool.record()));
         }
     }
 
-    /// Closes the pool of an instance that is gone.
+    /// Removes and retires the pool of an instance that is no longer used.
     pub fn retire(&self, instance: &InstanceName) {
         let removed = self
             .pools
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(instance);
-        if let Some(shared) = removed {
-            shared.pool.retire();
+        if let Some(entry) = removed {
+            entry.pool.retire();
         }
     }
 
-    /// Opens connections of a pool ahead of need, in the background.
+    /// Opens up to `count` connections of a pool in the background, unless as many are open.
     pub fn open_ahead(&self, pool: Arc<Pool>, count: usize) {
         if pool.open_connections() < count {
-            tokio::spawn(open_ahead(pool, count, OPEN_PACE));
+            tokio::spawn(prewarm(pool, count, PREWARM_PAUSE));
         }
     }
 }
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -1,5 +1,5 @@
-//! Turns of statements at one instance: as many run at the same time as its
-//! [`ConcurrencyLimit`] allows, the others wait here, the most urgent first.
+//! Admission of statements to one instance. As many statements run at the same time as the
+//! [`ConcurrencyLimit`] allows; the others wait in a queue, most urgent first.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,24 +13,24 @@
 use super::user::ConnectionUser;
 use crate::clock;
 
-/// Weight of a new sample in the mean time of a turn, as one part in so many.
+/// A new sample enters the moving average of turn durations with weight `1 / TURN_WEIGHT`.
 const TURN_WEIGHT: u64 = 16;
 
 /// How urgent a statement is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Part of an open transaction, which holds its connection meanwhile; it
-    /// waits until its deadline.
+    /// Part of an open transaction, which holds its connection. The statement may wait until
+    /// its deadline.
     InTransaction,
-    /// Of this priority, zero first.
+    /// Priority of the database; zero is the most urgent.
     Priority(u8),
-    /// Its answer will be late in any case: it waits behind all whose answers can
-    /// still be in time.
+    /// The statement is expected to miss its target time and waits behind all that can still
+    /// meet theirs.
     Late,
 }
 
 impl Urgency {
-    /// Its place in line; lower goes first.
+    /// Queue rank; lower ranks are served first.
     fn rank(self) -> u8 {
         match self {
             Urgency::InTransaction => 0,
@@ -43,7 +43,7 @@
 struct Waiter {
     urgency: Urgency,
     user: ConnectionUser,
-    /// Others that came later and went first.
+    /// Number of later statements that were served first.
     passed_over: u8,
     turn: oneshot::Sender<Turn>,
 }
@@ -52,11 +52,11 @@
     limit: ConcurrencyLimit,
     running: usize,
     waiters: VecDeque<Waiter>,
-    /// Mean time of a turn, in microseconds; zero before the first.
+    /// Moving average of the duration of a turn, in microseconds; zero before the first turn.
     mean_us: u64,
 }
 
-/// The turns at one instance.
+/// Admission queue for the statements on one instance.
 pub struct Turns(Mutex<State>);
 
 impl std::fmt::Debug for Turns {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A statement's turn; over when dropped.
+/// The right to run one statement on the instance; released when dropped.
 #[derive(Debug)]
 pub struct Turn {
     turns: Arc<Turns>,
@@ -75,7 +75,7 @@
 }
 
 impl Turn {
-    /// Ends the turn.
+    /// Releases the turn and reports how the statement ended.
     pub fn end(mut self, end: TurnEnd) {
         self.end = end;
     }
@@ -83,12 +83,12 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        self.turns.over(self.began, self.end, &self.user);
+        self.turns.release(self.began, self.end, &self.user);
     }
 }
 
 impl Turns {
-    /// Turns at an instance with so many slots.
+    /// Creates the queue for an instance with `slots` execution slots.
     pub fn new(slots: u32) -> Arc<Turns> {
         Arc::new(Turns(Mutex::new(State {
             limit: ConcurrencyLimit::new(slots),
@@ -102,7 +102,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// As [`Turns::take_for`], for the system or callers that are not told apart.
+    /// Like [`Turns::take_for`], for the system user.
     pub async fn take(
         self: &Arc<Self>,
         urgency: Urgency,
@@ -113,9 +113,9 @@
             .await
     }
 
-    /// Waits for a turn of `user`; one whose answer would come after `aim` counts as late.
-    /// Fails at `deadline`, or at once where the statement is not expected to be
-    /// served by then.
+    /// Waits for a turn of `user`. A statement whose answer is expected after the target time
+    /// `aim` counts as late. Fails at `deadline`, or at once if the statement is not expected
+    /// to be answered by then.
     pub async fn take_for(
         self: &Arc<Self>,
         user: &ConnectionUser,
@@ -129,10 +129,10 @@
                 state.running += 1;
                 return Ok(self.begin(user.clone()));
             }
-            let place = state
-                .place(urgency, aim, deadline)
+            let queued_urgency = state
+                .queued_urgency(urgency, aim, deadline)
                 .ok_or(LinkError::NoConnection)?;
-            state.enqueue(place, user.clone())
+            state.enqueue(queued_urgency, user.clone())
         };
         match tokio::time::timeout_at(clock::deadline(deadline), waiting).await {
             Ok(Ok(turn)) => Ok(turn),
@@ -150,28 +150,29 @@
         }
     }
 
-    /// A turn of `user` is over: those that wait may begin theirs.
-    fn over(self: &Arc<Self>, began: Instant, end: TurnEnd, user: &ConnectionUser) {
+    /// Releases a turn of `user` and grants turns to waiting statements.
+    fn release(self: &Arc<Self>, began: Instant, end: TurnEnd, user: &ConnectionUser) {
         let now = clock::now();
-        let mut begun = Vec::new();
+        let mut admitted = Vec::new();
         {
             let mut state = self.state();
             let was_full = state.running >= state.limit.allowed();
             state.running -= 1;
             state.limit.ended(now, end, was_full);
             if end == TurnEnd::Ran {
-                state.note_turn(now.0.saturating_sub(began.0));
+                state.record_turn(now.0.saturating_sub(began.0));
             }
             while state.running < state.limit.allowed() {
                 let Some(waiter) = state.next_waiter(user) else {
                     break;
                 };
                 state.running += 1;
-                begun.push(waiter);
+                admitted.push(waiter);
             }
         }
-        // Outside of the lock: a turn that nobody takes is over at once.
-        for waiter in begun {
+        // The state is unlocked here: a turn whose receiver is gone is dropped at once and
+        // locks the state again.
+        for waiter in admitted {
             let turn = self.begin(waiter.user);
             drop(waiter.turn.send(turn));
         }
@@ -179,28 +180,27 @@
 }
 
 impl State {
-    /// Takes in how long a turn took, in microseconds.
-    fn note_turn(&mut self, sample: u64) {
+    /// Adds the duration of a turn, in microseconds, to the moving average.
+    fn record_turn(&mut self, sample: u64) {
         self.mean_us = match self.mean_us {
             0 => sample,
             mean => (mean * (TURN_WEIGHT - 1) + sample) / TURN_WEIGHT,
         };
     }
 
-    /// Time until a statement that comes now would have been served, in
-    /// microseconds.
-    fn expected_us(&self, urgency: Urgency) -> u64 {
+    /// Expected time until a statement that arrives now is answered, in microseconds.
+    fn expected_completion_us(&self, urgency: Urgency) -> u64 {
         let ahead = self.waiters.iter().filter(|waiter| waiter.urgency <= urgency);
         let rounds = (ahead.count() as u64 + 1) / self.limit.allowed() as u64;
         self.mean_us * (rounds + 1)
     }
 
-    /// The place of a statement among those that wait; none where it is not
-    /// expected to be served before `deadline`. One of an open transaction always
-    /// has a place.
-    fn place(&self, urgency: Urgency, aim: Instant, deadline: Instant) -> Option<Urgency> {
+    /// The urgency at which a statement is queued: its own, or late if it is expected to miss
+    /// `aim`. None if it is not expected to be answered by `deadline`. Statements of an open
+    /// transaction are always queued.
+    fn queued_urgency(&self, urgency: Urgency, aim: Instant, deadline: Instant) -> Option<Urgency> {
         let now = clock::now();
-        let expected = |urgency| Instant(now.0 + self.expected_us(urgency));
+        let expected = |urgency| Instant(now.0 + self.expected_completion_us(urgency));
         if urgency == Urgency::InTransaction || expected(urgency) <= aim {
             return Some(urgency);
         }
@@ -220,8 +220,8 @@
         receiver
     }
 
-    /// The next one that still waits, after a turn of `user`, whose connection it leaves
-    /// open.
+    /// Removes and returns the waiter that is served next, after a turn of `user`. Waiters of
+    /// the same user are preferred because they can reuse its connection.
     fn next_waiter(&mut self, user: &ConnectionUser) -> Option<Waiter> {
         self.waiters.retain(|waiter| !waiter.turn.is_closed());
         let view = |waiter: &Waiter| Waiting {
@@ -230,8 +230,8 @@
             passed_over: waiter.passed_over,
         };
         let index = next_in_line(self.waiters.iter().map(view))?;
-        for passed_over in self.waiters.iter_mut().take(index) {
-            passed_over.passed_over += 1;
+        for skipped in self.waiters.iter_mut().take(index) {
+            skipped.passed_over += 1;
         }
         self.waiters.remove(index)
     }
--- a/crates/millwind-engine/src/backend/user.rs
+++ b/crates/millwind-engine/src/backend/user.rs
@@ -1,19 +1,19 @@
-//! On whose behalf connections to instances are open.
+//! Users of connections to instances.
 
 use millwind_core::ids::TenantName;
 
-/// The one whose statements a connection runs. It never serves another: an
-/// instance is told the name when the connection opens, and judges by it.
+/// The user for whom a connection is open. A connection never changes its user, since the
+/// instance receives the name only at startup.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ConnectionUser {
-    /// The system itself, and callers that are not told apart.
+    /// This system itself, and callers that are not distinguished by tenant.
     System,
-    /// A tenant's callers.
+    /// The callers of a tenant.
     Tenant(TenantName),
 }
 
 impl ConnectionUser {
-    /// The tenant; none for the system.
+    /// The tenant; none for the system user.
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             ConnectionUser::System => None,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The name in logs.
+    /// The user name used in logs.
     pub fn as_str(&self) -> &str {
         self.tenant().map_or("system", TenantName::as_str)
     }
