--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -1,6 +1,6 @@
-//! Asks leaders whether they still lead, and searches for one where none is
-//! known. An empty transaction is the question: it takes no slot, only a
-//! leader accepts it, and its answer carries the leader's position.
+//! Probes leaders, and searches for a leader if none is known. The probe is an empty
+//! transaction: it takes no connection slot, only a leader accepts it, and the answer contains
+//! the position of the leader.
 
 use std::sync::Arc;
 
@@ -19,92 +19,88 @@
 use crate::statement::{BackEndErrorKind, Command, Envelope};
 use crate::term_closing;
 
-/// A leader that was heard within this time is not asked, in milliseconds.
-const HEARD_MS: u64 = 250;
-/// A connection opens within this time, in milliseconds: opening takes a turn
-/// among the statements of a busy instance, an answer on an open connection
-/// does not.
-const CONNECT_MS: u64 = 1_000;
-/// An answer must come within this many times the mean of earlier ones.
-const ANSWER_FACTOR: u64 = 6;
-/// Least and most time for an answer, in milliseconds.
-const LEAST_ANSWER_MS: u64 = 150;
-const MOST_ANSWER_MS: u64 = 400;
-/// Observations are renewed when they are older than this part of the
-/// staleness that reads ask for.
-const STALENESS_PARTS: u64 = 3;
-/// A node that was turned away for this time counts the instance as failing, in
+/// Time since the last successful contact below which a leader is not probed, in milliseconds.
+const CONTACT_MAX_AGE_MS: u64 = 250;
+/// Timeout for opening a connection, in milliseconds. On a busy instance the open waits for a
+/// turn among its statements.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
+/// Response timeout as a multiple of the mean response time.
+const RESPONSE_TIMEOUT_FACTOR: u64 = 6;
+/// Bounds of the response timeout, in milliseconds.
+const MIN_RESPONSE_TIMEOUT_MS: u64 = 150;
+const MAX_RESPONSE_TIMEOUT_MS: u64 = 400;
+/// Observations are refreshed at this fraction of the staleness that reads accept.
+const STALENESS_DIVISOR: u64 = 3;
+/// Time without contact after which refused connections count as a failure of the instance, in
 /// milliseconds.
-const SHUT_OUT_MS: u64 = 1_500;
-/// Groups that have not been used for this time are asked less often, in
-/// milliseconds.
-pub(super) const UNUSED_MS: u64 = 5_000;
-/// How often a leader of an unused group is asked, in milliseconds.
-const UNUSED_INTERVAL_MS: u64 = 1_000;
+const REFUSAL_TOLERANCE_MS: u64 = 1_500;
+/// Time since the last use after which a group is idle and probed less often, in milliseconds.
+pub(super) const IDLE_GROUP_MS: u64 = 5_000;
+/// Interval between probes of the leader of an idle group, in milliseconds.
+const IDLE_CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Whether no leader is known that answers.
-pub(super) fn is_in_doubt(engine: &Engine, leader: Option<&InstanceName>) -> bool {
+/// Returns whether the leader is unknown or failing.
+pub(super) fn is_leader_unavailable(engine: &Engine, leader: Option<&InstanceName>) -> bool {
     leader.is_none_or(|leader| engine.directory.is_failing(leader))
 }
 
-/// Asks the leader of a group whether it still leads, if that is due.
-pub(super) async fn check(engine: &Arc<Engine>, group: &GroupName) {
+/// Probes the leader of a group if a probe is due.
+pub(super) async fn check_leader(engine: &Arc<Engine>, group: &GroupName) {
     let leader = engine
         .directory
         .leader(group)
         .and_then(|leader| engine.directory.instance(&leader.instance));
     if let Some(known) = leader
-        && is_due(engine, group, &known)
+        && is_check_due(engine, group, &known)
     {
-        ask(engine, &known.record).await;
+        probe_instance(engine, &known.record).await;
     }
 }
 
-/// Whether the leader should be asked now.
-fn is_due(engine: &Engine, group: &GroupName, known: &Known) -> bool {
+/// Returns whether the leader should be probed now.
+fn is_check_due(engine: &Engine, group: &GroupName, known: &Known) -> bool {
     let now = clock::now();
     let age = |time: Option<Instant>| time.map_or(u64::MAX, |time| now.millis_since(time));
-    let heard = age(known.contact.last_success);
+    let contact_age_ms = age(known.contact.last_success);
     if known.contact.is_doubted {
         return true;
     }
     let (last_use, _) = engine.directory.usage(group);
-    if age(last_use) > UNUSED_MS {
-        return heard > UNUSED_INTERVAL_MS;
+    if age(last_use) > IDLE_GROUP_MS {
+        return contact_age_ms > IDLE_CHECK_INTERVAL_MS;
     }
-    heard > HEARD_MS || is_observation_due(engine, group)
+    contact_age_ms > CONTACT_MAX_AGE_MS || is_observation_due(engine, group)
 }
 
-/// Whether reads that may be stale will soon need a newer position of the
-/// leader.
+/// Returns whether stale reads will soon need a newer leader position.
 pub(super) fn is_observation_due(engine: &Engine, group: &GroupName) -> bool {
     let now = clock::now();
     let (last_use, staleness) = engine.directory.usage(group);
     let (Some(last_use), Some(staleness)) = (last_use, staleness) else {
         return false;
     };
-    if now.millis_since(last_use) > UNUSED_MS {
+    if now.millis_since(last_use) > IDLE_GROUP_MS {
         return false;
     }
     let newest = engine.directory.newest_observation(group);
-    newest.is_none_or(|newest| now.millis_since(newest.asked) > staleness / STALENESS_PARTS)
+    newest.is_none_or(|newest| now.millis_since(newest.asked) > staleness / STALENESS_DIVISOR)
 }
 
-/// Asks all instances of a group whether they lead.
-pub(super) async fn search(engine: &Arc<Engine>, group: &GroupName) {
+/// Probes all instances of a group.
+pub(super) async fn probe_group(engine: &Arc<Engine>, group: &GroupName) {
     let known = engine.directory.instances_of(group);
-    let questions = known
+    let probes = known
         .iter()
         .filter(|known| !(known.is_gone && known.is_leaving))
-        .map(|known| ask(engine, &known.record));
-    join_all(questions).await;
+        .map(|known| probe_instance(engine, &known.record));
+    join_all(probes).await;
 }
 
-/// Asks one instance whether it leads, by an empty transaction.
-pub(super) async fn ask(engine: &Arc<Engine>, record: &InstanceRecord) {
+/// Probes an instance with an empty transaction and records whether it leads.
+pub(super) async fn probe_instance(engine: &Arc<Engine>, record: &InstanceRecord) {
     let asked = clock::now();
     engine.directory.checking(&record.name);
-    let connected_by = asked.plus_millis(CONNECT_MS);
+    let connected_by = asked.plus_millis(CONNECT_TIMEOUT_MS);
     let session = SessionState::default();
     let pool = engine.pool(record);
     let connected = pool
@@ -119,20 +115,20 @@
     note_lost_connections(engine, &pool, asked);
     let mut connection = match connected {
         Ok(connection) => connection,
-        Err(error) => return note_failure(engine, record, asked, &error),
+        Err(error) => return record_failure(engine, record, asked, &error),
     };
     let envelope = Envelope::own(Command::Begin { read_only: false });
     let sent = clock::now();
-    let deadline = sent.plus_millis(answer_limit_ms(engine, &record.name));
+    let deadline = sent.plus_millis(response_timeout_ms(engine, &record.name));
     match connection.exchange(&envelope, deadline).await {
-        Err(error) => note_failure(engine, record, sent, &error),
+        Err(error) => record_failure(engine, record, sent, &error),
         Ok(reply) => {
             engine.directory.answered(&record.name, None);
             engine.directory.checked(&record.name, clock::now().0 - sent.0);
             match (reply.result, reply.position) {
                 (Ok(_), Some(position)) => {
                     drop(connection);
-                    take_proof(engine, record, sent, position).await;
+                    record_leadership(engine, record, sent, position).await;
                 }
                 (Err(error), _) if error.kind == BackEndErrorKind::ReadOnly => {
                     engine.directory.leader_denied(&record.group, &record.name);
@@ -143,13 +139,13 @@
     }
 }
 
-/// Takes in that an instance answered as a leader. Where its log's term is
-/// closed, it is asked for the term that it leads: a new leader's log stands in
-/// the old term until its first commit.
-async fn take_proof(engine: &Arc<Engine>, record: &InstanceRecord, sent: Instant, position: Position) {
+/// Records that an instance answered as the leader. If the term of its log is closed, the
+/// instance is asked for its current term, because the log of a new leader stays in the old
+/// term until its first commit.
+async fn record_leadership(engine: &Arc<Engine>, record: &InstanceRecord, sent: Instant, position: Position) {
     let directory = &engine.directory;
-    let is_proof = || directory.leader_proved(&record.group, &record.name, sent, position);
-    if is_proof() || !directory.has_permits() || directory.is_retired(&record.group, &record.name) {
+    let accept_proof = || directory.leader_proved(&record.group, &record.name, sent, position);
+    if accept_proof() || !directory.has_permits() || directory.is_retired(&record.group, &record.name) {
         return;
     }
     let status = term_closing::ask_status(engine, record, Command::Status).await;
@@ -157,34 +153,34 @@
         return;
     };
     directory.leads_term(&record.group, &record.name, Term(status.term));
-    is_proof();
+    accept_proof();
 }
 
-fn note_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &LinkError) {
-    // An instance over its limit turns connections away, and one that never
-    // lets this node in serves it no better than a dead one. While statements
-    // try to open connections as well, a check may not even get its turn.
-    let is_turned_away = matches!(error, LinkError::TurnedAway | LinkError::NoConnection);
-    let is_shut_out = is_turned_away && !is_heard_lately(engine, record);
-    if error.is_evidence() || error.is_wrong_instance() || is_shut_out {
+fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &LinkError) {
+    // A refused connection alone is no evidence, since an instance at its connection limit
+    // refuses connections. An instance that keeps refusing this node is unusable, though. While
+    // statements open connections too, a probe may not even get a turn.
+    let is_refused = matches!(error, LinkError::TurnedAway | LinkError::NoConnection);
+    let is_persistently_refused = is_refused && !was_reached_recently(engine, record);
+    if error.is_evidence() || error.is_wrong_instance() || is_persistently_refused {
         engine.directory.failed(&record.name, asked, error.is_refusing());
     }
     note_process_end(engine, &engine.pool(record), asked, error);
 }
 
-/// How long an instance may take to answer, by how long it took so far.
-fn answer_limit_ms(engine: &Engine, instance: &InstanceName) -> u64 {
+/// Returns the response timeout of an instance, derived from its mean response time.
+fn response_timeout_ms(engine: &Engine, instance: &InstanceName) -> u64 {
     let mean_us = engine
         .directory
         .instance(instance)
         .and_then(|known| known.contact.check_us);
-    mean_us.map_or(MOST_ANSWER_MS, |mean| {
-        (mean * ANSWER_FACTOR / 1_000).clamp(LEAST_ANSWER_MS, MOST_ANSWER_MS)
+    mean_us.map_or(MAX_RESPONSE_TIMEOUT_MS, |mean| {
+        (mean * RESPONSE_TIMEOUT_FACTOR / 1_000).clamp(MIN_RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS)
     })
 }
 
-fn is_heard_lately(engine: &Engine, record: &InstanceRecord) -> bool {
+fn was_reached_recently(engine: &Engine, record: &InstanceRecord) -> bool {
     let known = engine.directory.instance(&record.name);
     let last_success = known.and_then(|known| known.contact.last_success);
-    last_success.is_some_and(|heard| clock::now().millis_since(heard) < SHUT_OUT_MS)
+    last_success.is_some_and(|heard| clock::now().millis_since(heard) < REFUSAL_TOLERANCE_MS)
 }
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -1,8 +1,9 @@
-//! Watches the leaders of the groups in use, and replaces those that are lost.
+//! Monitors the leaders of the groups that this node watches or uses, and replaces failed
+//! leaders.
 
 mod health;
 mod moves;
-mod pauses;
+mod paused_replicas;
 mod relocation;
 mod replacement;
 mod revocation;
@@ -27,72 +28,74 @@
 use crate::peers;
 use crate::ports::{CatalogCodec, Promoter};
 use crate::watch_list::WatchList;
-use relocation::LeadHistories;
-use replacement::LostLeader;
+use relocation::LeadershipHistories;
+use replacement::Replacement;
 
-/// Between two looks at the groups.
-const TICK: Duration = Duration::from_millis(100);
-/// A tick that comes so late shows that this process stood still, in
+/// Interval between health checks of the groups.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A delay between ticks above which this process is taken to have been suspended, in
 /// milliseconds.
-const STOOD_STILL_MS: u64 = 400;
-/// Between two replacements of one group's leader for how its statements end,
-/// in milliseconds.
-const SICK_PAUSE_MS: u64 = 8_000;
-/// Between two tries to hand over a leader whose time in an evacuated zone is over, in
-/// milliseconds: no replica has what it must hold, so that trying on asks and logs in vain.
-const LEAVE_PAUSE_MS: u64 = 5_000;
-/// Silence after which a leader is suspected, in milliseconds.
-const SUSPECT_MS: u64 = 400;
-/// Silence after which a lone witness acts, in milliseconds.
-const ALONE_MS: u64 = 1_200;
-/// Heartbeats missed before a suspicion is confirmed, in tenths.
-const HEARTBEAT_TENTHS: u64 = 20;
-/// Heartbeats are judged only if the store was heard within this time, in
-/// milliseconds.
-const STORE_RECENT_MS: u64 = 2_500;
-/// Between two rounds of questions to peers about one leader.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
-/// Each node that comes later in a group's order waits so much longer before it writes
-/// again what a restored store lost, in milliseconds: a write and its way to the others
-/// through relays.
-const RESTORE_STEP_MS: u64 = 1_500;
-/// None waits longer than this, in milliseconds: by then most nodes of the order are gone.
-const MOST_RESTORE_WAIT_MS: u64 = 12_000;
-/// Between two tries to take a duty that nobody holds.
-const DUTY_PAUSE: Duration = Duration::from_millis(500);
-/// A group whose leader this node has never seen may still be starting, in
-/// milliseconds.
-const NEVER_LED_MS: u64 = 4_000;
-/// A group that was used within this time is looked at with those that are watched, in
-/// milliseconds: the longest time after a use for which reads need a leader's position.
-const IN_USE_MS: u64 = health::UNUSED_MS;
-/// Age of a peer's report beyond which it says nothing, in milliseconds.
-const REPORT_MS: u64 = 1_500;
+const PROCESS_STALL_MS: u64 = 400;
+/// Minimum time between two replacements of a group's leader because of hanging or failing
+/// statements, in milliseconds.
+const STATEMENT_FAILOVER_COOLDOWN_MS: u64 = 8_000;
+/// Time between attempts to hand over a leader that is still in an evacuated zone after the
+/// evacuation bound, in milliseconds. The earlier attempts found no suitable replica.
+const EVACUATION_RETRY_INTERVAL_MS: u64 = 5_000;
+/// Time without a successful contact after which a leader is suspected, in milliseconds.
+const SUSPICION_TIMEOUT_MS: u64 = 400;
+/// Time without a successful contact after which a node replaces a leader although no peer
+/// confirms the failure, in milliseconds.
+const SINGLE_OBSERVER_TIMEOUT_MS: u64 = 1_200;
+/// Number of missed heartbeats that confirms a suspicion, in tenths.
+const MISSED_HEARTBEATS_TENTHS: u64 = 20;
+/// Maximum age of the last answer from the store for heartbeat ages to count, in milliseconds.
+const STORE_CONTACT_MAX_AGE_MS: u64 = 2_500;
+/// Interval between queries to peers about one suspected leader.
+const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Additional delay per rank before a node rewrites duty records that a restored store lost, in
+/// milliseconds. It covers one write and its propagation through relays.
+const RESTORE_DELAY_PER_RANK_MS: u64 = 1_500;
+/// Upper bound on the delay before a rewrite, in milliseconds. After this time most nodes with
+/// a better rank can be assumed to be gone.
+const MAX_RESTORE_DELAY_MS: u64 = 12_000;
+/// Time between attempts to claim a duty that no node holds.
+const DUTY_CLAIM_INTERVAL: Duration = Duration::from_millis(500);
+/// Time allowed for a starting group to get its first leader, in milliseconds. Applies while
+/// this node has never seen a leader of the group.
+const STARTUP_GRACE_MS: u64 = 4_000;
+/// Maximum time since the last use for which a group is checked along with the watched groups,
+/// in milliseconds. Reads need a recent leader position for this long after a use.
+const RECENT_USE_MS: u64 = health::IDLE_GROUP_MS;
+/// Maximum age of a peer's reachability report, in milliseconds.
+const PEER_REPORT_MAX_AGE_MS: u64 = 1_500;
 
-/// Watches all groups on behalf of one node.
+/// Failure detector and failover coordinator of one node. The `running_*` fields limit each
+/// kind of background task to one per group.
 pub struct Monitor<S> {
     engine: Arc<Engine>,
     duties: Arc<Duties<S>>,
     promoter: Arc<dyn Promoter>,
     codec: Arc<dyn CatalogCodec>,
-    busy: Arc<GroupMarks>,
-    replacing: Arc<GroupMarks>,
-    taking: Arc<GroupMarks>,
-    asking: Arc<GroupMarks>,
-    searching: Arc<GroupMarks>,
+    running_checks: Arc<GroupMarks>,
+    running_replacements: Arc<GroupMarks>,
+    running_duty_claims: Arc<GroupMarks>,
+    running_peer_queries: Arc<GroupMarks>,
+    running_leader_searches: Arc<GroupMarks>,
+    /// Groups without a known leader, and since when.
     leaderless: Mutex<HashMap<GroupName, Instant>>,
-    replaced_sick: Mutex<HashMap<GroupName, Instant>>,
-    lead_histories: LeadHistories,
-    reporting: Arc<GroupMarks>,
-    /// When a leader that stays beyond its time in an evacuated zone was last tried to
-    /// be handed over.
-    tried_leaving: Mutex<HashMap<GroupName, Instant>>,
+    /// Time of the last replacement because of hanging or failing statements.
+    statement_failover_times: Mutex<HashMap<GroupName, Instant>>,
+    leadership_histories: LeadershipHistories,
+    running_reports: Arc<GroupMarks>,
+    /// Time of the last attempt to hand over a leader that is still in an evacuated zone after
+    /// the evacuation bound.
+    evacuation_attempt_times: Mutex<HashMap<GroupName, Instant>>,
 }
 
 impl<S: Store + 'static> Monitor<S> {
-    /// A monitor that orders promotions from `promoter` under `duties`.
-    ///
-    /// Records of instances are read with `codec`.
+    /// Creates a monitor that requests promotions from `promoter` while it holds a duty in
+    /// `duties`, and decodes instance records with `codec`.
     pub fn new(
         engine: Arc<Engine>,
         duties: Arc<Duties<S>>,
@@ -104,93 +107,94 @@
             duties,
             promoter,
             codec,
-            busy: Arc::default(),
-            replacing: Arc::default(),
-            taking: Arc::default(),
-            asking: Arc::default(),
-            searching: Arc::default(),
+            running_checks: Arc::default(),
+            running_replacements: Arc::default(),
+            running_duty_claims: Arc::default(),
+            running_peer_queries: Arc::default(),
+            running_leader_searches: Arc::default(),
             leaderless: Mutex::new(HashMap::new()),
-            replaced_sick: Mutex::new(HashMap::new()),
-            lead_histories: LeadHistories::default(),
-            reporting: Arc::default(),
-            tried_leaving: Mutex::new(HashMap::new()),
+            statement_failover_times: Mutex::new(HashMap::new()),
+            leadership_histories: LeadershipHistories::default(),
+            running_reports: Arc::default(),
+            evacuation_attempt_times: Mutex::new(HashMap::new()),
         })
     }
 
-    /// Watches for the life of the process.
+    /// Runs the health checks. Never returns.
     pub async fn run(self: Arc<Self>) {
-        let mut last = clock::now();
+        let mut last_tick = clock::now();
         let mut watch_list = WatchList::default();
         loop {
             tokio::select! {
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
                 () = self.engine.monitor_woken() => {}
             }
             let now = clock::now();
-            if now.millis_since(last) > STOOD_STILL_MS {
-                info!("event=stood_still ms={}", now.millis_since(last));
+            if now.millis_since(last_tick) > PROCESS_STALL_MS {
+                info!("event=stood_still ms={}", now.millis_since(last_tick));
                 self.engine.directory.forgive_silence();
             }
-            last = now;
-            self.restore_lost_duties();
+            last_tick = now;
+            self.restore_lost_duty_records();
             let watched = watch_list.current(&self.engine);
             for group in watched.iter() {
-                self.start_look(group);
+                self.start_check(group);
             }
             for group in self
                 .engine
                 .directory
-                .groups_used_after(clock::minus_millis(now, IN_USE_MS))
+                .groups_used_after(clock::minus_millis(now, RECENT_USE_MS))
             {
-                self.follow_used(&group, &watched);
+                self.check_used_group(&group, &watched);
             }
         }
     }
 
-    /// Writes the duties' records again that the store lost when it was restored. The
-    /// first of a group's order does it at once; each one after it waits longer, and finds
-    /// it done: a node that was restarted meanwhile knows nothing of what was lost.
-    fn restore_lost_duties(self: &Arc<Self>) {
+    /// Rewrites duty records that the store lost when it was restored. Nodes wait in the order
+    /// of their rank for the group, so that usually only the first one writes. A node that
+    /// restarted in the meantime does not know the lost records.
+    fn restore_lost_duty_records(self: &Arc<Self>) {
         let now = clock::now();
         for (group, since) in self.duties.lost_records() {
             let rank = self.engine.registry.rank(group.as_str()) as u64;
-            let due = since.plus_millis((rank * RESTORE_STEP_MS).min(MOST_RESTORE_WAIT_MS));
+            let due = since.plus_millis((rank * RESTORE_DELAY_PER_RANK_MS).min(MAX_RESTORE_DELAY_MS));
             if now < due {
                 continue;
             }
-            if let Some(mark) = self.taking.enter(&group) {
+            if let Some(mark) = self.running_duty_claims.enter(&group) {
                 let duties = self.duties.clone();
                 tokio::spawn(async move {
                     duties.restore(mark.group()).await;
-                    tokio::time::sleep(DUTY_PAUSE).await;
+                    tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
                 });
             }
         }
     }
 
-    /// Looks at a group that this node uses, or asks others about it.
-    fn follow_used(self: &Arc<Self>, group: &GroupName, watched: &HashSet<GroupName>) {
+    /// Checks a group that this node uses. If another node watches the group, only refreshes
+    /// the leader position.
+    fn check_used_group(self: &Arc<Self>, group: &GroupName, watched: &HashSet<GroupName>) {
         if watched.contains(group) || self.engine.directory.group_limits(group).is_none() {
             return;
         }
         self.engine.metrics.groups_judged.inc();
         match self.engine.watches(group) {
-            true => self.start_look(group),
-            false => self.observe(group),
+            true => self.start_check(group),
+            false => self.refresh_leader_position(group),
         }
     }
 
-    /// Looks at a group in the background, unless that is under way.
-    fn start_look(self: &Arc<Self>, group: &GroupName) {
-        if let Some(mark) = self.busy.enter(group) {
+    /// Starts a background check of a group unless one is already running.
+    fn start_check(self: &Arc<Self>, group: &GroupName) {
+        if let Some(mark) = self.running_checks.enter(group) {
             let monitor = self.clone();
-            tokio::spawn(async move { monitor.look_at(mark.group()).await });
+            tokio::spawn(async move { monitor.check_group(mark.group()).await });
         }
     }
 
-    /// Asks the watchers of a group for its leader's position ahead of need,
-    /// where this node runs reads on its replicas.
-    fn observe(&self, group: &GroupName) {
+    /// Requests the leader position from the watchers of a group before reads need it, if this
+    /// node serves reads on the replicas of the group.
+    fn refresh_leader_position(&self, group: &GroupName) {
         if health::is_observation_due(&self.engine, group) && self.engine.owns_any_of(group) {
             let engine = self.engine.clone();
             let group = group.clone();
@@ -198,100 +202,110 @@
         }
     }
 
-    /// Checks the health of one group, and starts a replacement if needed.
-    async fn look_at(self: &Arc<Self>, group: &GroupName) {
-        self.hold_duty_ahead(group);
+    /// Checks the health of a group and starts a replacement of its leader if necessary.
+    async fn check_group(self: &Arc<Self>, group: &GroupName) {
+        self.claim_unheld_duty(group);
         let leader = self.engine.directory.leader(group).map(|leader| leader.instance);
-        if health::is_in_doubt(&self.engine, leader.as_ref()) {
-            self.search(group);
+        if health::is_leader_unavailable(&self.engine, leader.as_ref()) {
+            self.start_leader_search(group);
         } else {
-            health::check(&self.engine, group).await;
+            health::check_leader(&self.engine, group).await;
         }
         if !self.engine.directory.has_permits() {
-            // Without news from the store nothing can be ordered.
+            // A replacement needs recent data from the store.
             return;
         }
-        let evidence = self.evidence(group, leader.as_ref());
-        let verdict = judge_leader(clock::now(), &evidence, &self.times());
+        let evidence = self.collect_evidence(group, leader.as_ref());
+        let verdict = judge_leader(clock::now(), &evidence, &self.failover_times());
         let reason = match verdict {
             LeaderVerdict::Healthy => return,
             LeaderVerdict::Suspected => {
                 self.engine.doubt_leader();
-                return self.ask_peers(group, leader);
+                return self.query_peers(group, leader);
             }
             LeaderVerdict::Replace(reason) => reason,
         };
-        if reason.is_by_statements() && !self.may_replace_sick(group) {
+        if reason.is_by_statements() && !self.may_fail_over_for_statements(group) {
             return;
         }
-        if reason == ReplaceReason::Evacuated && !self.may_try_leaving(group, leader.as_ref()) {
+        if reason == ReplaceReason::Evacuated && !self.may_attempt_evacuation(group, leader.as_ref()) {
             return;
         }
         if self.duties.is_ordered_by_other(group) {
             return;
         }
-        let Some(mark) = self.replacing.enter(group) else {
+        let Some(mark) = self.running_replacements.enter(group) else {
             return;
         };
         let monitor = self.clone();
-        let lost = LostLeader {
+        let replacement = Replacement {
             group: group.clone(),
-            instance: leader,
+            old_leader: leader,
             reason,
         };
         tokio::spawn(async move {
-            monitor.replace(&lost).await;
+            monitor.replace(&replacement).await;
             drop(mark);
         });
     }
 
-    /// Whether no leader of the group was replaced lately for how its
-    /// statements end: the cause may lie elsewhere if the next one fares alike.
-    fn may_replace_sick(&self, group: &GroupName) -> bool {
-        has_rested(&self.replaced_sick, group, SICK_PAUSE_MS)
+    /// Returns whether the cooldown for replacements because of failing statements is over, and
+    /// restarts it if so. If the new leader shows the same errors, the cause is probably not
+    /// the leader.
+    fn may_fail_over_for_statements(&self, group: &GroupName) -> bool {
+        try_start_cooldown(
+            &self.statement_failover_times,
+            group,
+            STATEMENT_FAILOVER_COOLDOWN_MS,
+        )
     }
 
-    /// Whether a leader in an evacuated zone may be tried to be handed over now: at any
-    /// time within the bound, and from time to time after it.
-    fn may_try_leaving(&self, group: &GroupName, leader: Option<&InstanceName>) -> bool {
+    /// Returns whether to attempt a handover of a leader in an evacuated zone: always until the
+    /// evacuation bound, then once per [`EVACUATION_RETRY_INTERVAL_MS`].
+    fn may_attempt_evacuation(&self, group: &GroupName, leader: Option<&InstanceName>) -> bool {
         let directory = &self.engine.directory;
         let known = leader.and_then(|leader| directory.instance(leader));
         let since = known.and_then(|known| directory.evacuated_since(&known.record.zone));
         let bound = self.engine.settings.evacuation_bound_ms;
-        let is_within = since.is_some_and(|since| clock::now().millis_since(since) < bound);
-        is_within || has_rested(&self.tried_leaving, group, LEAVE_PAUSE_MS)
+        let is_within_bound = since.is_some_and(|since| clock::now().millis_since(since) < bound);
+        is_within_bound
+            || try_start_cooldown(
+                &self.evacuation_attempt_times,
+                group,
+                EVACUATION_RETRY_INTERVAL_MS,
+            )
     }
 
-    /// Searches for a leader in the background: instances that are silent must
-    /// not hold up the judgement.
-    fn search(self: &Arc<Self>, group: &GroupName) {
-        let Some(mark) = self.searching.enter(group) else {
+    /// Probes all instances of the group in the background, so that unresponsive instances do
+    /// not delay the failure decision.
+    fn start_leader_search(self: &Arc<Self>, group: &GroupName) {
+        let Some(mark) = self.running_leader_searches.enter(group) else {
             return;
         };
         let engine = self.engine.clone();
-        tokio::spawn(async move { health::search(&engine, mark.group()).await });
+        tokio::spawn(async move { health::probe_group(&engine, mark.group()).await });
     }
 
-    /// The first node in the group's order takes a duty that nobody holds.
-    fn hold_duty_ahead(self: &Arc<Self>, group: &GroupName) {
-        let is_open = self.duties.is_listed() && self.duties.get(group).is_none();
-        if !is_open || self.rank(group) > 0 {
+    /// Claims the duty of a group if no node holds it and this node ranks first.
+    fn claim_unheld_duty(self: &Arc<Self>, group: &GroupName) {
+        let is_unheld = self.duties.is_listed() && self.duties.get(group).is_none();
+        if !is_unheld || self.failover_rank(group) > 0 {
             return;
         }
-        let Some(mark) = self.taking.enter(group) else {
+        let Some(mark) = self.running_duty_claims.enter(group) else {
             return;
         };
         let duties = self.duties.clone();
         tokio::spawn(async move {
             duties.hold_ahead(mark.group()).await;
-            tokio::time::sleep(DUTY_PAUSE).await;
+            tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
         });
     }
 
-    /// Asks peers about a suspected leader, in the background.
-    fn ask_peers(self: &Arc<Self>, group: &GroupName, leader: Option<InstanceName>) {
+    /// Asks peers in the background whether they reach a suspected leader.
+    fn query_peers(self: &Arc<Self>, group: &GroupName, leader: Option<InstanceName>) {
         let Some(leader) = leader else { return };
-        let Some(mark) = self.asking.enter(group) else {
+        let Some(mark) = self.running_peer_queries.enter(group) else {
             return;
         };
         let engine = self.engine.clone();
@@ -305,20 +319,20 @@
             );
             engine.directory.heard_of(&leader, testimony);
             engine.wake_monitor();
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         });
     }
 
-    fn times(&self) -> FailoverTimes {
+    fn failover_times(&self) -> FailoverTimes {
         FailoverTimes {
-            suspect_ms: SUSPECT_MS,
-            alone_ms: ALONE_MS,
-            heartbeat_ms: self.engine.settings.heartbeat_ms * HEARTBEAT_TENTHS / 10,
+            suspect_ms: SUSPICION_TIMEOUT_MS,
+            alone_ms: SINGLE_OBSERVER_TIMEOUT_MS,
+            heartbeat_ms: self.engine.settings.heartbeat_ms * MISSED_HEARTBEATS_TENTHS / 10,
         }
     }
 
-    /// What is known about the leader of a group now.
-    fn evidence(&self, group: &GroupName, leader: Option<&InstanceName>) -> LeaderEvidence {
+    /// Collects the current evidence on the leader of a group.
+    fn collect_evidence(&self, group: &GroupName, leader: Option<&InstanceName>) -> LeaderEvidence {
         let directory = &self.engine.directory;
         let now = clock::now();
         let mut replicas = directory.instances_of(group);
@@ -338,15 +352,15 @@
         };
         let Some(known) = known else {
             let has_led = directory.newest_observation(group).is_some();
-            let patience = if has_led { 0 } else { NEVER_LED_MS };
+            let grace_ms = if has_led { 0 } else { STARTUP_GRACE_MS };
             let since = self.leaderless_since(group, now);
-            evidence.failing_since = Some(since.plus_millis(patience));
+            evidence.failing_since = Some(since.plus_millis(grace_ms));
             return evidence;
         };
-        self.has_leader(group);
+        self.clear_leaderless(group);
         let store_heard = directory
             .last_store_contact()
-            .filter(|heard| now.millis_since(*heard) < STORE_RECENT_MS);
+            .filter(|heard| now.millis_since(*heard) < STORE_CONTACT_MAX_AGE_MS);
         evidence.failing_since = known.contact.failing_since;
         evidence.is_refusing = known.contact.is_refusing;
         evidence.is_leaving = known.is_leaving;
@@ -354,22 +368,23 @@
         if self.engine.runs_statements_on(&known.record) {
             let statements = &known.contact.statements;
             let silent_since = known.contact.unresponsive_since();
-            // Statements that wait for their places at a cold instance hang as well.
-            let is_silence = statements.is_repeatedly_silent() && !known.warmth.is_cold(now);
-            evidence.unresponsive_since = silent_since.filter(|_| is_silence);
+            // Statements that wait for a connection slot of a cold instance hang as well.
+            let is_unresponsive = statements.is_repeatedly_silent() && !known.warmth.is_cold(now);
+            evidence.unresponsive_since = silent_since.filter(|_| is_unresponsive);
             evidence.is_outlier = statements.is_outlier(now);
         }
-        if let Some(testimony) = directory.testimony(&known.record.name, REPORT_MS) {
+        if let Some(testimony) = directory.testimony(&known.record.name, PEER_REPORT_MAX_AGE_MS) {
             evidence.peers_reaching = testimony.reaching;
             evidence.peers_failing = testimony.failing;
         }
-        // As of the last report: the record may have been renewed since.
+        // The heartbeat age is measured up to the last answer from the store, because the
+        // record may have been renewed since.
         evidence.heartbeat_age_ms = store_heard.map(|heard| heard.millis_since(known.heard));
         evidence
     }
 
-    /// Whether a leader must hand over since its zone is being evacuated: another
-    /// instance of its group may be used elsewhere.
+    /// Returns whether a leader must hand over because its zone is being evacuated and another
+    /// instance of the group can take over.
     fn must_leave_zone(&self, leader: &Known) -> bool {
         let directory = &self.engine.directory;
         if directory.evacuated_since(&leader.record.zone).is_none() {
@@ -396,7 +411,7 @@
         *leaderless.entry(group.clone()).or_insert(now)
     }
 
-    fn has_leader(&self, group: &GroupName) {
+    fn clear_leaderless(&self, group: &GroupName) {
         self.leaderless
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -404,15 +419,20 @@
     }
 }
 
-/// Whether `group` was last noted longer than `pause_ms` ago; notes it then.
-fn has_rested(noted: &Mutex<HashMap<GroupName, Instant>>, group: &GroupName, pause_ms: u64) -> bool {
+/// Starts a cooldown for `group` unless the previous one, of `cooldown_ms`, is still running.
+/// Returns whether it was started.
+fn try_start_cooldown(
+    cooldowns: &Mutex<HashMap<GroupName, Instant>>,
+    group: &GroupName,
+    cooldown_ms: u64,
+) -> bool {
     let now = clock::now();
-    let mut noted = noted.lock().unwrap_or_else(PoisonError::into_inner);
-    let is_recent = noted
+    let mut cooldowns = cooldowns.lock().unwrap_or_else(PoisonError::into_inner);
+    let is_active = cooldowns
         .get(group)
-        .is_some_and(|last| now.millis_since(*last) < pause_ms);
-    if !is_recent {
-        noted.insert(group.clone(), now);
+        .is_some_and(|started| now.millis_since(*started) < cooldown_ms);
+    if !is_active {
+        cooldowns.insert(group.clone(), now);
     }
-    !is_recent
+    !is_active
 }
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of a lead whose leader serves well: what they rest on, and when they end.
+//! Moves leadership away from a healthy leader: the required position, and when a move ends.
 
 use log::info;
 use millwind_core::failover::{ReplaceReason, Successor};
@@ -6,86 +6,86 @@
 use millwind_core::position::Position;
 use millwind_store::Store;
 
-use super::replacement::LostLeader;
+use super::replacement::Replacement;
 use super::{Monitor, health};
 use crate::clock;
 use crate::directory::Leader;
 use crate::statement::Command;
 use crate::term_closing;
 
-/// A move rests on what its leader told at most so long ago, in milliseconds: a little
-/// more than the longest that an answer of a leader takes. With an older one a replica
-/// that lacks acknowledged commits would pass for one that holds them all.
-const TOLD_MS: u64 = 500;
+/// Maximum age of the leader position that a move uses, in milliseconds; slightly above the
+/// longest response time of a leader. With an older position, a replica that lacks acknowledged
+/// commits would look complete.
+const POSITION_MAX_AGE_MS: u64 = 500;
 
 impl<S: Store + 'static> Monitor<S> {
-    /// Whether a move ends without (more) orders. A leader that fails meanwhile, or that
-    /// is no longer known, is replaced for that, by its own evidence and without what a
-    /// move asks of a successor.
-    pub(super) fn is_move_over(&self, lost: &LostLeader, leader: Option<&Leader>) -> bool {
+    /// Returns whether a move is complete or must be abandoned. A leader that fails or
+    /// disappears during a move is replaced because of the failure, without the requirements of
+    /// a move.
+    pub(super) fn is_move_over(&self, replacement: &Replacement, leader: Option<&Leader>) -> bool {
         let directory = &self.engine.directory;
-        let moved = lost.instance.as_ref();
-        let Some(known) = moved.and_then(|moved| directory.instance(moved)) else {
+        let old_leader = replacement.old_leader.as_ref();
+        let Some(known) = old_leader.and_then(|old_leader| directory.instance(old_leader)) else {
             return true;
         };
         if known.contact.failing_since.is_some() {
             return true;
         }
         let Some(leader) = leader else {
-            // This move itself may have told it to step down.
-            return directory.retired(&lost.group).as_ref() != moved;
+            // The leader may be unknown because this move told it to step down.
+            return directory.retired(&replacement.group).as_ref() != old_leader;
         };
-        let is_to_leave = lost.reason != ReplaceReason::Evacuated || self.must_leave_zone(&known);
-        !lost.is(&leader.instance) || !is_to_leave
+        let must_still_move = replacement.reason != ReplaceReason::Evacuated || self.must_leave_zone(&known);
+        !replacement.is_old_leader(&leader.instance) || !must_still_move
     }
 
-    /// All that the leader of a move has acknowledged, as it tells now; none where it
-    /// doesn't tell: then nobody is known to hold it.
-    pub(super) async fn told_by_leader(&self, lost: &LostLeader) -> Option<Position> {
-        let told = self.ask_moved_leader(lost).await;
-        if told.is_none() {
+    /// Returns the position up to which the old leader has acknowledged commits, or `None` if
+    /// it does not report one. Without the position no replica is known to hold all commits.
+    pub(super) async fn acknowledged_position(&self, replacement: &Replacement) -> Option<Position> {
+        let position = self.query_old_leader_position(replacement).await;
+        if position.is_none() {
             info!(
                 "event=move_without_position group={} leader={} reason={}",
-                lost.group,
-                lost.name(),
-                lost.reason.name()
+                replacement.group,
+                replacement.old_leader_name(),
+                replacement.reason.name()
             );
         }
-        told
+        position
     }
 
-    async fn ask_moved_leader(&self, lost: &LostLeader) -> Option<Position> {
+    async fn query_old_leader_position(&self, replacement: &Replacement) -> Option<Position> {
         let engine = &self.engine;
         let directory = &engine.directory;
-        let known = directory.instance(lost.instance.as_ref()?)?;
-        if directory.retired(&lost.group) == lost.instance {
-            // It was told to step down, and is still the one that holds all.
+        let known = directory.instance(replacement.old_leader.as_ref()?)?;
+        if directory.retired(&replacement.group) == replacement.old_leader {
+            // The old leader was told to step down, and still holds all commits.
             let status = term_closing::ask_status(engine, &known.record, Command::Status).await?;
-            let newest = directory.newest_observation(&lost.group)?;
+            let newest = directory.newest_observation(&replacement.group)?;
             return Some(newest.position.max(status.received));
         }
-        health::ask(engine, &known.record).await;
-        let leads = directory.leader(&lost.group);
-        if leads.is_none_or(|leader| !lost.is(&leader.instance)) {
+        health::probe_instance(engine, &known.record).await;
+        let current_leader = directory.leader(&replacement.group);
+        if current_leader.is_none_or(|leader| !replacement.is_old_leader(&leader.instance)) {
             return None;
         }
-        let newest = directory.newest_observation(&lost.group)?;
-        let is_new = clock::now().millis_since(newest.asked) <= TOLD_MS;
-        (is_new && !directory.is_failing(&known.record.name)).then_some(newest.position)
+        let newest = directory.newest_observation(&replacement.group)?;
+        let is_fresh = clock::now().millis_since(newest.asked) <= POSITION_MAX_AGE_MS;
+        (is_fresh && !directory.is_failing(&known.record.name)).then_some(newest.position)
     }
 
-    /// Whether a leader that serves well is replaced by `chosen`: where its region is
-    /// the cause, only by one whose region serves more, and that will stay.
-    pub(super) fn is_worth_the_move(
+    /// Returns whether `chosen` is a better leader. For a relocation its region must serve more
+    /// demand, and the replica must not have to leave.
+    pub(super) fn improves_placement(
         &self,
-        lost: &LostLeader,
+        replacement: &Replacement,
         chosen: &Successor,
         demand: &LeaderDemand,
     ) -> bool {
-        if lost.reason != ReplaceReason::Relocating {
+        if replacement.reason != ReplaceReason::Relocating {
             return true;
         }
-        let leader = lost.instance.as_ref();
+        let leader = replacement.old_leader.as_ref();
         let leader = leader.and_then(|leader| self.engine.directory.instance(leader));
         let worth_before = leader.map_or(0, |leader| demand.served_in(self.engine.region_of(&leader)));
         chosen.allowed_worth > worth_before && !chosen.is_leaving && !chosen.is_evacuated
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -1,9 +1,10 @@
-//! Moves the lead of a group to another region, where statements that need the leader
-//! may not run where it stands.
+//! Moves the leader of a group to another region if data residency terms keep statements that
+//! need a leader out of its current region.
 //!
-//! The holder of the group's duty decides, from what its own callers need and what
-//! other nodes report; where it is silent, the first of the group's watchers does. They report only while some customer's terms exclude the leader's
-//! region: a deployment without such terms sends no message for it.
+//! The holder of the group's duty decides, from the demand of its own clients and the reports
+//! of other nodes. If the holder does not answer, the first of the group's watchers that does
+//! decides instead. Nodes report only while the terms of a customer exclude the region of the
+//! leader, so a deployment without such terms sends no messages.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,7 +21,7 @@
 use millwind_store::Store;
 use millwind_wire::exchange::ExchangeRequest;
 
-use super::replacement::LostLeader;
+use super::replacement::Replacement;
 use super::{Monitor, health};
 use crate::catalog::ConfigSnapshot;
 use crate::clock;
@@ -31,63 +32,65 @@
 use crate::leader_demand::write_report;
 use crate::node::Engine;
 
-/// Between two looks at where leaders stand, and two reports on one group: a third of
-/// the time that a report counts.
-const TICK: Duration = Duration::from_millis(2_000);
-/// Unlike times of a hand-over, which are judged by instances, an unlimited age.
-const NEVER_CHANGED_MS: u64 = u64::MAX;
+/// Interval between placement checks, and between reports on one group: a third of the lifetime
+/// of a report.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Age of a leadership that has not changed since this node first saw it.
+const UNCHANGED_MS: u64 = u64::MAX;
 
-/// What this node has seen of one group's lead.
+/// Leadership of one group as seen by this node.
 #[derive(Debug, Default)]
-struct LeadHistory {
+struct LeadershipHistory {
     leader: Option<InstanceName>,
-    /// When another instance took over; none while the first one seen leads.
-    changed: Option<Instant>,
-    /// When a hand-over was last tried for its regions.
-    tried: Option<Instant>,
-    /// Regions that the lead was moved out of, and when.
-    left: HashMap<RegionName, Instant>,
-    /// The terms under which that was, and the last configuration that holds them.
-    terms: BTreeSet<AllowedRegions>,
+    /// When another instance took over; `None` while the first leader that this node saw still
+    /// leads.
+    leader_changed: Option<Instant>,
+    /// Time of the last relocation attempt.
+    last_attempt: Option<Instant>,
+    /// Regions that the leadership was moved out of, with the time of each move.
+    left_regions: HashMap<RegionName, Instant>,
+    /// The data residency terms of the group; a change of these clears `left_regions`.
+    allowed_regions: BTreeSet<AllowedRegions>,
+    /// The configuration version from which `allowed_regions` was taken.
     config_version: u64,
 }
 
-impl LeadHistory {
-    /// Takes in who leads now, under which terms.
-    fn follow(&mut self, leader: &InstanceName, now: Instant) {
-        self.left
+impl LeadershipHistory {
+    /// Records the current leader and drops expired entries of `left_regions`.
+    fn record_leader(&mut self, leader: &InstanceName, now: Instant) {
+        self.left_regions
             .retain(|_, since| now.millis_since(*since) < RETURN_PAUSE_MS);
         if self.leader.as_ref().is_some_and(|seen| seen != leader) {
-            self.changed = Some(now);
+            self.leader_changed = Some(now);
         }
         self.leader = Some(leader.clone());
     }
 
-    /// Takes in the group's terms: under other ones the lead may go back at once. Other
-    /// changes of the configuration don't move it.
-    fn follow_terms(&mut self, terms: &LeadTerms<'_>, group: &GroupName) {
+    /// Records the data residency terms of the group. If they have changed, a move back into a
+    /// former region is allowed at once. Other configuration changes have no effect.
+    fn record_allowed_regions(&mut self, terms: &LeadTerms<'_>, group: &GroupName) {
         if self.config_version == terms.config_version {
             return;
         }
         self.config_version = terms.config_version;
-        let terms: BTreeSet<_> = terms.of(group).cloned().collect();
-        if self.terms != terms {
-            self.left.clear();
-            self.terms = terms;
+        let allowed_regions: BTreeSet<_> = terms.of(group).cloned().collect();
+        if self.allowed_regions != allowed_regions {
+            self.left_regions.clear();
+            self.allowed_regions = allowed_regions;
         }
     }
 }
 
-/// What this node has seen of all groups' leads.
+/// Leadership of all groups as seen by this node.
 #[derive(Debug, Default)]
-pub(super) struct LeadHistories(Mutex<HashMap<GroupName, LeadHistory>>);
+pub(super) struct LeadershipHistories(Mutex<HashMap<GroupName, LeadershipHistory>>);
 
-impl LeadHistories {
-    fn histories(&self) -> MutexGuard<'_, HashMap<GroupName, LeadHistory>> {
+impl LeadershipHistories {
+    fn histories(&self) -> MutexGuard<'_, HashMap<GroupName, LeadershipHistory>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn judge(
+    fn evaluate(
         &self,
         group: &GroupName,
         demand: &LeaderDemand,
@@ -100,37 +103,38 @@
         let age_ms = |since: Instant| now.millis_since(since);
         let facts = LeadFacts {
             region,
-            unchanged_ms: history.changed.map_or(NEVER_CHANGED_MS, age_ms),
-            tried_ms: history.tried.map(age_ms),
+            unchanged_ms: history.leader_changed.map_or(UNCHANGED_MS, age_ms),
+            tried_ms: history.last_attempt.map(age_ms),
             candidates,
-            left: &history.left.keys().cloned().collect(),
+            left: &history.left_regions.keys().cloned().collect(),
         };
         judge_relocation(demand, &facts)
     }
 
-    fn tried(&self, group: &GroupName) {
+    fn record_attempt(&self, group: &GroupName) {
         if let Some(history) = self.histories().get_mut(group) {
-            history.tried = Some(clock::now());
+            history.last_attempt = Some(clock::now());
         }
     }
 
-    fn moved_out_of(&self, group: &GroupName, region: Option<&RegionName>) {
+    fn record_departure(&self, group: &GroupName, region: Option<&RegionName>) {
         let mut histories = self.histories();
         if let (Some(history), Some(region)) = (histories.get_mut(group), region) {
-            history.left.insert(region.clone(), clock::now());
+            history.left_regions.insert(region.clone(), clock::now());
         }
     }
 }
 
 impl<S: Store + 'static> Monitor<S> {
-    /// Looks at where leaders stand, for the life of the process.
+    /// Checks the placement of leaders periodically. Returns at once if relocation is disabled,
+    /// and never otherwise.
     pub async fn follow_leads(self: Arc<Self>) {
         if !self.engine.settings.relocates_leads {
             return;
         }
         loop {
-            tokio::time::sleep(TICK).await;
-            // Where nobody's terms exclude a region no lead is moved for them.
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            // No leader is relocated unless some terms exclude a region.
             if !self.engine.leader_demands.is_counted() {
                 continue;
             }
@@ -139,13 +143,14 @@
             };
             let terms = LeadTerms::of_config(&config);
             for group in config.groups.keys() {
-                self.look_at_lead(&config, &terms, group);
+                self.check_leader_placement(&config, &terms, group);
             }
         }
     }
 
-    /// Weighs a move of one group's lead, or reports to the one who does.
-    fn look_at_lead(
+    /// Evaluates a relocation of one group's leader, or reports the demand to the node that
+    /// decides.
+    fn check_leader_placement(
         self: &Arc<Self>,
         config: &Arc<ConfigSnapshot>,
         terms: &LeadTerms<'_>,
@@ -156,28 +161,33 @@
         let Some(known) = known else {
             return;
         };
-        let mut histories = self.lead_histories.histories();
+        let mut histories = self.leadership_histories.histories();
         let history = histories.entry(group.clone()).or_default();
-        history.follow_terms(terms, group);
-        history.follow(&known.record.name, clock::now());
+        history.record_allowed_regions(terms, group);
+        history.record_leader(&known.record.name, clock::now());
         drop(histories);
         let region = self.engine.region_of(&known);
         if !terms.exclude(group, region) {
             return;
         }
         if self.duties.held_token(group).is_some() {
-            return self.weigh(config, group, &known);
+            return self.relocate_if_beneficial(config, group, &known);
         }
-        if let Some(mark) = self.reporting.enter(group) {
+        if let Some(mark) = self.running_reports.enter(group) {
             let (monitor, config) = (self.clone(), config.clone());
-            tokio::spawn(async move { monitor.report_or_weigh(&config, mark.group(), &known).await });
+            tokio::spawn(async move { monitor.report_or_relocate(&config, mark.group(), &known).await });
         }
     }
 
-    /// Tells the holder of a group's duty what this node's callers need of its leader.
-    /// Where that one is silent the first of the group's watchers that answers decides
-    /// in its place, which may be this node.
-    async fn report_or_weigh(self: &Arc<Self>, config: &ConfigSnapshot, group: &GroupName, leader: &Known) {
+    /// Reports the demand of this node's clients to the holder of the group's duty. If the
+    /// holder does not answer, the first watcher of the group that does decides instead; this
+    /// may be the node itself.
+    async fn report_or_relocate(
+        self: &Arc<Self>,
+        config: &ConfigSnapshot,
+        group: &GroupName,
+        leader: &Known,
+    ) {
         let demands = &self.engine.leader_demands;
         if demands.total_of(group).is_empty() {
             return;
@@ -193,7 +203,7 @@
         }
         for watcher in self.engine.registry.first_for(group.as_str(), WATCHERS) {
             if watcher.is_self {
-                return self.weigh(config, group, leader);
+                return self.relocate_if_beneficial(config, group, leader);
             }
             let is_other = Some(watcher.address) != holder;
             if is_other && self.engine.peers.ask(watcher.address, &request).await.is_ok() {
@@ -202,9 +212,9 @@
         }
     }
 
-    /// Hands the lead over where that serves clearly more.
-    fn weigh(self: &Arc<Self>, config: &ConfigSnapshot, group: &GroupName, leader: &Known) {
-        // What else happens to the lead goes first, and makes its own choice.
+    /// Moves the leadership if another region serves clearly more demand.
+    fn relocate_if_beneficial(self: &Arc<Self>, config: &ConfigSnapshot, group: &GroupName, leader: &Known) {
+        // Shutdown and failover take precedence and choose their own successor.
         if leader.is_leaving || leader.contact.failing_since.is_some() {
             return;
         }
@@ -214,18 +224,18 @@
         let engine = &self.engine;
         let demand = engine.leader_demands.total_of(group);
         let region = engine.region_of(leader).cloned();
-        let is_served = demand.served_in(region.as_ref()) > 0;
-        let candidates = self.regions_of_successors(group, leader, is_served);
-        let judged = self
-            .lead_histories
-            .judge(group, &demand, region.as_ref(), &candidates);
-        let Some(relocation) = judged else {
+        let is_demand_served = demand.served_in(region.as_ref()) > 0;
+        let candidates = self.successor_regions(group, leader, is_demand_served);
+        let decision = self
+            .leadership_histories
+            .evaluate(group, &demand, region.as_ref(), &candidates);
+        let Some(relocation) = decision else {
             return;
         };
-        let Some(mark) = self.replacing.enter(group) else {
+        let Some(mark) = self.running_replacements.enter(group) else {
             return;
         };
-        self.lead_histories.tried(group);
+        self.leadership_histories.record_attempt(group);
         engine.metrics.lead_relocations.inc();
         info!(
             "event=lead_relocation group={group} leader={} zone={} region={} to_region={} worth_before={} worth_after={} config_version={}",
@@ -238,30 +248,35 @@
             config.version,
         );
         let monitor = self.clone();
-        let lost = LostLeader {
+        let replacement = Replacement {
             group: group.clone(),
-            instance: Some(leader.record.name.clone()),
+            old_leader: Some(leader.record.name.clone()),
             reason: ReplaceReason::Relocating,
         };
         tokio::spawn(async move {
-            // A holder that watches the group no longer knows its leader by hearsay.
-            health::search(&monitor.engine, &lost.group).await;
-            monitor.replace(&lost).await;
-            let now_leads = monitor.engine.directory.leader(&lost.group);
-            if now_leads.is_some_and(|now_leads| Some(&now_leads.instance) != lost.instance.as_ref()) {
-                monitor.lead_histories.moved_out_of(&lost.group, region.as_ref());
+            // Probes the group first, because the holder may know the leader only from peer
+            // reports.
+            health::probe_group(&monitor.engine, &replacement.group).await;
+            monitor.replace(&replacement).await;
+            let new_leader = monitor.engine.directory.leader(&replacement.group);
+            if new_leader
+                .is_some_and(|new_leader| Some(&new_leader.instance) != replacement.old_leader.as_ref())
+            {
+                monitor
+                    .leadership_histories
+                    .record_departure(&replacement.group, region.as_ref());
             }
             drop(mark);
         });
     }
 
-    /// Regions of the replicas that may take over now: where the leader serves some
-    /// (`is_served`), a cold one would serve these worse.
-    fn regions_of_successors(
+    /// Returns the regions of the replicas that can take over now. Cold replicas are excluded
+    /// if the leader serves part of the demand, which they would serve more slowly.
+    fn successor_regions(
         &self,
         group: &GroupName,
         leader: &Known,
-        is_served: bool,
+        is_demand_served: bool,
     ) -> BTreeSet<RegionName> {
         let engine = &self.engine;
         let known = engine.directory.instances_of(group);
@@ -269,7 +284,7 @@
             .iter()
             .filter(|known| known.record.name != leader.record.name);
         let present = others.filter(|known| !known.is_gone);
-        let fit = present.filter(|known| !(is_served && known.warmth.is_cold(clock::now())));
+        let fit = present.filter(|known| !(is_demand_served && known.warmth.is_cold(clock::now())));
         let usable = fit.filter(|known| {
             let judged = engine.judge_instance(known, InstanceUse::Replica, &AllowedRegions::Any);
             judged.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_sick()
@@ -281,7 +296,7 @@
 }
 
 impl Engine {
-    /// The region of an instance; none where its zone is not in the settings.
+    /// Returns the region of an instance, or `None` if its zone is not in the settings.
     pub fn region_of(&self, known: &Known) -> Option<&RegionName> {
         self.settings.topology.region_of(&known.record.zone)
     }
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -1,5 +1,5 @@
-//! Replaces the leader of a group: asks the replicas how far they are, takes
-//! the duty, and orders the promotion until a new leader is seen.
+//! Replaces the leader of a group: compares the positions of the replicas, claims the duty, and
+//! requests the promotion of the chosen replica until a new leader is confirmed.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use millwind_core::position::{Position, Term};
 use millwind_store::Store;
 
-use super::pauses::Pauses;
+use super::paused_replicas::PausedReplicas;
 use super::revocation::ClosedTerm;
 use super::{Monitor, health};
 use crate::clock;
@@ -24,140 +24,145 @@
 use crate::statement::{Command, InstanceStatus};
 use crate::term_closing::ask_status_over;
 
-/// Each node that comes later in the order waits this much longer.
-const RANK_STEP: Duration = Duration::from_millis(500);
-/// No node waits longer than this many steps.
-const MOST_RANKS: usize = 4;
-/// The promotion service answers within this time.
-const ORDER_LIMIT: Duration = Duration::from_millis(700);
-/// A promoted replica leads within this time, in milliseconds.
-const TAKE_OVER_MS: u64 = 2_500;
-/// Orders given for one lost leader.
-const MOST_ORDERS: usize = 8;
-/// A choice older than this is made again, in milliseconds.
-const CHOICE_MS: u64 = 250;
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Where the lead is moved though its leader serves well, replicas get this time to
-/// receive what it has reported before they are asked: a few times their usual lag. On a
-/// busy group none would else ever hold the newest.
-const CATCH_UP: Duration = Duration::from_millis(100);
+/// Additional delay per rank before a node starts a replacement.
+const DELAY_PER_RANK: Duration = Duration::from_millis(500);
+/// Highest rank that adds delay.
+const MAX_RANK: usize = 4;
+/// Timeout for a request to the promotion service.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time for a promoted replica to prove that it leads, in milliseconds.
+const TAKEOVER_TIMEOUT_MS: u64 = 2_500;
+/// Maximum number of promotion attempts per replacement.
+const MAX_ATTEMPTS: usize = 8;
+/// Age after which a successor must be chosen again, in milliseconds.
+const CHOICE_MAX_AGE_MS: u64 = 250;
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Delay before the positions of replicas are read when a healthy leader is moved, so that they
+/// can receive its last reported position. Without the delay no replica of a busy group would
+/// ever hold that position.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(100);
 
-/// A chosen replica.
-struct Choice {
+/// The replica chosen for promotion, and the answers on which the choice is based.
+struct SuccessorChoice {
     instance: InstanceName,
-    /// Since when its life was known before it told how far it is.
-    life_began: Option<Instant>,
-    /// More than half of the group's instances answered; else this node may be
-    /// the one that is cut off.
-    is_by_majority: bool,
-    /// The newest term that an instance has told of.
+    /// When the current incarnation of the instance was first seen, as known before the
+    /// instance reported its position. `None` for the first incarnation.
+    incarnation: Option<Instant>,
+    /// Whether more than half of the group's instances answered. Otherwise this node may be on
+    /// the minority side of a partition.
+    has_majority: bool,
+    /// The newest term reported by any instance.
     newest_term: Term,
-    /// Another instance that says that it leads.
-    leading: Option<InstanceName>,
-    /// What the comparison of positions rests on.
-    pauses: Pauses,
+    /// An instance that reported itself as the leader.
+    reported_leader: Option<InstanceName>,
+    /// The replicas that must remain paused for the compared positions to stay valid.
+    paused: PausedReplicas,
 }
 
-/// A leader that is being replaced.
-pub(super) struct LostLeader {
-    /// Its group.
+/// A replacement of the leader of one group.
+pub(super) struct Replacement {
+    /// The group.
     pub group: GroupName,
-    /// The leader; none where the group has none.
-    pub instance: Option<InstanceName>,
-    /// Why it is replaced.
+    /// The leader to replace; `None` if the group has no known leader.
+    pub old_leader: Option<InstanceName>,
+    /// Why the leader is replaced.
     pub reason: ReplaceReason,
 }
 
-impl LostLeader {
-    pub(super) fn name(&self) -> &str {
-        self.instance.as_ref().map_or("none", |name| name.as_str())
+impl Replacement {
+    pub(super) fn old_leader_name(&self) -> &str {
+        self.old_leader.as_ref().map_or("none", |name| name.as_str())
     }
 
-    pub(super) fn is(&self, instance: &InstanceName) -> bool {
-        self.instance.as_ref() == Some(instance)
+    pub(super) fn is_old_leader(&self, instance: &InstanceName) -> bool {
+        self.old_leader.as_ref() == Some(instance)
     }
 }
 
-/// How one order ended.
-enum Ended {
-    /// Another leader is known.
+/// Outcome of one promotion attempt.
+enum OrderOutcome {
+    /// The chosen replica leads.
     Replaced,
-    /// Try again, without the chosen replica.
-    Without(InstanceName),
-    /// Try again.
-    Again,
-    /// Leave it to others.
-    Yield,
+    /// Retry without this replica.
+    RetryWithout(InstanceName),
+    /// Retry.
+    Retry,
+    /// Stop, because another node has taken over or nothing is left to do.
+    Abandon,
 }
 
 impl<S: Store + 'static> Monitor<S> {
-    /// Replaces `lost`, unless another node does or it comes back.
-    pub(super) async fn replace(self: &Arc<Self>, lost: &LostLeader) {
-        let group = &lost.group;
-        let rank = match &lost.instance {
-            Some(leader) if lost.reason.is_by_statements() => self.owner_rank(leader),
-            _ => self.rank(group),
+    /// Carries out a replacement, unless another node does so or the leader recovers.
+    pub(super) async fn replace(self: &Arc<Self>, replacement: &Replacement) {
+        let group = &replacement.group;
+        let rank = match &replacement.old_leader {
+            Some(leader) if replacement.reason.is_by_statements() => self.connection_owner_rank(leader),
+            _ => self.failover_rank(group),
         };
         info!(
             "event=leader_lost group={group} instance={} reason={} rank={rank}",
-            lost.name(),
-            lost.reason.name()
+            replacement.old_leader_name(),
+            replacement.reason.name()
         );
-        tokio::time::sleep(RANK_STEP * rank as u32).await;
-        tokio::time::sleep(self.lease_left(group)).await;
+        tokio::time::sleep(DELAY_PER_RANK * rank as u32).await;
+        tokio::time::sleep(self.remaining_lease(group)).await;
         let started = clock::now();
         let mut excluded = HashSet::new();
-        for attempt in 0..MOST_ORDERS {
-            if self.is_settled(lost) {
+        for attempt in 0..MAX_ATTEMPTS {
+            if self.is_resolved(replacement) {
                 return;
             }
-            let ended = match self.engine.directory.is_fenced() {
-                true => self.order(lost, &excluded, attempt == 0).await,
-                false => self.order_unfenced(lost, &excluded, attempt == 0).await,
+            let outcome = match self.engine.directory.is_fenced() {
+                true => self.order_promotion(replacement, &excluded, attempt == 0).await,
+                false => {
+                    self.order_unfenced_promotion(replacement, &excluded, attempt == 0)
+                        .await
+                }
             };
-            match ended {
-                Ended::Replaced => {
+            match outcome {
+                OrderOutcome::Replaced => {
                     info!(
                         "event=leader_replaced group={group} lost={} ms={}",
-                        lost.name(),
+                        replacement.old_leader_name(),
                         clock::now().millis_since(started)
                     );
                     return;
                 }
-                Ended::Yield => return,
-                Ended::Without(instance) => {
+                OrderOutcome::Abandon => return,
+                OrderOutcome::RetryWithout(instance) => {
                     excluded.insert(instance);
                 }
-                Ended::Again => {}
+                OrderOutcome::Retry => {}
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The holder of the duty goes first; others follow in an agreed order.
-    pub(super) fn rank(&self, group: &GroupName) -> usize {
+    /// Returns the position of this node in the order in which nodes start a replacement. The
+    /// holder of the duty is first.
+    pub(super) fn failover_rank(&self, group: &GroupName) -> usize {
         if self.duties.held_token(group).is_some() {
             return 0;
         }
         let rank = self.engine.registry.rank(group.as_str());
         let holder_goes_first = usize::from(self.duties.get(group).is_some());
-        (rank + holder_goes_first).min(MOST_RANKS)
+        (rank + holder_goes_first).min(MAX_RANK)
     }
 
-    /// Owners of a leader's connections run statements there: they alone notice
-    /// how these end, and go in the order of their ownership.
-    fn owner_rank(&self, leader: &InstanceName) -> usize {
+    /// Returns the rank of this node among the owners of connections to `leader`. Only owners
+    /// run statements on the leader and can see that these hang or fail.
+    fn connection_owner_rank(&self, leader: &InstanceName) -> usize {
         let Some(known) = self.engine.directory.instance(leader) else {
-            return MOST_RANKS;
+            return MAX_RANK;
         };
         let ranked = self.engine.owners.ranked(&self.engine.registry, &known.record);
         let index = ranked.iter().position(|owner| owner.is_self);
-        index.unwrap_or(MOST_RANKS).min(MOST_RANKS)
+        index.unwrap_or(MAX_RANK).min(MAX_RANK)
     }
 
-    /// How long another holder's lease on the duty may still run: where the
-    /// platform sets one, two holders must not act within it.
-    fn lease_left(&self, group: &GroupName) -> Duration {
+    /// Returns the remaining time of another node's lease on the duty. Two holders must not act
+    /// within the lease that the platform sets.
+    fn remaining_lease(&self, group: &GroupName) -> Duration {
         let lease_ms = self.engine.settings.duty_lease_ms;
         match self.duties.get(group) {
             Some(duty) if self.duties.held_token(group).is_none() => {
@@ -167,20 +172,20 @@
         }
     }
 
-    /// Whether there is nothing left to do.
-    fn is_settled(&self, lost: &LostLeader) -> bool {
-        if self.duties.is_ordered_by_other(&lost.group) {
+    /// Returns whether the replacement is complete or no longer needed.
+    fn is_resolved(&self, replacement: &Replacement) -> bool {
+        if self.duties.is_ordered_by_other(&replacement.group) {
             return true;
         }
         let directory = &self.engine.directory;
-        let leader = directory.leader(&lost.group);
-        if lost.reason.is_move() {
-            return self.is_move_over(lost, leader.as_ref());
+        let leader = directory.leader(&replacement.group);
+        if replacement.reason.is_move() {
+            return self.is_move_over(replacement, leader.as_ref());
         }
         let Some(leader) = leader else {
             return false;
         };
-        if !lost.is(&leader.instance) {
+        if !replacement.is_old_leader(&leader.instance) {
             return true;
         }
         directory.instance(&leader.instance).is_some_and(|known| {
@@ -192,80 +197,79 @@
         })
     }
 
-    /// Orders one promotion. The first order of a holder goes out under the
-    /// token it has, also while the store is out; a later one needs a higher
-    /// token, so that an earlier order carried out late is refused.
-    async fn order(
+    /// Attempts one promotion. The first attempt of a holder uses its current token, so that it
+    /// works while the store is unavailable. Later attempts need a higher token, so that a
+    /// delayed earlier request is rejected.
+    async fn order_promotion(
         self: &Arc<Self>,
-        lost: &LostLeader,
+        replacement: &Replacement,
         excluded: &HashSet<InstanceName>,
         is_first: bool,
-    ) -> Ended {
-        let group = &lost.group;
-        let Some(choice) = self.choose(lost, excluded).await else {
-            return Ended::Again;
+    ) -> OrderOutcome {
+        let group = &replacement.group;
+        let Some(choice) = self.select_successor(replacement, excluded).await else {
+            return OrderOutcome::Retry;
         };
         let chosen_at = clock::now();
         let held = self.duties.held_token(group);
-        if let (Some(token), true, true) = (held, is_first, choice.is_by_majority) {
-            self.record_in_background(group, &choice.instance);
+        if let (Some(token), true, true) = (held, is_first, choice.has_majority) {
+            self.record_order_in_background(group, &choice.instance);
             return self.promote(group, choice, token).await;
         }
         let claim = Claim::Order(choice.instance.clone());
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return Ended::Yield,
+            Err(DutyError::Taken) => return OrderOutcome::Abandon,
             Err(DutyError::Store(_)) => match held {
-                Some(token) if choice.is_by_majority => token,
-                _ => return Ended::Again,
+                Some(token) if choice.has_majority => token,
+                _ => return OrderOutcome::Retry,
             },
         };
-        let is_old = clock::now().millis_since(chosen_at) > CHOICE_MS;
-        if !is_old && choice.is_by_majority {
+        let is_old = clock::now().millis_since(chosen_at) > CHOICE_MAX_AGE_MS;
+        if !is_old && choice.has_majority {
             return self.promote(group, choice, token).await;
         }
-        // Its connections are wanted for the next comparison.
+        // Releases the connections of this choice, which the next comparison needs.
         drop(choice);
-        // This node may have been cut off: another leader may have taken over
-        // meanwhile, and promoting over it would undo its commits.
-        if !self.read_records().await {
-            return Ended::Again;
+        // This node may have been partitioned. Another leader may have taken over meanwhile,
+        // and a promotion over that leader would lose its commits.
+        if !self.refresh_instance_records().await {
+            return OrderOutcome::Retry;
         }
-        health::search(&self.engine, group).await;
-        if self.is_settled(lost) {
-            return Ended::Yield;
+        health::probe_group(&self.engine, group).await;
+        if self.is_resolved(replacement) {
+            return OrderOutcome::Abandon;
         }
-        match self.choose(lost, excluded).await {
+        match self.select_successor(replacement, excluded).await {
             Some(choice) => self.promote(group, choice, token).await,
-            None => Ended::Again,
+            None => OrderOutcome::Retry,
         }
     }
 
-    /// Orders one promotion where the old leader does not lose its lead by it:
-    /// its term is closed first, and every permit for it revoked. All this is
-    /// agreed through the store; without it nothing is ordered.
-    async fn order_unfenced(
+    /// Attempts one promotion if promotions do not fence the old leader: first closes its term
+    /// and revokes all permits for that term. Both need the store.
+    async fn order_unfenced_promotion(
         self: &Arc<Self>,
-        lost: &LostLeader,
+        replacement: &Replacement,
         excluded: &HashSet<InstanceName>,
         is_first: bool,
-    ) -> Ended {
-        let group = &lost.group;
+    ) -> OrderOutcome {
+        let group = &replacement.group;
         if !is_first {
-            // The last order may have been carried out.
-            health::search(&self.engine, group).await;
-            if self.is_settled(lost) {
-                return Ended::Yield;
+            // The previous promotion request may have taken effect.
+            health::probe_group(&self.engine, group).await;
+            if self.is_resolved(replacement) {
+                return OrderOutcome::Abandon;
             }
         }
-        let Some(choice) = self.choose(lost, excluded).await else {
-            return Ended::Again;
+        let Some(choice) = self.select_successor(replacement, excluded).await else {
+            return OrderOutcome::Retry;
         };
         let chosen_at = clock::now();
         let term = self.term_to_close(group, &choice);
-        // Where another node closed the term before, its leader may be back.
-        let leader = lost.instance.clone();
-        let leader = leader.or_else(|| choice.leading.clone());
+        // If another node closed the term before, the old leader may have recovered.
+        let leader = replacement.old_leader.clone();
+        let leader = leader.or_else(|| choice.reported_leader.clone());
         let leader = leader.or_else(|| self.engine.directory.retired(group));
         let claim = Claim::Close {
             chosen: choice.instance.clone(),
@@ -274,49 +278,49 @@
         };
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return Ended::Yield,
-            Err(DutyError::Store(_)) => return Ended::Again,
+            Err(DutyError::Taken) => return OrderOutcome::Abandon,
+            Err(DutyError::Store(_)) => return OrderOutcome::Retry,
         };
         let closed = ClosedTerm {
             group: group.clone(),
             term,
             leader,
             successor: choice.instance.clone(),
-            is_live: lost.reason.is_of_live_leader(),
+            is_leader_serving: replacement.reason.is_of_live_leader(),
             token,
         };
-        let life = self.life_of(closed.leader.as_ref());
-        if !self.revoke(&closed).await {
-            return Ended::Yield;
+        let incarnation = self.incarnation_of(closed.leader.as_ref());
+        if !self.revoke_permits(&closed).await {
+            return OrderOutcome::Abandon;
         }
-        let is_old = clock::now().millis_since(chosen_at) > CHOICE_MS;
+        let is_old = clock::now().millis_since(chosen_at) > CHOICE_MAX_AGE_MS;
         let chosen = match is_old {
             false => Some(choice),
             true => {
                 drop(choice);
-                self.choose(lost, excluded).await
+                self.select_successor(replacement, excluded).await
             }
         };
         let Some(choice) = chosen else {
-            return Ended::Again;
+            return OrderOutcome::Retry;
         };
         let claim = Claim::Order(choice.instance.clone());
         match self.duties.take(group, claim).await {
-            // It has forgotten that it stepped down: permits for its term count again.
-            Ok(_) if self.life_of(closed.leader.as_ref()) != life => Ended::Again,
+            // A restarted leader has lost its step-down, and permits for its term count again.
+            Ok(_) if self.incarnation_of(closed.leader.as_ref()) != incarnation => OrderOutcome::Retry,
             Ok(token) => self.promote(group, choice, token).await,
-            Err(DutyError::Taken) => Ended::Yield,
-            Err(DutyError::Store(_)) => Ended::Again,
+            Err(DutyError::Taken) => OrderOutcome::Abandon,
+            Err(DutyError::Store(_)) => OrderOutcome::Retry,
         }
     }
 
-    /// Since when the present life of an instance is known.
-    pub(super) fn life_of(&self, instance: Option<&InstanceName>) -> Option<Instant> {
+    /// Returns when the current incarnation of an instance was first seen.
+    pub(super) fn incarnation_of(&self, instance: Option<&InstanceName>) -> Option<Instant> {
         self.engine.directory.life_began(instance?)
     }
 
-    /// The term that must be closed before `choice` is promoted.
-    fn term_to_close(&self, group: &GroupName, choice: &Choice) -> Term {
+    /// Returns the term that must be closed before `choice` is promoted.
+    fn term_to_close(&self, group: &GroupName, choice: &SuccessorChoice) -> Term {
         let directory = &self.engine.directory;
         let observed = directory.newest_observation(group);
         let observed = observed.map_or(Term(0), |newest| newest.position.term);
@@ -328,9 +332,9 @@
         term_to_close(observed.max(choice.newest_term), closed, has_open_order)
     }
 
-    /// Reads all instances' records from the store, which tell who sees itself
-    /// as a leader; false if the store gave no answer.
-    async fn read_records(&self) -> bool {
+    /// Reads all instance records from the store; they show which instances consider themselves
+    /// leaders. Returns false if the store did not answer.
+    async fn refresh_instance_records(&self) -> bool {
         let Ok(listing) = self.duties.list(self.codec.instances_prefix()).await else {
             return false;
         };
@@ -342,26 +346,27 @@
         true
     }
 
-    /// Tells the other nodes of an order under the token that was held.
-    fn record_in_background(self: &Arc<Self>, group: &GroupName, chosen: &InstanceName) {
+    /// Records a promotion under the held token in the store, in the background, so that other
+    /// nodes learn of it.
+    fn record_order_in_background(self: &Arc<Self>, group: &GroupName, chosen: &InstanceName) {
         let monitor = self.clone();
         let group = group.clone();
         let chosen = chosen.clone();
         tokio::spawn(async move { monitor.duties.take(&group, Claim::Order(chosen)).await });
     }
 
-    /// Orders the promotion, and waits until the replica leads.
-    async fn promote(&self, group: &GroupName, choice: Choice, token: u64) -> Ended {
-        if !choice.pauses.hold(&self.engine.directory) {
-            return Ended::Again;
+    /// Requests the promotion and waits until the replica leads.
+    async fn promote(&self, group: &GroupName, choice: SuccessorChoice, token: u64) -> OrderOutcome {
+        if !choice.paused.are_all_paused(&self.engine.directory) {
+            return OrderOutcome::Retry;
         }
-        if self.life_of(Some(&choice.instance)) != choice.life_began {
-            // The one that lives now may hold less than was told.
+        if self.incarnation_of(Some(&choice.instance)) != choice.incarnation {
+            // The new incarnation may hold less than the old one reported.
             info!(
                 "event=choice_began_anew group={group} instance={}",
                 choice.instance
             );
-            return Ended::Again;
+            return OrderOutcome::Retry;
         }
         let chosen = choice.instance;
         let order = PromotionOrder {
@@ -371,89 +376,98 @@
             fencing_token: token,
         };
         self.engine.metrics.promotions.inc();
-        let answer = self.promoter.promote(order, ORDER_LIMIT).await;
+        let answer = self.promoter.promote(order, PROMOTION_TIMEOUT).await;
         self.engine.metrics.calls.count("promote", answer.name());
         info!("event=promotion_ordered group={group} instance={chosen} token={token} answer={answer:?}");
         match answer {
-            PromotionAnswer::Accepted => self.await_take_over(group, &chosen).await,
-            PromotionAnswer::Rejected => Ended::Without(chosen),
-            PromotionAnswer::Throttled | PromotionAnswer::Unknown => Ended::Again,
+            PromotionAnswer::Accepted => self.await_takeover(group, &chosen).await,
+            PromotionAnswer::Rejected => OrderOutcome::RetryWithout(chosen),
+            PromotionAnswer::Throttled | PromotionAnswer::Unknown => OrderOutcome::Retry,
         }
     }
 
-    /// Waits until the chosen replica has proved its lead.
-    async fn await_take_over(&self, group: &GroupName, chosen: &InstanceName) -> Ended {
-        let deadline = clock::now().plus_millis(TAKE_OVER_MS);
+    /// Waits until the chosen replica has proved that it leads.
+    async fn await_takeover(&self, group: &GroupName, chosen: &InstanceName) -> OrderOutcome {
+        let deadline = clock::now().plus_millis(TAKEOVER_TIMEOUT_MS);
         while clock::now() < deadline {
             let leader = self.engine.directory.leader(group);
             if leader.is_some_and(|leader| leader.instance == *chosen) {
-                return Ended::Replaced;
+                return OrderOutcome::Replaced;
             }
             let step = clock::now().plus_millis(100).min(deadline);
             self.engine.directory.leaders_changed(step).await;
         }
         warn!("event=take_over_late group={group} instance={chosen}");
-        Ended::Again
+        OrderOutcome::Retry
     }
 
-    /// The replica that takes over, by what each has received.
-    async fn choose(&self, lost: &LostLeader, excluded: &HashSet<InstanceName>) -> Option<Choice> {
-        let sync_replicas = self.engine.directory.group_limits(&lost.group)?.sync_replicas;
-        let pause = self.pause_command(&lost.group, sync_replicas);
-        if lost.reason.is_move() && sync_replicas > 0 {
-            // The leader serves well: replicas stop receiving only once one of them is
-            // known to be fit, since its commits wait for them.
-            self.choose_by(lost, excluded, Command::Status).await?;
+    /// Chooses the replica to promote by the positions that the replicas have received.
+    async fn select_successor(
+        &self,
+        replacement: &Replacement,
+        excluded: &HashSet<InstanceName>,
+    ) -> Option<SuccessorChoice> {
+        let sync_replicas = self
+            .engine
+            .directory
+            .group_limits(&replacement.group)?
+            .sync_replicas;
+        let command = self.position_command(&replacement.group, sync_replicas);
+        if replacement.reason.is_move() && sync_replicas > 0 {
+            // The leader is healthy and its commits wait for the replicas, so replicas are
+            // paused only once a suitable one is known.
+            self.select_successor_by(replacement, excluded, Command::Status)
+                .await?;
         }
-        self.choose_by(lost, excluded, pause).await
+        self.select_successor_by(replacement, excluded, command).await
     }
 
-    /// The same by the answers to `question`.
-    async fn choose_by(
+    /// Chooses the replica to promote by the answers to `command`.
+    async fn select_successor_by(
         &self,
-        lost: &LostLeader,
+        replacement: &Replacement,
         excluded: &HashSet<InstanceName>,
-        question: Command<'static>,
-    ) -> Option<Choice> {
+        command: Command<'static>,
+    ) -> Option<SuccessorChoice> {
         let engine = &self.engine;
-        let group = &lost.group;
-        let must_hold = match lost.reason.is_move() {
-            true => Some(self.told_by_leader(lost).await?),
-            false => self.must_hold(lost),
+        let group = &replacement.group;
+        let required_position = match replacement.reason.is_move() {
+            true => Some(self.acknowledged_position(replacement).await?),
+            false => self.required_position(replacement),
         };
         let sync_replicas = engine.directory.group_limits(group)?.sync_replicas;
         let known = engine.directory.instances_of(group);
         let mut replicas: Vec<_> = known
             .iter()
-            .filter(|known| !lost.is(&known.record.name))
+            .filter(|known| !replacement.is_old_leader(&known.record.name))
             .filter(|known| !excluded.contains(&known.record.name))
             .filter(|known| !known.is_gone)
             .collect();
-        // With synchronous replicas every answer counts for the comparison.
+        // With synchronous replicas the comparison needs every answer.
         if sync_replicas == 0 && replicas.iter().any(|known| !known.contact.is_sick()) {
             replicas.retain(|known| !known.contact.is_sick());
         }
         let demand = engine.leader_demands.total_of(group);
         let worth_in = |known: &Known| demand.served_in(engine.region_of(known));
-        if lost.reason.is_move() {
-            tokio::time::sleep(CATCH_UP).await;
+        if replacement.reason.is_move() {
+            tokio::time::sleep(CATCH_UP_DELAY).await;
         }
-        let questions = replicas
+        let requests = replicas
             .iter()
-            .map(|known| ask_status_over(engine, &known.record, question));
-        let answers = join_all(questions).await;
-        let mut pauses = Pauses::default();
+            .map(|known| ask_status_over(engine, &known.record, command));
+        let answers = join_all(requests).await;
+        let mut paused = PausedReplicas::default();
         let mut answered = Vec::new();
         for (known, answer) in replicas.iter().zip(answers) {
             let Some((status, connection)) = answer else {
                 continue;
             };
-            if matches!(question, Command::Pause { .. }) {
-                pauses.add(known, connection);
+            if matches!(command, Command::Pause { .. }) {
+                paused.add(known, connection);
             }
             answered.push((known, status));
         }
-        let named_before = self.duties.get(group).and_then(|duty| duty.record.chosen);
+        let previously_chosen = self.duties.get(group).and_then(|duty| duty.record.chosen);
         let successors: Vec<_> = answered
             .iter()
             .map(|(known, status)| Successor {
@@ -463,29 +477,33 @@
                 is_evacuated: engine.directory.evacuated_since(&known.record.zone).is_some(),
                 allowed_worth: worth_in(known),
                 is_cold: known.warmth.is_cold(clock::now()),
-                is_named: named_before.as_ref() == Some(&known.record.name),
+                is_named: previously_chosen.as_ref() == Some(&known.record.name),
                 is_near: known.record.zone.as_str() == engine.settings.zone,
             })
             .collect();
-        if lost.reason == ReplaceReason::Evacuated {
+        if replacement.reason == ReplaceReason::Evacuated {
             info!(
                 "event=leader_leaves_zone group={group} instance={} answered={} must_hold={}",
-                lost.name(),
+                replacement.old_leader_name(),
                 answered.len(),
-                must_hold.unwrap_or_default()
+                required_position.unwrap_or_default()
             );
         }
-        let total = known.iter().filter(|known| !lost.is(&known.record.name)).count();
-        let chosen = choose_successor(&successors, total, sync_replicas, must_hold)
-            // A leader that serves is not replaced by one that must go as well.
-            .filter(|chosen| !lost.reason.is_move() || !chosen.is_evacuated)
-            .filter(|chosen| self.is_worth_the_move(lost, chosen, &demand));
+        let total = known
+            .iter()
+            .filter(|known| !replacement.is_old_leader(&known.record.name))
+            .count();
+        let chosen = choose_successor(&successors, total, sync_replicas, required_position)
+            // A healthy leader must not be replaced by a replica that has to leave its zone
+            // too.
+            .filter(|chosen| !replacement.reason.is_move() || !chosen.is_evacuated)
+            .filter(|chosen| self.improves_placement(replacement, chosen, &demand));
         let Some(chosen) = chosen else {
             info!(
                 "event=no_successor group={group} lost={} answered={} replicas={total} must_hold={}",
-                lost.name(),
+                replacement.old_leader_name(),
                 answered.len(),
-                must_hold.unwrap_or_default()
+                required_position.unwrap_or_default()
             );
             return None;
         };
@@ -497,40 +515,40 @@
         );
         let members = known.iter().filter(|known| !known.is_gone).count();
         let chosen_known = replicas.iter().find(|known| known.record.name == chosen.instance);
-        Some(Choice {
+        Some(SuccessorChoice {
             instance: chosen.instance.clone(),
-            life_began: chosen_known.and_then(|known| known.life_began),
-            is_by_majority: answered.len() * 2 > members,
+            incarnation: chosen_known.and_then(|known| known.life_began),
+            has_majority: answered.len() * 2 > members,
             newest_term: newest_term(answered.iter().map(|(_, status)| status)),
-            leading: answered
+            reported_leader: answered
                 .iter()
                 .find(|(_, status)| status.is_leader)
                 .map(|(known, _)| known.record.name.clone()),
-            pauses,
+            paused,
         })
     }
 
-    /// What a successor must have received: all that a leader has reported which
-    /// still serves. One that leaves is given up with what it holds once half of
-    /// its time is over.
-    fn must_hold(&self, lost: &LostLeader) -> Option<Position> {
-        if !lost.reason.is_of_live_leader() {
+    /// Returns the position that a successor must have received: the last one reported by a
+    /// leader that still serves. For a leader that is shutting down the requirement is dropped
+    /// after half of the drain bound.
+    fn required_position(&self, replacement: &Replacement) -> Option<Position> {
+        if !replacement.reason.is_of_live_leader() {
             return None;
         }
         let directory = &self.engine.directory;
-        let known = directory.instance(lost.instance.as_ref()?);
+        let known = directory.instance(replacement.old_leader.as_ref()?);
         let leaving_since = known.and_then(|known| known.leaving_since);
-        let patience = self.engine.settings.drain_bound_ms / 2;
-        if leaving_since.is_some_and(|since| clock::now().millis_since(since) >= patience) {
+        let grace_ms = self.engine.settings.drain_bound_ms / 2;
+        if leaving_since.is_some_and(|since| clock::now().millis_since(since) >= grace_ms) {
             return None;
         }
-        let newest = directory.newest_observation(&lost.group)?;
+        let newest = directory.newest_observation(&replacement.group)?;
         Some(newest.position)
     }
 
-    /// Where acknowledged commits must survive, replicas stop receiving before
-    /// their positions are compared.
-    fn pause_command(&self, group: &GroupName, sync_replicas: usize) -> Command<'static> {
+    /// Returns the command that queries the replicas. With synchronous replicas it pauses
+    /// replication, so that positions stay comparable.
+    fn position_command(&self, group: &GroupName, sync_replicas: usize) -> Command<'static> {
         if sync_replicas == 0 {
             return Command::Status;
         }
@@ -540,7 +558,7 @@
     }
 }
 
-/// The newest term that any of the instances has told of.
+/// Returns the newest term in `statuses`.
 fn newest_term<'a>(statuses: impl Iterator<Item = &'a InstanceStatus>) -> Term {
     let terms = statuses.map(|status| Term(status.term).max(status.received.term));
     terms.max().unwrap_or_default()
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -1,5 +1,5 @@
-//! Before a promotion, where promotions don't fence: closes the old leader's
-//! term, and makes sure that nobody counts on it any more.
+//! Closes the term of the old leader before a promotion, if promotions do not fence it, and
+//! waits until no node relies on that leader.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,68 +20,68 @@
 use crate::statement::Command;
 use crate::term_closing;
 
-/// A node answers within this time, in milliseconds: it may let its statements
-/// end first, and its answer crosses regions twice.
-const ANSWER_MS: u64 = SETTLE_MS + 100;
-/// Between two rounds of questions to the nodes that have not answered.
-const ROUND_PAUSE: Duration = Duration::from_millis(100);
-/// A successor catches up with a leader that gets no new statements within this
-/// time, in milliseconds: several times what a network between regions takes.
-const CATCH_UP_MS: u64 = 800;
-/// Between two looks at how far a successor is.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout for the answer of a node, in milliseconds. The node may wait for its running
+/// statements to end, and the exchange may cross regions.
+const RESPONSE_TIMEOUT_MS: u64 = SETTLE_MS + 100;
+/// Interval between requests to the nodes that have not answered.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for a successor to catch up with a leader that gets no new statements, in milliseconds;
+/// several round trips between regions.
+const CATCH_UP_TIMEOUT_MS: u64 = 800;
+/// Interval between position queries to the successor.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A term that was closed by this node.
+/// A term that this node has closed.
 pub(super) struct ClosedTerm {
     /// The group.
     pub group: GroupName,
     /// The term.
     pub term: Term,
-    /// Its leader, where it is known.
+    /// The leader of the term, if known.
     pub leader: Option<InstanceName>,
     /// The replica that will take over.
     pub successor: InstanceName,
-    /// The old leader still serves, so that its commits need not be lost.
-    pub is_live: bool,
-    /// The token under which it was closed.
+    /// Whether the old leader still serves, so that its commits can be preserved.
+    pub is_leader_serving: bool,
+    /// The fencing token under which the term was closed.
     pub token: u64,
 }
 
 impl<S: Store + 'static> Monitor<S> {
-    /// Returns once nobody counts on the leader of a closed term; false if
-    /// another node has taken over the duty meanwhile.
-    pub(super) async fn revoke(self: &Arc<Self>, closed: &ClosedTerm) -> bool {
+    /// Returns true once no node relies on the leader of the closed term, or false if another
+    /// node has taken over the duty meanwhile.
+    pub(super) async fn revoke_permits(self: &Arc<Self>, closed: &ClosedTerm) -> bool {
         let started = clock::now();
         let mut has_stepped_down = false;
-        let mut is_complete = self.read_nodes().await;
-        let mut life = self.life_of(closed.leader.as_ref());
-        if closed.is_live {
+        let mut has_all_nodes = self.refresh_nodes().await;
+        let mut incarnation = self.incarnation_of(closed.leader.as_ref());
+        if closed.is_leader_serving {
             has_stepped_down = self.hand_over(closed).await;
         }
         let mut answered = BTreeSet::new();
-        let since = self.closed_since(closed);
+        let closed_at = self.closed_since(closed);
         loop {
-            let life_now = self.life_of(closed.leader.as_ref());
-            if life_now != life {
-                // A process that begins anew has forgotten that it stepped down.
+            let current_incarnation = self.incarnation_of(closed.leader.as_ref());
+            if current_incarnation != incarnation {
+                // A restarted leader has lost its step-down.
                 has_stepped_down = false;
-                life = life_now;
+                incarnation = current_incarnation;
             }
             if !has_stepped_down {
-                has_stepped_down = self.ask_round(closed, true, &mut answered).await;
+                has_stepped_down = self.request_term_closing(closed, true, &mut answered).await;
             }
-            if !is_complete {
-                is_complete = self.read_nodes().await;
+            if !has_all_nodes {
+                has_all_nodes = self.refresh_nodes().await;
             }
-            let missing = self.missing(&answered);
-            // Before the nodes are read, at least one may be unknown.
+            let missing = self.outstanding_nodes(&answered);
+            // Until the registered nodes have been read, at least one may be unknown.
             let revocation = Revocation {
-                closed: since,
-                missing: missing.len() + usize::from(!is_complete),
+                closed: closed_at,
+                missing: missing.len() + usize::from(!has_all_nodes),
                 has_stepped_down,
             };
             if may_promote(clock::now(), &revocation) {
-                self.note_end(closed, started, &revocation);
+                self.record_revoked(closed, started, &revocation);
                 return self.duties.held_token(&closed.group) == Some(closed.token);
             }
             if self.duties.held_token(&closed.group) != Some(closed.token) {
@@ -91,13 +91,13 @@
                 );
                 return false;
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_INTERVAL).await;
         }
     }
 
-    /// Reads from the store which nodes are registered: one that registers later
-    /// has heard of the closed term; false if the store gave no answer.
-    async fn read_nodes(&self) -> bool {
+    /// Reads the registered nodes from the store. A node that registers later already knows the
+    /// closed term. Returns false if the store did not answer.
+    async fn refresh_nodes(&self) -> bool {
         let registry = &self.engine.registry;
         let Ok(listing) = self.duties.list(registry.prefix()).await else {
             return false;
@@ -106,13 +106,13 @@
         true
     }
 
-    /// When this node knew that the term is closed.
+    /// Returns when this node learned that the term is closed.
     fn closed_since(&self, closed: &ClosedTerm) -> Instant {
         let terms = self.engine.directory.closed_terms(&closed.group);
         terms.closed_since(closed.term).unwrap_or_else(clock::now)
     }
 
-    fn note_end(&self, closed: &ClosedTerm, started: Instant, revocation: &Revocation) {
+    fn record_revoked(&self, closed: &ClosedTerm, started: Instant, revocation: &Revocation) {
         if revocation.missing > 0 && !revocation.has_stepped_down {
             self.engine.metrics.permits_waited_out.inc();
         }
@@ -127,28 +127,26 @@
         );
     }
 
-    /// The other nodes that may hold permits and have not handed them back.
-    fn missing(&self, answered: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
+    /// Returns the addresses of other nodes that may hold permits and have not returned them.
+    fn outstanding_nodes(&self, answered: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
         let own = self.engine.settings.peer_address;
         let mut missing = self.engine.registry.permit_holders();
         missing.retain(|address| *address != own && !answered.contains(address));
         missing
     }
 
-    /// Nodes that have handed their permits back and may have told the leader to step
-    /// down since: they do that after they have answered. Where this node does not
-    /// reach the leader itself it hears of it from them alone; else it waits until
-    /// all permits have run out (3 s of a group without a leader after the end of a
-    /// partition, from the log of a day on 71 machines).
-    fn witnesses(&self, group: &GroupName, answered: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
+    /// Returns the watchers of the group that have returned their permits. A watcher tells the
+    /// leader to step down after its answer, so it must be asked again for the result. If this
+    /// node cannot reach the leader itself, it would otherwise wait until all permits expire.
+    fn answered_watchers(&self, group: &GroupName, answered: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
         let mut watchers = self.engine.watcher_addresses(group);
         watchers.retain(|address| answered.contains(address));
         watchers
     }
 
-    /// Asks this node and all others that have not answered for their permits;
-    /// true if the old leader has told one of them that it leads no longer.
-    async fn ask_round(
+    /// Requests the permits of this node and of all nodes that have not answered. Returns true
+    /// if the old leader has confirmed its step-down to one of them.
+    async fn request_term_closing(
         &self,
         closed: &ClosedTerm,
         steps_down: bool,
@@ -168,31 +166,32 @@
             record,
         };
         let request = ExchangeRequest::CloseTerm(closing.clone());
-        let mut asked = self.missing(answered);
+        let mut targets = self.outstanding_nodes(answered);
         if steps_down {
-            asked.extend(self.witnesses(&closed.group, answered));
+            targets.extend(self.answered_watchers(&closed.group, answered));
         }
-        let limit = Duration::from_millis(ANSWER_MS);
-        let questions = asked.iter().map(|address| async {
+        let limit = Duration::from_millis(RESPONSE_TIMEOUT_MS);
+        let requests = targets.iter().map(|address| async {
             let reply = self.engine.peers.ask_apart(*address, &request, limit).await;
             (*address, reply)
         });
         let own = term_closing::hand_back(&self.engine, &closing);
-        let (mut has_stepped_down, replies) = futures::future::join(own, join_all(questions)).await;
+        let (mut has_stepped_down, replies) = futures::future::join(own, join_all(requests)).await;
         for (address, reply) in replies {
             if let Ok(ExchangeReply::TermClosed {
-                has_stepped_down: told,
+                has_stepped_down: reported,
             }) = reply
             {
                 answered.insert(address);
-                has_stepped_down |= told == 1;
+                has_stepped_down |= reported == 1;
             }
         }
         has_stepped_down
     }
 
-    /// Hands the lead over without a loss: no node sends the leader anything new,
-    /// what runs ends, the successor catches up, the leader steps down.
+    /// Hands the leadership over without losing commits: nodes stop sending statements to the
+    /// leader, running statements end, the successor catches up, and the leader steps down.
+    /// Returns whether the leader stepped down.
     async fn hand_over(&self, closed: &ClosedTerm) -> bool {
         let directory = &self.engine.directory;
         let leader = closed
@@ -201,21 +200,21 @@
             .and_then(|leader| directory.instance(leader));
         let Some(leader) = leader else { return false };
         let mut answered = BTreeSet::new();
-        self.ask_round(closed, false, &mut answered).await;
-        let deadline = clock::now().plus_millis(CATCH_UP_MS);
+        self.request_term_closing(closed, false, &mut answered).await;
+        let deadline = clock::now().plus_millis(CATCH_UP_TIMEOUT_MS);
         let status = term_closing::ask_status(&self.engine, &leader.record, Command::Status).await;
         if let Some(status) = status {
-            self.await_received(closed, status.received, deadline).await;
+            self.await_position(closed, status.received, deadline).await;
         }
         let status = term_closing::step_down(&self.engine, &leader.record, closed.term).await;
         if let Some(status) = status {
-            self.await_received(closed, status.received, deadline).await;
+            self.await_position(closed, status.received, deadline).await;
         }
         status.is_some()
     }
 
     /// Waits until the successor has received `position`.
-    async fn await_received(
+    async fn await_position(
         &self,
         closed: &ClosedTerm,
         position: millwind_core::position::Position,
@@ -229,7 +228,7 @@
             if status.is_some_and(|status| status.received >= position) {
                 return;
             }
-            tokio::time::sleep(CATCH_UP_PAUSE).await;
+            tokio::time::sleep(CATCH_UP_POLL_INTERVAL).await;
         }
         info!(
             "event=successor_behind group={} instance={} position={position}",
