--- a/crates/millwind-engine/src/peers/ask_error.rs
+++ b/crates/millwind-engine/src/peers/ask_error.rs
@@ -1,29 +1,29 @@
-//! Why a question to another node has no answer.
+//! Error of a request to another node.
 
 use thiserror::Error;
 
-/// Why a question to another node has no answer.
+/// The reason why a request to another node failed.
 #[derive(Debug, Error)]
 pub enum AskError {
-    /// No connection could be opened.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened.
+    #[error("could not connect: {0}")]
     NotConnected(#[source] std::io::Error),
-    /// The connection did not open in time.
-    #[error("no connection in time")]
+    /// The connection was not opened within the timeout.
+    #[error("connection attempt timed out")]
     ConnectTimeout,
-    /// The connection ended, or broke.
-    #[error("connection lost with {received_bytes} bytes of an answer")]
+    /// The connection was closed or failed.
+    #[error("connection lost after {received_bytes} bytes of the response")]
     Lost {
-        /// Bytes of the answer that had arrived.
+        /// Bytes of the response received so far.
         received_bytes: usize,
     },
-    /// Nothing arrived for too long.
-    #[error("silent after {received_bytes} bytes of an answer")]
+    /// No data arrived within the silence timeout.
+    #[error("timed out after {received_bytes} bytes of the response")]
     Silent {
-        /// Bytes of the answer that had arrived.
+        /// Bytes of the response received so far.
         received_bytes: usize,
     },
-    /// The question cannot be written, or the answer cannot be read.
+    /// The request could not be encoded, or the response could not be decoded.
     #[error("malformed message: {0}")]
     Malformed(#[from] binrw::Error),
 }
--- a/crates/millwind-engine/src/peers/client.rs
+++ b/crates/millwind-engine/src/peers/client.rs
@@ -1,5 +1,5 @@
-//! Asks other nodes. Connections to those asked last are kept: how many does
-//! not grow with the number of nodes.
+//! Client for requests to other nodes. The number of cached connections does not grow with the
+//! number of nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,48 +14,50 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use super::{AskError, KEPT_SILENCE_LIMIT, LONGEST_ANSWER, SILENCE_LIMIT, frames};
+use super::{AskError, MAX_RESPONSE_TIME, REUSED_SILENCE_TIMEOUT, SILENCE_TIMEOUT, frames};
 use crate::clock;
 
-/// Nodes to which a connection is kept.
-const MOST_KEPT: usize = 16;
+/// Maximum number of nodes with a cached connection.
+const MAX_CACHED_LINKS: usize = 16;
 
 type Link = Framed<TcpStream, LengthDelimitedCodec>;
 type SharedLink = Arc<tokio::sync::Mutex<Option<Link>>>;
 
 #[derive(Debug, Default)]
-struct Kept {
+struct CachedLink {
     link: SharedLink,
-    /// When it was last wanted.
-    wanted: millwind_core::Instant,
+    /// When the connection was last requested.
+    last_used: millwind_core::Instant,
 }
 
-/// Connections to other nodes.
+/// Sends requests to other nodes and caches the connections.
 #[derive(Debug, Default)]
 pub struct PeerClient {
-    links: Mutex<HashMap<SocketAddr, Kept>>,
+    links: Mutex<HashMap<SocketAddr, CachedLink>>,
 }
 
 impl PeerClient {
-    /// Asks the node at `address`. A question that comes while another one is
-    /// answered does not wait for it, since that answer may be long: it gets a
-    /// connection of its own. A kept connection that gives no answer is replaced by a
-    /// new one at once: a peer is unreachable only if that one is silent too.
+    /// Sends a request to the node at `address` and returns its reply.
+    ///
+    /// If the cached connection is busy, the request uses a separate connection instead of
+    /// waiting for a reply that may be long. If the cached connection fails, the request is
+    /// repeated on a new one; the call fails only if that one fails too.
     pub async fn ask(
         &self,
         address: SocketAddr,
         request: &ExchangeRequest,
     ) -> Result<ExchangeReply, AskError> {
-        let began = Instant::now();
-        let kept = self.link(address);
-        let Ok(mut held) = kept.try_lock() else {
-            return self.ask_apart(address, request, SILENCE_LIMIT).await;
+        let started = Instant::now();
+        let cached = self.cached_link(address);
+        let Ok(mut slot) = cached.try_lock() else {
+            return self.ask_apart(address, request, SILENCE_TIMEOUT).await;
         };
-        // Taken out, so that a link without its answer is not used again.
-        if let Some(mut link) = held.take() {
-            match exchange(&mut link, request, KEPT_SILENCE_LIMIT).await {
+        // The link is put back only after a complete response, so that a failed one is not
+        // reused.
+        if let Some(mut link) = slot.take() {
+            match send_request(&mut link, request, REUSED_SILENCE_TIMEOUT).await {
                 Ok(reply) => {
-                    *held = Some(link);
+                    *slot = Some(link);
                     return Ok(reply);
                 }
                 Err(error) => info!(
@@ -64,14 +66,14 @@
                 ),
             }
         }
-        let mut link = connect(address, SILENCE_LIMIT.saturating_sub(began.elapsed())).await?;
-        let reply = exchange(&mut link, request, SILENCE_LIMIT).await?;
-        *held = Some(link);
+        let mut link = connect(address, SILENCE_TIMEOUT.saturating_sub(started.elapsed())).await?;
+        let reply = send_request(&mut link, request, SILENCE_TIMEOUT).await?;
+        *slot = Some(link);
         Ok(reply)
     }
 
-    /// As [`PeerClient::ask`], over a connection of its own that is not kept, for
-    /// a question to every node; the peer says something within `silence`.
+    /// Like [`PeerClient::ask`], but on a separate connection that is not cached, and with
+    /// `silence` as the silence timeout. Meant for requests to every node.
     pub async fn ask_apart(
         &self,
         address: SocketAddr,
@@ -79,28 +81,27 @@
         silence: Duration,
     ) -> Result<ExchangeReply, AskError> {
         let mut link = connect(address, silence).await?;
-        exchange(&mut link, request, silence).await
+        send_request(&mut link, request, silence).await
     }
 
-    fn links(&self) -> MutexGuard<'_, HashMap<SocketAddr, Kept>> {
+    fn links(&self) -> MutexGuard<'_, HashMap<SocketAddr, CachedLink>> {
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn link(&self, address: SocketAddr) -> SharedLink {
+    fn cached_link(&self, address: SocketAddr) -> SharedLink {
         let mut links = self.links();
-        if links.len() >= MOST_KEPT && !links.contains_key(&address) {
-            forget_oldest(&mut links);
+        if links.len() >= MAX_CACHED_LINKS && !links.contains_key(&address) {
+            evict_least_recently_used(&mut links);
         }
-        let kept = links.entry(address).or_default();
-        kept.wanted = clock::now();
-        kept.link.clone()
+        let cached = links.entry(address).or_default();
+        cached.last_used = clock::now();
+        cached.link.clone()
     }
 }
 
-/// Forgets the link that was wanted least lately; it closes once a question on
-/// it has ended.
-fn forget_oldest(links: &mut HashMap<SocketAddr, Kept>) {
-    let oldest = links.iter().min_by_key(|(_, kept)| kept.wanted);
+/// Removes the least recently used link. A request in progress on it still completes.
+fn evict_least_recently_used(links: &mut HashMap<SocketAddr, CachedLink>) {
+    let oldest = links.iter().min_by_key(|(_, cached)| cached.last_used);
     if let Some(address) = oldest.map(|(address, _)| *address) {
         links.remove(&address);
     }
@@ -111,12 +112,12 @@
     let stream = connected
         .map_err(|_| AskError::ConnectTimeout)?
         .map_err(AskError::NotConnected)?;
-    // Without it small messages wait for acknowledgements.
+    // Nagle's algorithm would delay small messages.
     let _ = stream.set_nodelay(true);
     Ok(Framed::new(stream, frames()))
 }
 
-async fn exchange(
+async fn send_request(
     link: &mut Link,
     request: &ExchangeRequest,
     silence: Duration,
@@ -125,28 +126,26 @@
     let sent = timeout(silence, link.send(message)).await;
     sent.map_err(|_| AskError::Silent { received_bytes: 0 })?
         .map_err(|_| AskError::Lost { received_bytes: 0 })?;
-    let answer = receive(link, silence).await?;
-    Ok(decode_exchange(&answer)?)
+    let response = receive_response(link, silence).await?;
+    Ok(decode_exchange(&response)?)
 }
 
-/// Waits for an answer as long as parts of it arrive. A limit on the whole answer
-/// would cut a large one off on a narrow link, and the peer that sends it would
-/// count as gone: 71 nodes, most on links of 10 Mbit/s, gave up relays that were
-/// sending them 480 kB 49 times in 1.2 s (counted in their logs). Only the first part
-/// must come within `first_silence`.
-async fn receive(link: &mut Link, first_silence: Duration) -> Result<BytesMut, AskError> {
-    let last = Instant::now() + LONGEST_ANSWER;
+/// Receives a response as long as parts of it keep arriving. A limit on the whole response
+/// would cut off large ones on slow links and make a working peer look unreachable. Only the
+/// first part must arrive within `first_silence`.
+async fn receive_response(link: &mut Link, first_silence: Duration) -> Result<BytesMut, AskError> {
+    let deadline = Instant::now() + MAX_RESPONSE_TIME;
     let mut received_bytes = 0;
     let mut silence = first_silence;
     loop {
-        let answered = timeout(silence, link.next()).await;
-        silence = SILENCE_LIMIT;
+        let frame = timeout(silence, link.next()).await;
+        silence = SILENCE_TIMEOUT;
         let received_before = received_bytes;
         received_bytes = link.read_buffer().len();
-        match answered {
-            Ok(Some(Ok(answer))) => return Ok(answer),
+        match frame {
+            Ok(Some(Ok(response))) => return Ok(response),
             Ok(_) => return Err(AskError::Lost { received_bytes }),
-            Err(_) if received_bytes > received_before && Instant::now() < last => {}
+            Err(_) if received_bytes > received_before && Instant::now() < deadline => {}
             Err(_) => return Err(AskError::Silent { received_bytes }),
         }
     }
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -1,5 +1,4 @@
-//! Compares the catalog with a random peer's from time to time, and asks peers
-//! about a suspected leader.
+//! Synchronizes the catalog with random peers, and queries peers about leaders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,61 +18,65 @@
 use crate::node::Engine;
 use crate::ports::CatalogCodec;
 
-/// Between two comparisons.
-const INTERVAL: Duration = Duration::from_millis(800);
-/// Between two comparisons while news are urgent: relays read them as often then, and to
-/// ask more often makes 985 nodes that start send questions in vain.
+/// Interval between catalog comparisons.
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(800);
+/// Comparison interval while catalog updates are urgent. Relays read the store at this interval
+/// then, so shorter intervals would only add requests without news.
 const URGENT_INTERVAL: Duration = Duration::from_millis(300);
-/// The same of a node that does not know enough to serve: whom it asks may just have heard.
+/// Comparison interval of a node that does not yet know enough to serve, since any peer may
+/// have received updates in the meantime.
 const STARTING_INTERVAL: Duration = Duration::from_millis(150);
-/// Neighbours in a node's own zone.
-const NEAR_NEIGHBOURS: usize = 4;
-/// Neighbours in other zones.
-const FAR_NEIGHBOURS: usize = 4;
-/// Peers asked about a suspected leader.
-const WITNESSES: usize = 6;
-/// Watchers of a group asked who leads it.
-const LEADER_QUESTIONS: usize = 2;
+/// Number of neighbours in the zone of this node.
+const SAME_ZONE_NEIGHBOURS: usize = 4;
+/// Number of neighbours in other zones.
+const OTHER_ZONE_NEIGHBOURS: usize = 4;
+/// Number of peers asked about a suspected leader.
+const PEERS_PER_REACH_QUERY: usize = 6;
+/// Number of watchers asked for the leader of their group.
+const WATCHERS_PER_LEADER_QUERY: usize = 2;
 
-/// What peers say of an instance.
+/// Reachability of an instance as reported by peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Testimony {
-    /// Peers that reach it.
+    /// Number of peers that reach the instance.
     pub reaching: usize,
-    /// Peers that don't.
+    /// Number of peers that fail to reach the instance.
     pub failing: usize,
 }
 
-/// The exchange of one node with its peers.
+/// Periodic catalog exchange of one node with its peers.
 pub struct Exchange {
     engine: Arc<Engine>,
     codec: Arc<dyn CatalogCodec>,
 }
 
 impl Exchange {
-    /// An exchange that reads documents with `codec`.
+    /// Creates an exchange that decodes catalog documents with `codec`.
     pub fn new(engine: Arc<Engine>, codec: Arc<dyn CatalogCodec>) -> Self {
         Exchange { engine, codec }
     }
 
-    /// Compares catalogs for the life of the process.
+    /// Runs the periodic comparison. Never returns.
     pub async fn run(self) {
         loop {
             tokio::time::sleep(self.interval()).await;
-            if let Some(source) = self.pick() {
-                self.compare_and_judge(source).await;
+            if let Some(source) = self.choose_source() {
+                self.compare_and_update_reading(source).await;
             }
             self.engine.relays.judge(&self.engine);
         }
     }
 
-    /// Compares with `source`. The age of this node's news is looked at after each
-    /// comparison, when they are freshest: in between they grow older than those that
-    /// count as fresh, and all nodes would read the store in calm times. Only a long
-    /// comparison must not keep the node from seeing that they grow old.
-    async fn compare_and_judge(&self, source: Source) {
-        let mut comparing = std::pin::pin!(self.compare(source));
-        while tokio::time::timeout(INTERVAL, &mut comparing).await.is_err() {
+    /// Compares the catalog with `source`. Whether this node must read the store is decided
+    /// after each comparison, when its catalog is freshest: in between, the age exceeds the
+    /// freshness limit, and all nodes would read the store without need. A long comparison must
+    /// not delay the decision, so it is also made while one runs.
+    async fn compare_and_update_reading(&self, source: CatalogSource) {
+        let mut comparison = std::pin::pin!(self.compare_catalog(source));
+        while tokio::time::timeout(COMPARISON_INTERVAL, &mut comparison)
+            .await
+            .is_err()
+        {
             self.engine.relays.judge(&self.engine);
         }
     }
@@ -85,49 +88,49 @@
         }
         match relays.are_news_urgent(directory) {
             true => URGENT_INTERVAL,
-            false => INTERVAL,
+            false => COMPARISON_INTERVAL,
         }
     }
 
-    /// Whom to compare with: a relay where this node leaves the store to them
-    /// and they have fresh news, else a neighbour.
-    fn pick(&self) -> Option<Source> {
+    /// Returns the node to compare with: a relay if this node relies on relays and one with
+    /// fresh news is known, otherwise a neighbour.
+    fn choose_source(&self) -> Option<CatalogSource> {
         let relays = &self.engine.relays;
         let is_relay = relays.is_relay(&self.engine.registry);
         let relay = match is_relay {
             true => None,
-            false => random_of(&relays.to_ask(&self.engine.registry)),
+            false => choose_random(&relays.to_ask(&self.engine.registry)),
         };
-        // A node without fresh news asks neighbours as well: they may hear the
-        // store where the relays don't.
+        // A node without fresh news also asks neighbours, which may reach the store when the
+        // relays do not.
         let prefers_neighbour = relays.is_reading_store() && rand::rng().random_bool(0.5);
         match relay {
-            Some(address) if !prefers_neighbour => Some(Source {
+            Some(address) if !prefers_neighbour => Some(CatalogSource {
                 address,
                 is_relay: true,
             }),
-            _ => self.neighbour().map(|address| Source {
+            _ => self.choose_neighbour().map(|address| CatalogSource {
                 address,
                 is_relay: false,
             }),
         }
     }
 
-    /// A random neighbour, or a seed while no peer is known.
-    fn neighbour(&self) -> Option<SocketAddr> {
+    /// Returns a random neighbour, or a seed node while no peer is known.
+    fn choose_neighbour(&self) -> Option<SocketAddr> {
         let zone = &self.engine.settings.zone;
         let neighbours = self
             .engine
             .registry
-            .neighbours(zone, NEAR_NEIGHBOURS, FAR_NEIGHBOURS);
+            .neighbours(zone, SAME_ZONE_NEIGHBOURS, OTHER_ZONE_NEIGHBOURS);
         let addresses = match neighbours.is_empty() {
             true => self.engine.peer_addresses(),
             false => neighbours,
         };
-        random_of(&addresses)
+        choose_random(&addresses)
     }
 
-    async fn compare(&self, source: Source) {
+    async fn compare_catalog(&self, source: CatalogSource) {
         let address = source.address;
         let request = ExchangeRequest::Catalog {
             config_version: self.engine.config_version(),
@@ -140,7 +143,7 @@
         let reply = self.engine.peers.ask(address, &request).await;
         let reply = match reply {
             Ok(reply) => reply,
-            Err(error) => return self.note_failure(source, sent, &error),
+            Err(error) => return self.record_failure(source, sent, &error),
         };
         let ExchangeReply::Catalog {
             config,
@@ -178,12 +181,13 @@
                 instances.len()
             );
         }
-        // First the requests: with a configuration the node may serve.
+        // Evacuation requests are applied first, because the node may start to serve once it
+        // has a configuration.
         for listing in &evacuations {
             self.engine.take_evacuations_of_peer(listing, sent);
         }
         for document in config {
-            self.take_config(address, &document);
+            self.apply_config(address, &document);
         }
         let known = self.engine.catalog_cache.instances_revision();
         for document in &instances {
@@ -192,7 +196,8 @@
                 .take_instance(&*self.codec, &document.key, value, document.revision);
         }
         if complete == 1 && instances_revision.era > known.era && !known.is_none() {
-            // The other node has told all that the store holds since it was restored.
+            // The reply lists all instances in the store since its restoration, so all others
+            // are gone.
             let present = instances.iter().filter(|document| document.removed == 0);
             let names = present.filter_map(|document| self.codec.instance_name(&document.key));
             self.engine
@@ -216,7 +221,7 @@
         }
     }
 
-    fn take_config(&self, peer: SocketAddr, config: &ConfigDocument) {
+    fn apply_config(&self, peer: SocketAddr, config: &ConfigDocument) {
         let known_since = clock::minus_millis(clock::now(), u64::from(config.age_ms));
         match config.document.unpack() {
             Ok(document) => {
@@ -231,8 +236,8 @@
         }
     }
 
-    /// A comparison with `source` that began at `sent` came to nothing.
-    fn note_failure(&self, source: Source, sent: Instant, error: &AskError) {
+    /// Records that a comparison with `source`, started at `sent`, failed.
+    fn record_failure(&self, source: CatalogSource, sent: Instant, error: &AskError) {
         let address = source.address;
         info!(
             "event=comparison_failed peer={address} relay={} waited_ms={} error={:?}",
@@ -241,7 +246,7 @@
             error.to_string()
         );
         self.engine.unreached.failed(address, sent);
-        // A starting node asks nodes that may be starting too.
+        // A starting node may have asked nodes that are starting too.
         if self.engine.directory.is_complete() {
             self.engine.owners.doubt_links();
         }
@@ -255,15 +260,15 @@
     }
 }
 
-/// A node to compare catalogs with.
+/// The node to compare catalogs with.
 #[derive(Debug, Clone, Copy)]
-struct Source {
+struct CatalogSource {
     address: SocketAddr,
-    /// It is asked to read the store on this node's behalf.
+    /// Whether the node is asked as a relay, which reads the store for this node.
     is_relay: bool,
 }
 
-fn random_of(addresses: &[SocketAddr]) -> Option<SocketAddr> {
+fn choose_random(addresses: &[SocketAddr]) -> Option<SocketAddr> {
     if addresses.is_empty() {
         return None;
     }
@@ -271,8 +276,8 @@
     Some(addresses[index])
 }
 
-/// At most `count` of the addresses, at random.
-fn some_of(mut addresses: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
+/// Returns at most `count` random addresses.
+fn sample(mut addresses: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
     let mut random = rand::rng();
     while addresses.len() > count {
         let index = random.random_range(0..addresses.len());
@@ -281,16 +286,16 @@
     addresses
 }
 
-/// Asks some peers whether they reach `instance`.
+/// Asks a sample of peers whether they reach `instance`.
 pub(crate) async fn ask_witnesses(engine: &Arc<Engine>, instance: &InstanceName) -> Testimony {
-    let addresses = some_of(engine.witness_addresses(instance), WITNESSES);
+    let addresses = sample(engine.witness_addresses(instance), PEERS_PER_REACH_QUERY);
     let request = ExchangeRequest::Reach {
         instance: instance.0.clone(),
     };
-    let questions = addresses
+    let requests = addresses
         .iter()
         .map(|address| engine.peers.ask(*address, &request));
-    let replies = join_all(questions).await;
+    let replies = join_all(requests).await;
     let mut testimony = Testimony::default();
     for reply in replies {
         match reply {
@@ -302,26 +307,27 @@
     testimony
 }
 
-/// Asks some watchers of a group for what its leader reported last, unless this
-/// node is asking already.
+/// Asks a sample of the watchers of a group for the last report of its leader, unless such a
+/// query is already running.
 pub(crate) async fn observe_leader(engine: &Arc<Engine>, group: &GroupName) {
     if let Some(_inquiry) = engine.leader_inquiries.enter(group) {
         ask_leader(engine, group).await;
     }
 }
 
-/// Asks some watchers of a group who leads it; true if one of them knows.
+/// Asks a sample of the watchers of a group for its leader. Returns whether one of them knows
+/// it.
 pub(crate) async fn ask_leader(engine: &Arc<Engine>, group: &GroupName) -> bool {
-    let addresses = some_of(engine.watcher_addresses(group), LEADER_QUESTIONS);
+    let addresses = sample(engine.watcher_addresses(group), WATCHERS_PER_LEADER_QUERY);
     let request = ExchangeRequest::Leader {
         group: group.0.clone(),
     };
     let sent = clock::now();
-    let questions = addresses
+    let requests = addresses
         .iter()
         .map(|address| engine.peers.ask(*address, &request));
     let mut is_known = false;
-    for reply in join_all(questions).await {
+    for reply in join_all(requests).await {
         let Ok(ExchangeReply::Leader { leader }) = reply else {
             continue;
         };
--- a/crates/millwind-engine/src/peers/mod.rs
+++ b/crates/millwind-engine/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What nodes tell each other: the catalog where the store is not heard, and
-//! whether a leader is reached.
+//! Requests between nodes: catalog exchange, reachability and position of leaders, closing of
+//! terms, and demand reports.
 
 mod ask_error;
 mod client;
@@ -16,22 +16,21 @@
 pub(crate) use exchange::{ask_leader, ask_witnesses, observe_leader};
 pub use server::serve;
 
-/// Longest message in bytes.
-const MESSAGE_LIMIT: usize = 64 * 1024 * 1024;
-/// A peer says something within this time, also while a long answer arrives: many
-/// round trips between regions, on a busy machine.
-const SILENCE_LIMIT: Duration = Duration::from_millis(500);
-/// The same on a connection that is kept from earlier questions: it may have fallen
-/// silent for good while new ones work. Many round trips between regions, and early
-/// enough for a new connection within the same limit.
-const KEPT_SILENCE_LIMIT: Duration = Duration::from_millis(200);
-/// No answer takes longer than this, however steadily it arrives: a few times the
-/// bound on a configuration, the largest of them.
-const LONGEST_ANSWER: Duration = Duration::from_millis(20_000);
+/// Maximum size of a message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
+/// Time without received data after which a peer counts as unresponsive, also in the middle of
+/// a long response. It covers many round trips between regions to a busy machine.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Silence timeout on a cached connection, which may be dead although new connections work. It
+/// is short enough to leave time for a new connection within [`SILENCE_TIMEOUT`].
+const REUSED_SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum time for a complete response, even if data keeps arriving. The largest response is a
+/// configuration.
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(20_000);
 
-/// Frames of all messages between nodes.
+/// Returns the codec that frames all messages between nodes.
 pub(crate) fn frames() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MESSAGE_LIMIT)
+        .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec()
 }
--- a/crates/millwind-engine/src/peers/server.rs
+++ b/crates/millwind-engine/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answers other nodes.
+//! Server for requests from other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,28 +18,28 @@
 use crate::node::Engine;
 use crate::term_closing;
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// An instance that answered within this time is reached, in milliseconds.
-const REACHED_MS: u64 = 300;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum age of the last contact for an instance to count as reached, in milliseconds.
+const CONTACT_MAX_AGE_MS: u64 = 300;
 
-/// Answers peers for the life of the process.
+/// Serves requests from peers. Never returns.
 pub async fn serve(listener: TcpListener, engine: Arc<Engine>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                tokio::spawn(serve_link(stream, engine.clone()));
+                tokio::spawn(serve_connection(stream, engine.clone()));
             }
             Err(error) => {
                 warn!("event=peer_accept_failed error={:?}", error.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_link(stream: TcpStream, engine: Arc<Engine>) {
+async fn serve_connection(stream: TcpStream, engine: Arc<Engine>) {
     let mut link = Framed::new(stream, frames());
     while let Some(Ok(message)) = link.next().await {
         if is_forward(&message) {
@@ -49,7 +49,7 @@
             debug!("event=peer_message_refused bytes={}", message.len());
             return;
         };
-        let reply = answer(&engine, &request).await;
+        let reply = handle_request(&engine, &request).await;
         let Ok(bytes) = encode_exchange(&reply) else {
             return;
         };
@@ -59,7 +59,7 @@
     }
 }
 
-async fn answer(engine: &Arc<Engine>, request: &ExchangeRequest) -> ExchangeReply {
+async fn handle_request(engine: &Arc<Engine>, request: &ExchangeRequest) -> ExchangeReply {
     match request {
         ExchangeRequest::Catalog {
             config_version,
@@ -83,7 +83,7 @@
             let instance = InstanceName::from(instance.as_str());
             engine.directory.doubt(&instance);
             engine.wake_monitor();
-            ExchangeReply::Reach(reach(engine, &instance))
+            ExchangeReply::Reach(reachability(engine, &instance))
         }
         ExchangeRequest::Leader { group } => {
             let group = GroupName::from(group.as_str());
@@ -101,7 +101,7 @@
     }
 }
 
-fn reach(engine: &Engine, instance: &InstanceName) -> Reach {
+fn reachability(engine: &Engine, instance: &InstanceName) -> Reach {
     let Some(known) = engine.directory.instance(instance) else {
         return Reach::Unknown;
     };
@@ -111,6 +111,6 @@
     let is_recent = known
         .contact
         .last_success
-        .is_some_and(|success| clock::now().millis_since(success) < REACHED_MS);
+        .is_some_and(|success| clock::now().millis_since(success) < CONTACT_MAX_AGE_MS);
     if is_recent { Reach::Reached } else { Reach::Unknown }
 }
