--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -3,7 +3,7 @@
 
 mod health;
 mod moves;
-mod paused_replicas;
+mod pauses;
 mod relocation;
 mod replacement;
 mod revocation;
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -14,7 +14,7 @@
 use millwind_core::position::{Position, Term};
 use millwind_store::Store;
 
-use super::paused_replicas::PausedReplicas;
+use super::pauses::PausedReplicas;
 use super::revocation::ClosedTerm;
 use super::{Monitor, health};
 use crate::clock;
