--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -61,7 +61,6 @@
 
 /// A replacement of the leader of one group.
 pub(super) struct Replacement {
-    /// The group.
     pub group: GroupName,
     /// The leader to replace; `None` if the group has no known leader.
     pub old_leader: Option<InstanceName>,
@@ -85,7 +84,6 @@
     Replaced,
     /// Retry without this replica.
     RetryWithout(InstanceName),
-    /// Retry.
     Retry,
     /// Stop, because another node has taken over or nothing is left to do.
     Abandon,
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -33,9 +33,7 @@
 
 /// A term that this node has closed.
 pub(super) struct ClosedTerm {
-    /// The group.
     pub group: GroupName,
-    /// The term.
     pub term: Term,
     /// The leader of the term, if known.
     pub leader: Option<InstanceName>,
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -21,7 +21,7 @@
 /// Interval between catalog comparisons.
 const COMPARISON_INTERVAL: Duration = Duration::from_millis(800);
 /// Comparison interval while catalog updates are urgent. Relays read the store at this interval
-/// then, so shorter intervals would only add requests without news.
+/// then, so a shorter one would only add requests that return nothing new.
 const URGENT_INTERVAL: Duration = Duration::from_millis(300);
 /// Comparison interval of a node that does not yet know enough to serve, since any peer may
 /// have received updates in the meantime.
@@ -67,11 +67,12 @@
         }
     }
 
-    /// Compares the catalog with `source`. Whether this node must read the store is decided
-    /// after each comparison, when its catalog is freshest: in between, the age exceeds the
-    /// freshness limit, and all nodes would read the store without need. A long comparison must
-    /// not delay the decision, so it is also made while one runs.
-    async fn compare_and_update_reading(&self, source: CatalogSource) {
+    /// Compares the catalog with `source`, and decides whether this node must read the store.
+    /// The decision follows each comparison, when the catalog is freshest; before it, the
+    /// catalog may be older than the freshness limit, and all nodes would read the store
+    /// without need. A comparison that takes longer than the interval does not delay the
+    /// decision.
+    async fn compare_and_update_reading(&self, source: ComparisonPeer) {
         let mut comparison = std::pin::pin!(self.compare_catalog(source));
         while tokio::time::timeout(COMPARISON_INTERVAL, &mut comparison)
             .await
@@ -92,24 +93,24 @@
         }
     }
 
-    /// Returns the node to compare with: a relay if this node relies on relays and one with
-    /// fresh news is known, otherwise a neighbour.
-    fn choose_source(&self) -> Option<CatalogSource> {
+    /// Returns the node to compare with: a relay if this node relies on relays and at least one
+    /// is usable, otherwise a neighbour.
+    fn choose_source(&self) -> Option<ComparisonPeer> {
         let relays = &self.engine.relays;
         let is_relay = relays.is_relay(&self.engine.registry);
         let relay = match is_relay {
             true => None,
             false => choose_random(&relays.to_ask(&self.engine.registry)),
         };
-        // A node without fresh news also asks neighbours, which may reach the store when the
-        // relays do not.
+        // A node that reads the store because its relays are stale also asks neighbours, which
+        // may reach the store when the relays do not.
         let prefers_neighbour = relays.is_reading_store() && rand::rng().random_bool(0.5);
         match relay {
-            Some(address) if !prefers_neighbour => Some(CatalogSource {
+            Some(address) if !prefers_neighbour => Some(ComparisonPeer {
                 address,
                 is_relay: true,
             }),
-            _ => self.choose_neighbour().map(|address| CatalogSource {
+            _ => self.choose_neighbour().map(|address| ComparisonPeer {
                 address,
                 is_relay: false,
             }),
@@ -130,7 +131,7 @@
         choose_random(&addresses)
     }
 
-    async fn compare_catalog(&self, source: CatalogSource) {
+    async fn compare_catalog(&self, source: ComparisonPeer) {
         let address = source.address;
         let request = ExchangeRequest::Catalog {
             config_version: self.engine.config_version(),
@@ -237,7 +238,7 @@
     }
 
     /// Records that a comparison with `source`, started at `sent`, failed.
-    fn record_failure(&self, source: CatalogSource, sent: Instant, error: &AskError) {
+    fn record_failure(&self, source: ComparisonPeer, sent: Instant, error: &AskError) {
         let address = source.address;
         info!(
             "event=comparison_failed peer={address} relay={} waited_ms={} error={:?}",
@@ -262,7 +263,7 @@
 
 /// The node to compare catalogs with.
 #[derive(Debug, Clone, Copy)]
-struct CatalogSource {
+struct ComparisonPeer {
     address: SocketAddr,
     /// Whether the node is asked as a relay, which reads the store for this node.
     is_relay: bool,
