--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -84,7 +84,7 @@
     running_leader_searches: Arc<GroupMarks>,
     /// Groups without a known leader, and since when.
     leaderless: Mutex<HashMap<GroupName, Instant>>,
-    /// Time of the last replacement because of hanging or failing statements.
+    /// Start of the cooldown after a replacement attempt because of hanging or failing statements.
     statement_failover_times: Mutex<HashMap<GroupName, Instant>>,
     leadership_histories: LeadershipHistories,
     running_reports: Arc<GroupMarks>,
