--- a/crates/millwind-engine/src/failover/pauses.rs
+++ b/crates/millwind-engine/src/failover/pauses.rs
@@ -1,6 +1,5 @@
-//! Replicas that stopped receiving so that their positions could be compared. A replica
-//! that begins anew has forgotten it: it receives, and a commit may be acknowledged by
-//! it that the chosen successor lacks.
+//! Tracks replicas that paused replication so that their positions can be compared. A restarted
+//! replica loses its pause and may acknowledge commits that the chosen successor lacks.
 
 use log::info;
 use millwind_core::Instant;
@@ -9,41 +8,43 @@
 use crate::backend::PooledConnection;
 use crate::directory::{Directory, Known};
 
-/// One replica that was told to pause.
-struct Pause {
+/// A replica that paused replication.
+struct PausedReplica {
     instance: InstanceName,
-    /// Since when its life is known.
-    life_began: Option<Instant>,
-    /// Where it answered; ends with the life that did.
+    /// When its incarnation was first seen; `None` for the first incarnation.
+    incarnation: Option<Instant>,
+    /// The connection on which the replica confirmed the pause. The connection closes when that
+    /// incarnation ends.
     connection: PooledConnection,
 }
 
-/// The pauses that a comparison of positions rests on. Empty where it rests on none.
+/// The replicas whose pauses keep a comparison of positions valid; empty if the comparison
+/// needs none.
 #[derive(Default)]
-pub(super) struct Pauses(Vec<Pause>);
+pub(super) struct PausedReplicas(Vec<PausedReplica>);
 
-impl Pauses {
-    /// The instance that was `known` before it was asked has paused, as it told on
-    /// `connection`. What is known since may be of a later life, which has not paused.
+impl PausedReplicas {
+    /// Adds a replica that confirmed the pause on `connection`. `known` must date from before
+    /// the request: a later state may describe a new incarnation, which has not paused.
     pub fn add(&mut self, known: &Known, connection: PooledConnection) {
-        self.0.push(Pause {
+        self.0.push(PausedReplica {
             instance: known.record.name.clone(),
-            life_began: known.life_began,
+            incarnation: known.life_began,
             connection,
         });
     }
 
-    /// Whether all who paused are still the ones who did: each replica's connection is
-    /// open, and its record tells of no other life.
-    pub fn hold(&self, directory: &Directory) -> bool {
-        self.0.iter().all(|pause| pause.holds(directory))
+    /// Returns whether all replicas are still paused: their connections are open and no new
+    /// incarnation is known.
+    pub fn are_all_paused(&self, directory: &Directory) -> bool {
+        self.0.iter().all(|replica| replica.is_still_paused(directory))
     }
 }
 
-impl Pause {
-    fn holds(&self, directory: &Directory) -> bool {
+impl PausedReplica {
+    fn is_still_paused(&self, directory: &Directory) -> bool {
         let is_connected = self.connection.is_alive();
-        let is_same_life = directory.life_began(&self.instance) == self.life_began;
+        let is_same_life = directory.life_began(&self.instance) == self.incarnation;
         if !is_connected || !is_same_life {
             let instance = &self.instance;
             info!(
