--- a/crates/millwind-node/src/gateway/batch.rs
+++ b/crates/millwind-node/src/gateway/batch.rs
@@ -1,9 +1,10 @@
-//! One batch of a caller's messages: a simple query, or extended-protocol
-//! messages up to `Sync`.
+//! A batch of client messages: one simple query, or extended-protocol messages up
+//! to `Sync`.
 //!
-//! Prepared statements live in the gateway. Back-end connections are shared,
-//! so each batch parses the statements it uses under the unnamed statement,
-//! and the parse confirmations that the caller did not ask for are dropped.
+//! The gateway stores prepared statements, because back-end connections are shared
+//! between sessions. Each batch parses the statements it uses as the unnamed
+//! statement, and each `ParseComplete` for such an added parse is removed from the
+//! response.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,50 +19,50 @@
 
 const TARGET_STATEMENT: u8 = b'S';
 
-/// A statement the caller has prepared.
+/// A prepared statement of a session.
 #[derive(Debug, Clone)]
-pub struct Prepared {
+pub struct PreparedStatement {
     query: String,
     type_oids: Vec<u32>,
     classified: Arc<Classified>,
 }
 
-/// A caller's prepared statements by name; the unnamed one under "".
-pub type PreparedStatements = HashMap<String, Prepared>;
+/// Prepared statements of a session by name; the unnamed statement has the key "".
+pub type PreparedStatements = HashMap<String, PreparedStatement>;
 
-/// A batch, ready to be sent to a back end.
+/// A batch encoded for a back end.
 #[derive(Debug, Default)]
 pub struct Batch {
     /// Encoded frontend messages.
     pub bytes: BytesMut,
-    /// What the statements in it do.
+    /// Classification of the statements.
     pub classified: Arc<Classified>,
-    /// Whether anything in it is executed, not only described.
+    /// Whether the batch executes a statement rather than only describing it.
     pub executes: bool,
-    /// True for the simple protocol.
+    /// Whether the batch uses the simple query protocol.
     pub simple: bool,
-    /// Messages of an extended batch, for answers made by the proxy itself.
+    /// Messages of an extended batch, used when the proxy itself responds.
     pub messages: Vec<PgWireFrontendMessage>,
-    /// For each parse confirmation in the answer, whether the caller asked.
-    wanted_parses: Vec<bool>,
+    /// For each expected `ParseComplete`, whether the client sent the `Parse`.
+    requested_parses: Vec<bool>,
 }
 
-/// Why a batch cannot be carried.
+/// Why a batch cannot be built.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// It names a statement that was never prepared.
+    /// The batch uses a statement that was not prepared.
     #[error("prepared statement {0:?} does not exist")]
     UnknownStatement(String),
-    /// A message that pooling cannot carry.
-    #[error("{0} messages are not carried")]
-    Message(&'static str),
-    /// The library cannot encode it.
+    /// The proxy does not support a message of this type.
+    #[error("{0} messages are not supported")]
+    UnsupportedMessage(&'static str),
+    /// A message cannot be encoded.
     #[error("encoding: {0}")]
     Encode(#[from] PgWireError),
 }
 
-/// A batch of one simple query.
-pub fn simple(text: &str) -> Result<Batch, BatchError> {
+/// Builds a batch from a simple query.
+pub fn from_simple_query(text: &str) -> Result<Batch, BatchError> {
     let mut bytes = BytesMut::new();
     crate::pg::put_query(&mut bytes, text)?;
     Ok(Batch {
@@ -70,102 +71,104 @@
         executes: true,
         simple: true,
         messages: Vec::new(),
-        wanted_parses: Vec::new(),
+        requested_parses: Vec::new(),
     })
 }
 
-/// Builds a batch from extended-protocol messages; the last one is `Sync`.
-pub fn extended(
+/// Builds a batch from extended-protocol messages that end with `Sync`, and updates
+/// `prepared`. Fails on an unknown statement or an unsupported message.
+pub fn from_extended(
     messages: Vec<PgWireFrontendMessage>,
     prepared: &mut PreparedStatements,
 ) -> Result<Batch, BatchError> {
-    let mut builder = Builder {
+    let mut builder = BatchBuilder {
         bytes: BytesMut::new(),
         prepared,
-        current: None,
-        wanted_parses: Vec::new(),
-        used: Vec::new(),
+        parsed_name: None,
+        requested_parses: Vec::new(),
+        classifications: Vec::new(),
         executes: false,
     };
-    let mut kept = Vec::with_capacity(messages.len());
+    let mut rewritten = Vec::with_capacity(messages.len());
     for message in messages {
-        kept.push(builder.add(message)?);
+        rewritten.push(builder.add(message)?);
     }
-    let classified = union(&builder.used);
+    let classified = merge_classifications(&builder.classifications);
     Ok(Batch {
         bytes: builder.bytes,
         classified,
         executes: builder.executes,
         simple: false,
-        messages: kept,
-        wanted_parses: builder.wanted_parses,
+        messages: rewritten,
+        requested_parses: builder.requested_parses,
     })
 }
 
-struct Builder<'a> {
+struct BatchBuilder<'a> {
     bytes: BytesMut,
     prepared: &'a mut PreparedStatements,
-    /// Name of the caller's statement that the unnamed one now stands for.
-    current: Option<String>,
-    wanted_parses: Vec<bool>,
-    used: Vec<Arc<Classified>>,
+    /// Client name of the statement last parsed as the unnamed statement.
+    parsed_name: Option<String>,
+    requested_parses: Vec<bool>,
+    classifications: Vec<Arc<Classified>>,
     executes: bool,
 }
 
-impl Builder<'_> {
+impl BatchBuilder<'_> {
     fn add(&mut self, message: PgWireFrontendMessage) -> Result<PgWireFrontendMessage, BatchError> {
         match message {
             PgWireFrontendMessage::Parse(parse) => self.parse(parse),
             PgWireFrontendMessage::Bind(mut bind) => {
                 let name = bind.statement_name.take().unwrap_or_default();
-                self.make_current(&name)?;
-                self.put(PgWireFrontendMessage::Bind(bind))
+                self.ensure_parsed(&name)?;
+                self.encode(PgWireFrontendMessage::Bind(bind))
             }
             PgWireFrontendMessage::Describe(mut describe) if describe.target_type == TARGET_STATEMENT => {
                 let name = describe.name.take().unwrap_or_default();
-                self.make_current(&name)?;
-                self.put(PgWireFrontendMessage::Describe(describe))
+                self.ensure_parsed(&name)?;
+                self.encode(PgWireFrontendMessage::Describe(describe))
             }
             PgWireFrontendMessage::Close(mut close) if close.target_type == TARGET_STATEMENT => {
                 let name = close.name.take().unwrap_or_default();
                 self.prepared.remove(&name);
-                self.current = None;
-                self.put(PgWireFrontendMessage::Close(close))
+                self.parsed_name = None;
+                self.encode(PgWireFrontendMessage::Close(close))
             }
             PgWireFrontendMessage::Execute(execute) => {
                 self.executes = true;
-                self.put(PgWireFrontendMessage::Execute(execute))
+                self.encode(PgWireFrontendMessage::Execute(execute))
             }
-            PgWireFrontendMessage::Flush(_) => Err(BatchError::Message("Flush")),
+            PgWireFrontendMessage::Flush(_) => Err(BatchError::UnsupportedMessage("Flush")),
             message @ (PgWireFrontendMessage::Describe(_)
             | PgWireFrontendMessage::Close(_)
-            | PgWireFrontendMessage::Sync(_)) => self.put(message),
-            _ => Err(BatchError::Message("copy and other")),
+            | PgWireFrontendMessage::Sync(_)) => self.encode(message),
+            _ => Err(BatchError::UnsupportedMessage("COPY and other")),
         }
     }
 
-    fn put(&mut self, message: PgWireFrontendMessage) -> Result<PgWireFrontendMessage, BatchError> {
+    fn encode(&mut self, message: PgWireFrontendMessage) -> Result<PgWireFrontendMessage, BatchError> {
         put_frontend(&mut self.bytes, &message)?;
         Ok(message)
     }
 
     fn parse(&mut self, mut parse: Parse) -> Result<PgWireFrontendMessage, BatchError> {
         let name = parse.name.take().unwrap_or_default();
-        let statement = Prepared {
+        let statement = PreparedStatement {
             query: parse.query.clone(),
             type_oids: parse.type_oids.clone(),
             classified: Arc::new(classify(&parse.query)),
         };
-        self.used.push(statement.classified.clone());
+        self.classifications.push(statement.classified.clone());
         self.prepared.insert(name.clone(), statement);
-        self.current = Some(name);
-        self.wanted_parses.push(true);
-        self.put(PgWireFrontendMessage::Parse(parse))
+        self.parsed_name = Some(name);
+        self.requested_parses.push(true);
+        self.encode(PgWireFrontendMessage::Parse(parse))
     }
 
-    /// Makes the unnamed statement stand for the caller's statement `name`.
-    fn make_current(&mut self, name: &str) -> Result<(), BatchError> {
-        if self.current.as_deref() == Some(name) {
+    /// Parses the client's statement `name` as the unnamed statement, unless the
+    /// unnamed statement already holds it.
+    fn ensure_parsed(&mut self, name: &str) -> Result<(), BatchError> {
+        if self.parsed_name.as_deref() == Some(name) {
             return Ok(());
         }
         let statement = self
@@ -173,47 +176,46 @@
             .get(name)
             .ok_or_else(|| BatchError::UnknownStatement(name.to_owned()))?;
         let parse = Parse::new(None, statement.query.clone(), statement.type_oids.clone());
-        self.used.push(statement.classified.clone());
-        self.current = Some(name.to_owned());
-        self.wanted_parses.push(false);
-        self.put(PgWireFrontendMessage::Parse(parse))?;
+        self.classifications.push(statement.classified.clone());
+        self.parsed_name = Some(name.to_owned());
+        self.requested_parses.push(false);
+        self.encode(PgWireFrontendMessage::Parse(parse))?;
         Ok(())
     }
 }
 
-fn union(used: &[Arc<Classified>]) -> Arc<Classified> {
-    match used {
+fn merge_classifications(classifications: &[Arc<Classified>]) -> Arc<Classified> {
+    match classifications {
         [] => Arc::new(Classified {
             kinds: vec![StatementKind::Empty],
             ..Classified::default()
         }),
         [only] => only.clone(),
-        several => {
-            let mut whole = Classified::default();
-            for part in several {
-                whole.kinds.extend(part.kinds.iter().cloned());
-                whole.tags.extend(part.tags.iter().cloned());
-                whole.tables.extend(part.tables.iter().cloned());
+        parts => {
+            let mut merged = Classified::default();
+            for part in parts {
+                merged.kinds.extend(part.kinds.iter().cloned());
+                merged.tags.extend(part.tags.iter().cloned());
+                merged.tables.extend(part.tables.iter().cloned());
             }
-            Arc::new(whole)
+            Arc::new(merged)
         }
     }
 }
 
 impl Batch {
-    /// The answer as the caller expects it: without the parse confirmations
-    /// that it did not ask for.
-    pub fn caller_answer(&self, answer: Vec<u8>) -> Result<BytesMut, PgWireError> {
-        let mut source = BytesMut::from(&answer[..]);
-        if self.wanted_parses.iter().all(|wanted| *wanted) {
-            return Ok(source);
+    /// Removes each `ParseComplete` whose `Parse` the client did not send.
+    pub fn client_response(&self, response: Vec<u8>) -> Result<BytesMut, PgWireError> {
+        let mut input = BytesMut::from(&response[..]);
+        if self.requested_parses.iter().all(|requested| *requested) {
+            return Ok(input);
         }
         let context = established_context();
-        let mut wanted = self.wanted_parses.iter();
-        let mut out = BytesMut::with_capacity(source.len());
-        while let Some(message) = PgWireBackendMessage::decode(&mut source, &context)? {
-            let parse = matches!(message, PgWireBackendMessage::ParseComplete(_));
-            if parse && wanted.next() == Some(&false) {
+        let mut requested = self.requested_parses.iter();
+        let mut out = BytesMut::with_capacity(input.len());
+        while let Some(message) = PgWireBackendMessage::decode(&mut input, &context)? {
+            let is_parse = matches!(message, PgWireBackendMessage::ParseComplete(_));
+            if is_parse && requested.next() == Some(&false) {
                 continue;
             }
             put_backend(&mut out, &message)?;
--- a/crates/millwind-node/src/gateway/directory.rs
+++ b/crates/millwind-node/src/gateway/directory.rs
@@ -1,5 +1,5 @@
-//! What the gateway knows of the database groups: who leads, and how far each
-//! instance had replayed when it last answered.
+//! Last known state of the database groups: the primary, and the position and
+//! replication lag that each instance last reported.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,110 +19,109 @@
 use crate::clock;
 use crate::peer::{CallError, Patience};
 
-/// Each question for a primary waits this long at an owner.
+/// How long an owner may wait for a primary before it replies to a query.
 const SEARCH_WAIT_MS: u32 = 1_000;
-/// A failed owner is not asked again before this.
-const SEARCH_PAUSE: Duration = Duration::from_millis(25);
-/// An instance that failed is left alone this long.
+/// Delay before an owner is queried again.
+const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(25);
+/// How long an instance that failed is excluded from reads.
 const BAN_MS: u64 = 500;
-/// Weight of the newest lag in the running mean, as one in this many.
+/// Divisor of the moving average of lag: a new sample has weight `1 / LAG_SMOOTHING`.
 const LAG_SMOOTHING: u64 = 4;
 
-/// A primary as the gateway knows it.
+/// The last known primary of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownPrimary {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceName,
-    /// Term it leads.
+    /// Term in which the instance is primary.
     pub term: Term,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct GroupState {
     spec: Arc<GroupSpec>,
     hints: Vec<InstanceHint>,
     primary: watch::Sender<Option<KnownPrimary>>,
 }
 
-/// What is known of all groups.
+/// Last known state of all groups.
 #[derive(Debug, Default)]
-pub struct Directory {
-    groups: Mutex<HashMap<GroupName, Entry>>,
+pub struct GroupDirectory {
+    groups: Mutex<HashMap<GroupName, GroupState>>,
     searching: Mutex<HashSet<GroupName>>,
 }
 
-impl Directory {
-    fn with<T>(&self, spec: &Arc<GroupSpec>, work: impl FnOnce(&mut Entry) -> T) -> T {
+impl GroupDirectory {
+    fn with_group<T>(&self, spec: &Arc<GroupSpec>, update: impl FnOnce(&mut GroupState) -> T) -> T {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
-        let entry = groups
+        let group = groups
             .entry(spec.name.clone())
-            .or_insert_with(|| Entry::new(spec.clone()));
-        if !Arc::ptr_eq(&entry.spec, spec) {
-            entry.refresh(spec.clone());
+            .or_insert_with(|| GroupState::new(spec.clone()));
+        if !Arc::ptr_eq(&group.spec, spec) {
+            group.update_spec(spec.clone());
         }
-        work(entry)
+        update(group)
     }
 
-    /// Hints of all instances.
+    /// Returns the last known state of each instance in the group.
     pub fn hints(&self, spec: &Arc<GroupSpec>) -> Vec<InstanceHint> {
-        self.with(spec, |entry| entry.hints.clone())
+        self.with_group(spec, |group| group.hints.clone())
     }
 
-    /// The primary, if known.
+    /// Returns the primary, if known.
     pub fn primary(&self, spec: &Arc<GroupSpec>) -> Option<KnownPrimary> {
-        self.with(spec, |entry| entry.primary.borrow().clone())
+        self.with_group(spec, |group| group.primary.borrow().clone())
     }
 
     fn subscribe(&self, spec: &Arc<GroupSpec>) -> watch::Receiver<Option<KnownPrimary>> {
-        self.with(spec, |entry| entry.primary.subscribe())
+        self.with_group(spec, |group| group.primary.subscribe())
     }
 
-    /// Takes in what rode on an answer of `instance`.
-    pub fn learn(&self, spec: &Arc<GroupSpec>, instance: &InstanceName, reply: &ExecuteReply) {
+    /// Updates position, lag and role of `instance` from a reply.
+    pub fn record_reply(&self, spec: &Arc<GroupSpec>, instance: &InstanceName, reply: &ExecuteReply) {
         if reply.held.term == 0 {
             return;
         }
-        self.with(spec, |entry| {
+        self.with_group(spec, |group| {
             let position = Position::new(reply.held.term, reply.held.log_position);
-            if let Some(hint) = entry.hint(instance).filter(|_| reply.lag_ms != u32::MAX) {
-                let kept = hint.lag_ms * (LAG_SMOOTHING - 1);
-                hint.lag_ms = (kept + u64::from(reply.lag_ms)) / LAG_SMOOTHING;
+            if let Some(hint) = group.hint(instance).filter(|_| reply.lag_ms != u32::MAX) {
+                let weighted = hint.lag_ms * (LAG_SMOOTHING - 1);
+                hint.lag_ms = (weighted + u64::from(reply.lag_ms)) / LAG_SMOOTHING;
             }
-            let history = history(&reply.history);
-            entry.observe(instance, position, history, reply.primary == 1);
+            let history = term_history(&reply.history);
+            group.observe(instance, position, history, reply.primary == 1);
         });
     }
 
-    /// Takes in that a request to `instance` failed: it is left alone for a
-    /// while, and no longer taken for the primary.
-    pub fn failed(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
+    /// Bans `instance` and clears it as the primary after a failed request.
+    pub fn record_failure(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
         self.ban(spec, instance);
-        self.not_primary(spec, instance);
+        self.clear_primary(spec, instance);
     }
 
-    /// Takes in that `instance` does not lead.
-    pub fn not_primary(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
-        self.with(spec, |entry| entry.forget_primary(instance));
+    /// Clears the known primary if it is `instance`.
+    pub fn clear_primary(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
+        self.with_group(spec, |group| group.clear_primary(instance));
     }
 
-    /// Takes in that `instance` can serve no read just now.
+    /// Excludes `instance` from reads for [`BAN_MS`].
     pub fn ban(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
-        self.with(spec, |entry| {
-            if let Some(hint) = entry.hint(instance) {
+        self.with_group(spec, |group| {
+            if let Some(hint) = group.hint(instance) {
                 hint.banned_until = clock::now().plus_millis(BAN_MS);
             }
         });
     }
 
-    fn learn_status(&self, spec: &Arc<GroupSpec>, status: &GroupStatus) -> bool {
-        let history = history(&status.history);
-        self.with(spec, |entry| {
+    fn record_group_status(&self, spec: &Arc<GroupSpec>, status: &GroupStatus) -> bool {
+        let history = term_history(&status.history);
+        self.with_group(spec, |group| {
             let mut found = false;
             for member in &status.members {
                 let instance = InstanceName::from(member.instance.as_str());
                 let position = Position::new(member.position.term, member.position.log_position);
                 if position.term.0 > 0 {
-                    entry.observe(&instance, position, history.clone(), member.primary == 1);
+                    group.observe(&instance, position, history.clone(), member.primary == 1);
                 }
                 found |= member.primary == 1;
             }
@@ -131,7 +130,7 @@
     }
 }
 
-fn history(wire: &[millwind_wire::WireTermStart]) -> Vec<TermStart> {
+fn term_history(wire: &[millwind_wire::WireTermStart]) -> Vec<TermStart> {
     wire.iter()
         .map(|entry| TermStart {
             term: Term(entry.term),
@@ -140,34 +139,34 @@
         .collect()
 }
 
-impl Entry {
+impl GroupState {
     fn new(spec: Arc<GroupSpec>) -> Self {
         let (primary, _) = watch::channel(None);
-        let mut entry = Entry {
+        let mut group = GroupState {
             spec: spec.clone(),
             hints: Vec::new(),
             primary,
         };
-        entry.refresh(spec);
-        entry
+        group.update_spec(spec);
+        group
     }
 
-    fn refresh(&mut self, spec: Arc<GroupSpec>) {
+    fn update_spec(&mut self, spec: Arc<GroupSpec>) {
         self.hints = spec
             .instances
             .iter()
             .map(|instance| {
-                let held = self.hints.iter().find(|hint| hint.instance == instance.name);
+                let previous = self.hints.iter().find(|hint| hint.instance == instance.name);
                 InstanceHint {
                     instance: instance.name.clone(),
                     zone: instance.zone.clone(),
                     region: instance.region.clone(),
-                    primary: held.is_some_and(|hint| hint.primary),
-                    position: held.and_then(|hint| hint.position),
-                    lag_ms: held.map_or(0, |hint| hint.lag_ms),
-                    history: held.map(|hint| hint.history.clone()).unwrap_or_default(),
+                    primary: previous.is_some_and(|hint| hint.primary),
+                    position: previous.and_then(|hint| hint.position),
+                    lag_ms: previous.map_or(0, |hint| hint.lag_ms),
+                    history: previous.map(|hint| hint.history.clone()).unwrap_or_default(),
                     leaving: instance.leaving,
-                    banned_until: held.map_or(Instant::default(), |hint| hint.banned_until),
+                    banned_until: previous.map_or(Instant::default(), |hint| hint.banned_until),
                 }
             })
             .collect();
@@ -186,13 +185,13 @@
         primary: bool,
     ) {
         let known_term = self.primary.borrow().as_ref().map(|known| known.term);
-        let newest = known_term.is_none_or(|term| position.term >= term);
+        let is_current = known_term.is_none_or(|term| position.term >= term);
         if let Some(hint) = self.hint(instance) {
             hint.position = Some((clock::now(), position));
             hint.history = history;
-            hint.primary = primary && newest;
+            hint.primary = primary && is_current;
         }
-        if !(primary && newest) {
+        if !(primary && is_current) {
             return;
         }
         for hint in &mut self.hints {
@@ -202,14 +201,14 @@
             instance: instance.clone(),
             term: position.term,
         };
-        self.primary.send_if_modified(|held| {
-            let changed = held.as_ref() != Some(&known);
-            *held = Some(known);
+        self.primary.send_if_modified(|current| {
+            let changed = current.as_ref() != Some(&known);
+            *current = Some(known);
             changed
         });
     }
 
-    fn forget_primary(&mut self, instance: &InstanceName) {
+    fn clear_primary(&mut self, instance: &InstanceName) {
         let is_known = self
             .primary
             .borrow()
@@ -224,8 +223,8 @@
     }
 }
 
-/// The primary, waiting for one to be found until `deadline`.
-pub async fn await_primary(
+/// Returns the primary, waiting until `deadline` if none is known.
+pub async fn wait_for_primary(
     gateway: &Arc<Gateway>,
     spec: &Arc<GroupSpec>,
     deadline: Instant,
@@ -235,8 +234,8 @@
     }
     gateway.metrics.held.inc();
     let mut primary = gateway.directory.subscribe(spec);
-    start_search(gateway, spec);
-    let found = async {
+    spawn_search(gateway, spec);
+    let primary_found = async {
         loop {
             if let Some(known) = primary.borrow_and_update().clone() {
                 return Some(known);
@@ -246,14 +245,14 @@
             }
         }
     };
-    tokio::time::timeout(clock::until(deadline), found)
+    tokio::time::timeout(clock::until(deadline), primary_found)
         .await
         .ok()
         .flatten()
 }
 
-/// Searches for the group's primary, unless a search is running.
-fn start_search(gateway: &Arc<Gateway>, spec: &Arc<GroupSpec>) {
+/// Starts a search for the group's primary unless one is running.
+fn spawn_search(gateway: &Arc<Gateway>, spec: &Arc<GroupSpec>) {
     let mut searching = gateway
         .directory
         .searching
@@ -275,36 +274,36 @@
     });
 }
 
-/// Asks the owners of all the group's instances until one names a primary or
-/// nobody waits any more.
+/// Queries the owners of all instances in the group until one reports a primary or
+/// no request waits for one.
 async fn search(gateway: &Arc<Gateway>, spec: &Arc<GroupSpec>) {
     loop {
-        let mut questions: FuturesUnordered<_> = spec
+        let mut queries: FuturesUnordered<_> = spec
             .instances
             .iter()
-            .map(|instance| ask_owner(gateway, spec, &instance.name))
+            .map(|instance| query_owner(gateway, spec, &instance.name))
             .collect();
-        while let Some(status) = questions.next().await {
-            if status.is_some_and(|status| gateway.directory.learn_status(spec, &status)) {
+        while let Some(status) = queries.next().await {
+            if status.is_some_and(|status| gateway.directory.record_group_status(spec, &status)) {
                 return;
             }
         }
         let waiting = gateway
             .directory
-            .with(spec, |entry| entry.primary.receiver_count());
+            .with_group(spec, |group| group.primary.receiver_count());
         if waiting == 0 {
             return;
         }
-        tokio::time::sleep(SEARCH_PAUSE).await;
+        tokio::time::sleep(SEARCH_RETRY_DELAY).await;
     }
 }
 
-async fn ask_owner(
+async fn query_owner(
     gateway: &Arc<Gateway>,
     spec: &Arc<GroupSpec>,
     instance: &InstanceName,
 ) -> Option<GroupStatus> {
-    let instance = spec.instances.iter().find(|entry| entry.name == *instance)?;
+    let instance = spec.instances.iter().find(|member| member.name == *instance)?;
     let request = AwaitPrimary {
         request_id: gateway.links.next_request_id(),
         group: spec.name.0.clone(),
@@ -312,7 +311,7 @@
         wait_ms: SEARCH_WAIT_MS,
     };
     let (node, address) = match gateway.owner_of(instance)? {
-        Owner::This => return Some(gateway.owner.await_primary(request).await),
+        Owner::Local => return Some(gateway.owner.await_primary(request).await),
         Owner::Peer { node, address } => (node, address),
     };
     let limit = Duration::from_millis(u64::from(SEARCH_WAIT_MS) + 500);
@@ -325,12 +324,12 @@
     {
         Ok(PeerMessage::GroupStatus(status)) => Some(status),
         Err(CallError::NotSent) => {
-            gateway.avoidance.avoid(&node);
-            tokio::time::sleep(SEARCH_PAUSE).await;
+            gateway.unreachable_nodes.mark(&node);
+            tokio::time::sleep(SEARCH_RETRY_DELAY).await;
             None
         }
         _ => {
-            tokio::time::sleep(SEARCH_PAUSE).await;
+            tokio::time::sleep(SEARCH_RETRY_DELAY).await;
             None
         }
     }
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -1,5 +1,5 @@
-//! Runs a batch: chooses instances, sends it to their owners, and follows each
-//! failure with what may truthfully be done about it.
+//! Executes a batch: selects instances, sends the batch to their owners, and after
+//! a failure retries, resolves the outcome or returns an error.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
@@ -17,95 +17,95 @@
     ResolveResult, WirePosition,
 };
 
-use super::request::Terms;
+use super::request::RequestOptions;
 use super::{Gateway, Owner, TenantRuntime, directory, residency};
 use crate::clock;
 use crate::owner::LOCAL_LINK;
 use crate::peer::{CallError, Patience};
 use crate::pg::STATUS_IDLE;
 
-/// Between two tries while an instance cannot serve.
-const RETRY_PAUSE: Duration = Duration::from_millis(15);
-/// Added to a request's window when waiting for a peer's reply.
-const REPLY_SLACK: Duration = Duration::from_millis(250);
+/// Delay between two rounds of attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Time added to the request deadline when waiting for a peer's reply.
+const REPLY_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 
-/// A transaction's connection.
+/// A back-end connection reserved for an open transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pin {
-    /// Number at the owner.
+pub struct PinnedConnection {
+    /// Identifier of the connection at the owner.
     pub id: u64,
-    /// Instance it leads to.
+    /// Instance that the connection belongs to.
     pub instance: InstanceName,
-    /// Owner that holds it, by peer address; none when it is this node.
+    /// Peer address of the owner; `None` if this node is the owner.
     pub owner: Option<SocketAddr>,
 }
 
-/// A batch that was answered.
+/// The response of an instance to a batch.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct BatchResponse {
     /// Encoded backend messages.
     pub messages: Vec<u8>,
     /// Transaction status byte.
     pub transaction_status: u8,
-    /// Position the session must see from now on.
+    /// Position that later reads of the session must include.
     pub position: Option<Position>,
-    /// Open transaction, if one is open.
-    pub pin: Option<Pin>,
-    /// Instance that answered.
+    /// Connection of the open transaction, if any.
+    pub pin: Option<PinnedConnection>,
+    /// Instance that executed the batch.
     pub instance: InstanceName,
-    /// Whether it was the primary.
+    /// Whether the instance was the primary.
     pub primary: bool,
 }
 
-/// A batch that was given up.
+/// The error returned to the client for a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
-    /// What the caller is told.
+pub struct RequestError {
+    /// Kind of error reported to the client.
     pub kind: ErrorKind,
-    /// Detail for people.
+    /// Human-readable detail.
     pub detail: String,
 }
 
-impl Refusal {
-    /// A refusal of `kind`.
+impl RequestError {
+    /// Creates an error of `kind`.
     pub fn new(kind: ErrorKind, detail: impl ToString) -> Self {
-        Refusal {
+        RequestError {
             kind,
             detail: detail.to_string(),
         }
     }
 }
 
-struct Failed {
+struct AttemptError {
     kind: ErrorKind,
     progress: Progress,
-    /// The owner itself could not be reached; the instance may be well.
-    is_unreached: bool,
+    /// The owner could not be reached; the instance itself may be healthy.
+    is_owner_unreachable: bool,
     detail: String,
 }
 
-/// One batch on its way.
+/// Executes one batch for a session.
 #[derive(Debug)]
 pub struct Dispatch<'a> {
     /// The node's gateway.
     pub gateway: &'a Arc<Gateway>,
     /// The tenant's settings.
     pub tenant: &'a TenantSettings,
-    /// What sessions of the tenant share.
+    /// State shared by the tenant's sessions.
     pub runtime: &'a TenantRuntime,
-    /// The group.
+    /// The tenant's database group.
     pub spec: Arc<GroupSpec>,
-    /// Terms of service.
-    pub terms: &'a Terms,
+    /// Class, time limits and retry properties of the batch.
+    pub options: &'a RequestOptions,
     /// Encoded frontend messages.
     pub batch: &'a [u8],
-    /// Candidates as they were weighed, for watchers.
-    pub weighed: Vec<Choice>,
+    /// Ranked candidates of the last attempt; filled only if decisions are watched.
+    pub candidates: Vec<Choice>,
 }
 
 impl Dispatch<'_> {
     fn request(&self, instance: &InstanceName, intent: Intent) -> ExecuteRequest {
-        let left = clock::until(self.terms.deadline).as_millis();
+        let remaining = clock::until(self.options.deadline).as_millis();
         ExecuteRequest {
             request_id: self.gateway.links.next_request_id(),
             intent,
@@ -113,79 +113,83 @@
             group: self.spec.name.0.clone(),
             instance: instance.0.clone(),
             pin: 0,
-            window_ms: u32::try_from(left).unwrap_or(u32::MAX),
+            window_ms: u32::try_from(remaining).unwrap_or(u32::MAX),
             weight: self.tenant.weight,
-            value: self.terms.value,
+            value: self.options.value,
             token: WirePosition::default(),
-            staleness_ms: self.terms.staleness_ms,
+            staleness_ms: self.options.staleness_ms,
             wait_ms: 0,
             request_key: String::new(),
             batch: self.batch.to_vec(),
         }
     }
 
-    fn owner_of(&self, instance: &InstanceName) -> Result<Owner, Failed> {
-        let entry = self.spec.instances.iter().find(|entry| entry.name == *instance);
-        entry
-            .and_then(|entry| self.gateway.owner_of(entry))
-            .ok_or_else(|| Failed {
+    fn owner_of(&self, instance: &InstanceName) -> Result<Owner, AttemptError> {
+        let member = self.spec.instances.iter().find(|member| member.name == *instance);
+        member
+            .and_then(|member| self.gateway.owner_of(member))
+            .ok_or_else(|| AttemptError {
                 kind: ErrorKind::BackEndUnreachable,
                 progress: Progress::NotSent,
-                is_unreached: false,
+                is_owner_unreachable: false,
                 detail: "no node owns the instance".to_owned(),
             })
     }
 
-    /// Refuses to pass a statement's text to a node outside of the allowed regions; what
-    /// carries no text may go anywhere.
-    fn check_carrier(&self, node: &NodeName, request: &ExecuteRequest) -> Result<(), Failed> {
-        if request.batch.is_empty() || residency::may_carry(self.gateway, self.tenant, node) {
+    /// Fails if the request contains statement text and `node` is outside the allowed
+    /// regions. Requests without statement text may go to any node.
+    fn check_forwarding_region(&self, node: &NodeName, request: &ExecuteRequest) -> Result<(), AttemptError> {
+        if request.batch.is_empty() || residency::may_forward_to(self.gateway, self.tenant, node) {
             return Ok(());
         }
         let regions = &self.tenant.allowed_regions;
-        Err(Failed {
+        Err(AttemptError {
             kind: ErrorKind::RegionNotAllowed,
             progress: Progress::NotSent,
-            is_unreached: false,
-            detail: format!("owner {node} stands outside of allowed regions {regions}"),
+            is_owner_unreachable: false,
+            detail: format!("owner node {node} is outside the allowed regions: {regions}"),
         })
     }
 
-    /// Refuses what needs a primary that stands outside of the allowed regions.
-    fn check_primary(&self, instance: &InstanceName) -> Result<(), Refusal> {
+    /// Fails if the primary is outside the allowed regions.
+    fn check_primary_region(&self, instance: &InstanceName) -> Result<(), RequestError> {
         if residency::is_allowed(self.tenant, &self.spec, instance) {
             return Ok(());
         }
         let detail = format!(
-            "primary {instance}, allowed regions: {}",
+            "primary {instance} is outside the allowed regions: {}",
             self.tenant.allowed_regions
         );
-        Err(Refusal::new(ErrorKind::RegionNotAllowed, detail))
+        Err(RequestError::new(ErrorKind::RegionNotAllowed, detail))
     }
 
-    /// Gives a request to the present owner of its instance.
-    async fn send(&self, instance: &InstanceName, request: ExecuteRequest) -> Result<Outcome, Failed> {
+    /// Sends a request to the current owner of the instance.
+    async fn send(
+        &self,
+        instance: &InstanceName,
+        request: ExecuteRequest,
+    ) -> Result<BatchResponse, AttemptError> {
         match self.owner_of(instance)? {
-            Owner::This => self.send_to(instance, None, request).await,
+            Owner::Local => self.send_to(instance, None, request).await,
             Owner::Peer { node, address } => {
-                self.check_carrier(&node, &request)?;
+                self.check_forwarding_region(&node, &request)?;
                 let sent = self.send_to(instance, Some(address), request).await;
-                if sent.as_ref().is_err_and(|failed| failed.is_unreached) {
-                    self.gateway.avoidance.avoid(&node);
+                if sent.as_ref().is_err_and(|error| error.is_owner_unreachable) {
+                    self.gateway.unreachable_nodes.mark(&node);
                 }
                 sent
             }
         }
     }
 
-    /// Gives a request to this owner, and waits for the reply.
+    /// Sends a request to `owner`, or to this node if `None`, and waits for the reply.
     async fn send_to(
         &self,
         instance: &InstanceName,
         owner: Option<SocketAddr>,
         request: ExecuteRequest,
-    ) -> Result<Outcome, Failed> {
-        let limit = clock::until(self.terms.deadline) + REPLY_SLACK;
+    ) -> Result<BatchResponse, AttemptError> {
+        let limit = clock::until(self.options.deadline) + REPLY_TIMEOUT_MARGIN;
         let reply = match owner {
             None => self.send_local(request).await,
             Some(address) => {
@@ -207,20 +211,20 @@
                 }
             }
         };
-        let reply = reply.map_err(|error| Failed {
+        let reply = reply.map_err(|error| AttemptError {
             kind: ErrorKind::BackEndUnreachable,
             progress: match error {
                 CallError::NotSent => Progress::NotSent,
                 CallError::Lost => Progress::Sent,
             },
-            is_unreached: error == CallError::NotSent,
+            is_owner_unreachable: error == CallError::NotSent,
             detail: format!("owner of {instance}: {error}"),
         })?;
-        self.gateway.directory.learn(&self.spec, instance, &reply);
-        outcome(instance, owner, reply)
+        self.gateway.directory.record_reply(&self.spec, instance, &reply);
+        response_from_reply(instance, owner, reply)
     }
 
-    /// Runs on its own task, so that a caller who leaves cuts nothing short.
+    /// Executes on a separate task, so that a client disconnect does not abort it.
     async fn send_local(&self, request: ExecuteRequest) -> Result<ExecuteReply, CallError> {
         let owner = self.gateway.owner.clone();
         tokio::spawn(async move { owner.execute(LOCAL_LINK, request).await })
@@ -228,86 +232,89 @@
             .map_err(|_| CallError::Lost)
     }
 
-    /// Runs a read on the best instance that covers `token`.
-    pub async fn read(&mut self, token: Option<Position>) -> Result<Outcome, Refusal> {
-        self.deposit();
+    /// Runs a read on the best-ranked instance that has reached `token`.
+    pub async fn read(&mut self, token: Option<Position>) -> Result<BatchResponse, RequestError> {
+        self.deposit_retry();
         let mut attempts = 0;
         loop {
-            let order = self.read_order(token);
-            if is_discarded_everywhere(&order) {
-                return Err(Refusal::new(
+            let candidates = self.rank_candidates(token);
+            if is_position_discarded(&candidates) {
+                return Err(RequestError::new(
                     ErrorKind::SessionDiscarded,
-                    "a later term discarded it",
+                    "a later term discarded the session's position",
                 ));
             }
-            if is_excluded_everywhere(&order) {
+            if all_regions_disallowed(&candidates) {
                 let detail = format!("allowed regions: {}", self.tenant.allowed_regions);
-                return Err(Refusal::new(ErrorKind::RegionNotAllowed, detail));
+                return Err(RequestError::new(ErrorKind::RegionNotAllowed, detail));
             }
-            let failed = match self.read_in_order(&order, token, &mut attempts).await {
-                Ok(outcome) => return Ok(outcome),
-                Err(failed) => failed,
+            let error = match self.read_in_order(&candidates, token, &mut attempts).await {
+                Ok(response) => return Ok(response),
+                Err(error) => error,
             };
-            let over_budget = attempts > 0 && !self.withdraw();
-            let settled = matches!(
-                failed.kind,
+            let over_budget = attempts > 0 && !self.withdraw_retry();
+            let is_final = matches!(
+                error.kind,
                 ErrorKind::SessionDiscarded | ErrorKind::RegionNotAllowed
             );
-            if over_budget || settled || clock::now() >= self.terms.deadline {
-                return Err(Refusal::new(failed.kind, failed.detail));
+            if over_budget || is_final || clock::now() >= self.options.deadline {
+                return Err(RequestError::new(error.kind, error.detail));
             }
-            // The next round's first try is paid for: paid twice, it hid what had failed.
+            // The withdrawal above covers the first attempt of the next round.
             attempts = 0;
-            self.await_some_primary().await?;
-            tokio::time::sleep(RETRY_PAUSE).await;
+            self.ensure_primary_known().await?;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Tries the candidates one after another while the retry budget and the
-    /// window allow; returns the last failure.
+    /// Tries the candidates in order while the retry budget and the deadline allow;
+    /// returns the last error.
     async fn read_in_order(
         &self,
-        order: &[Choice],
+        candidates: &[Choice],
         token: Option<Position>,
         attempts: &mut u32,
-    ) -> Result<Outcome, Failed> {
-        let mut last = Failed {
+    ) -> Result<BatchResponse, AttemptError> {
+        let mut last = AttemptError {
             kind: ErrorKind::ReplicaBehind,
             progress: Progress::NotSent,
-            is_unreached: false,
-            detail: "no instance may serve the read".to_owned(),
+            is_owner_unreachable: false,
+            detail: "no instance is eligible for the read".to_owned(),
         };
-        for choice in order.iter().filter(|choice| choice.reason.eligible()) {
-            if *attempts > 0 && !self.withdraw() {
+        for choice in candidates.iter().filter(|choice| choice.reason.eligible()) {
+            if *attempts > 0 && !self.withdraw_retry() {
                 return Err(last);
             }
             *attempts += 1;
-            last = match self.read_on(choice, token).await {
-                Ok(outcome) => return Ok(outcome),
-                Err(failed) => failed,
+            last = match self.read_from(choice, token).await {
+                Ok(response) => return Ok(response),
+                Err(error) => error,
             };
-            if last.kind == ErrorKind::SessionDiscarded || clock::now() >= self.terms.deadline {
+            if last.kind == ErrorKind::SessionDiscarded || clock::now() >= self.options.deadline {
                 return Err(last);
             }
-            self.note_failure(&choice.instance, &last);
+            self.record_attempt_failure(&choice.instance, &last);
             if last.kind == ErrorKind::NotPrimary {
-                // An old primary: neither leads nor replays.
+                // A former primary serves no reads: it neither leads nor replays the log.
                 self.gateway.directory.ban(&self.spec, &choice.instance);
             }
         }
         Err(last)
     }
 
-    /// Waits for a primary if none is known; the fallback of every read.
-    async fn await_some_primary(&self) -> Result<(), Refusal> {
-        let found = directory::await_primary(self.gateway, &self.spec, self.terms.deadline).await;
+    /// Waits until a primary is known; fails if none is found before the deadline.
+    async fn ensure_primary_known(&self) -> Result<(), RequestError> {
+        let found = directory::wait_for_primary(self.gateway, &self.spec, self.options.deadline).await;
         match found {
             Some(_) => Ok(()),
-            None => Err(Refusal::new(ErrorKind::NoPrimary, "and no replica could serve")),
+            None => Err(RequestError::new(
+                ErrorKind::NoPrimary,
+                "no primary was found and no replica could serve the read",
+            )),
         }
     }
 
-    fn read_order(&mut self, token: Option<Position>) -> Vec<Choice> {
+    fn rank_candidates(&mut self, token: Option<Position>) -> Vec<Choice> {
         let mut hints = self.gateway.directory.hints(&self.spec);
         let config = self.gateway.control.config();
         for hint in &mut hints {
@@ -319,108 +326,126 @@
             policy: self.tenant.read_policy,
             regions: self.tenant.allowed_regions.clone(),
         };
-        let order = order_for_read(clock::now(), &self.gateway.locality, &hints, &request);
+        let candidates = order_for_read(clock::now(), &self.gateway.locality, &hints, &request);
         if self.gateway.decisions.is_watched() {
-            self.weighed = order.clone();
+            self.candidates = candidates.clone();
         }
-        order
+        candidates
     }
 
-    /// A read may wait for a replica for half its window at most.
+    /// Returns how long a replica may wait to catch up: at most half of the remaining
+    /// time.
     fn replica_wait_ms(&self) -> u64 {
-        let left = clock::until(self.terms.deadline).as_millis() as u64;
-        self.tenant.replica_wait_ms.min(left / 2)
+        let remaining = clock::until(self.options.deadline).as_millis() as u64;
+        self.tenant.replica_wait_ms.min(remaining / 2)
     }
 
-    async fn read_on(&self, choice: &Choice, token: Option<Position>) -> Result<Outcome, Failed> {
+    async fn read_from(
+        &self,
+        choice: &Choice,
+        token: Option<Position>,
+    ) -> Result<BatchResponse, AttemptError> {
         let mut request = self.request(&choice.instance, Intent::Read);
-        request.token = wire(token);
+        request.token = to_wire_position(token);
         request.wait_ms = self.replica_wait_ms() as u32;
         self.send(&choice.instance, request).await
     }
 
-    fn note_failure(&self, instance: &InstanceName, failed: &Failed) {
-        match failed.kind {
-            // The next owner in order is asked at once.
-            ErrorKind::BackEndUnreachable if failed.is_unreached => {}
-            ErrorKind::BackEndUnreachable => self.gateway.directory.failed(&self.spec, instance),
+    fn record_attempt_failure(&self, instance: &InstanceName, error: &AttemptError) {
+        match error.kind {
+            // The instance may be healthy: the retry goes to the next owner.
+            ErrorKind::BackEndUnreachable if error.is_owner_unreachable => {}
+            ErrorKind::BackEndUnreachable => self.gateway.directory.record_failure(&self.spec, instance),
             ErrorKind::NotPrimary | ErrorKind::NoPrimary => {
-                self.gateway.directory.not_primary(&self.spec, instance);
+                self.gateway.directory.clear_primary(&self.spec, instance);
             }
             _ => {}
         }
     }
 
-    fn deposit(&self) {
+    fn deposit_retry(&self) {
         self.runtime
-            .budget
+            .retry_budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .deposit();
     }
 
-    fn withdraw(&self) -> bool {
+    fn withdraw_retry(&self) -> bool {
         self.runtime
-            .budget
+            .retry_budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .withdraw()
     }
 
-    /// The primary's position now: the floor of a session without a token.
-    pub async fn floor(&self) -> Result<Option<Position>, Refusal> {
-        let empty = Dispatch {
+    /// Returns the primary's confirmed position, the minimum for a session without a
+    /// token.
+    pub async fn primary_position(&self) -> Result<Option<Position>, RequestError> {
+        let probe = Dispatch {
             gateway: self.gateway,
             tenant: self.tenant,
             runtime: self.runtime,
             spec: self.spec.clone(),
-            terms: self.terms,
+            options: self.options,
             batch: &[],
-            weighed: Vec::new(),
+            candidates: Vec::new(),
         };
-        let outcome = empty.on_primary(Intent::Floor, None).await?;
-        Ok(outcome.position)
+        let response = probe.execute_on_primary(Intent::Floor, None).await?;
+        Ok(response.position)
     }
 
-    /// Runs a write, or begins a transaction, on the primary.
-    pub async fn on_primary(&self, intent: Intent, token: Option<Position>) -> Result<Outcome, Refusal> {
-        self.deposit();
+    /// Runs `intent` on the primary: a write, the start of a transaction, or a position
+    /// query.
+    pub async fn execute_on_primary(
+        &self,
+        intent: Intent,
+        token: Option<Position>,
+    ) -> Result<BatchResponse, RequestError> {
+        self.deposit_retry();
         loop {
-            let hold_until = self.terms.hold_until;
-            let Some(primary) = directory::await_primary(self.gateway, &self.spec, hold_until).await else {
-                return Err(Refusal::new(ErrorKind::NoPrimary, "none was found in the window"));
+            let primary_wait_deadline = self.options.primary_wait_deadline;
+            let Some(primary) =
+                directory::wait_for_primary(self.gateway, &self.spec, primary_wait_deadline).await
+            else {
+                return Err(RequestError::new(
+                    ErrorKind::NoPrimary,
+                    "no primary was found in time",
+                ));
             };
             if intent != Intent::Floor {
-                self.check_primary(&primary.instance)?;
+                self.check_primary_region(&primary.instance)?;
             }
             let mut request = self.request(&primary.instance, intent);
-            request.token = wire(token);
+            request.token = to_wire_position(token);
             if intent == Intent::Write {
-                request.request_key = self.terms.request_key.clone();
+                request.request_key = self.options.request_key.clone();
             }
-            let failed = match self.send(&primary.instance, request).await {
-                Ok(outcome) => return Ok(outcome),
-                Err(failed) => failed,
+            let error = match self.send(&primary.instance, request).await {
+                Ok(response) => return Ok(response),
+                Err(error) => error,
             };
-            self.note_failure(&primary.instance, &failed);
-            if failed.kind == ErrorKind::OutcomeUnknown {
-                self.gateway.directory.not_primary(&self.spec, &primary.instance);
+            self.record_attempt_failure(&primary.instance, &error);
+            if error.kind == ErrorKind::OutcomeUnknown {
+                self.gateway
+                    .directory
+                    .clear_primary(&self.spec, &primary.instance);
             }
-            match self.next_step(intent, &failed) {
-                NextStep::Tell(kind) => return Err(Refusal::new(kind, failed.detail)),
-                NextStep::Resolve => return self.resolve(&failed.detail).await,
-                NextStep::RunAgain if clock::now() >= hold_until => {
-                    return Err(Refusal::new(failed.kind, failed.detail));
+            match self.next_step(intent, &error) {
+                NextStep::Tell(kind) => return Err(RequestError::new(kind, error.detail)),
+                NextStep::Resolve => return self.resolve_outcome(&error.detail).await,
+                NextStep::RunAgain if clock::now() >= primary_wait_deadline => {
+                    return Err(RequestError::new(error.kind, error.detail));
                 }
-                NextStep::RunAgain => tokio::time::sleep(RETRY_PAUSE).await,
+                NextStep::RunAgain => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    fn next_step(&self, intent: Intent, failed: &Failed) -> NextStep {
-        // The owner has already waited for these; waiting again helps nobody.
-        let settled = matches!(
-            failed.kind,
+    fn next_step(&self, intent: Intent, error: &AttemptError) -> NextStep {
+        // These errors are permanent, or the owner returned them after waiting.
+        let is_final = matches!(
+            error.kind,
             ErrorKind::WindowTooShort
                 | ErrorKind::QueueFull
                 | ErrorKind::InvalidSetting
@@ -429,42 +454,46 @@
                 | ErrorKind::SessionDiscarded
                 | ErrorKind::RegionNotAllowed
         );
-        if settled {
-            return NextStep::Tell(failed.kind);
+        if is_final {
+            return NextStep::Tell(error.kind);
         }
-        match (intent, failed.progress) {
-            // An undone autocommit write has run nowhere: it is only held.
-            (_, Progress::ProvenUndone) if failed.kind == ErrorKind::NotPrimary => NextStep::RunAgain,
-            // Without a commit, a begun transaction is undone with its link.
+        match (intent, error.progress) {
+            // The write was not executed, so it is safe to retry on the new primary.
+            (_, Progress::ProvenUndone) if error.kind == ErrorKind::NotPrimary => NextStep::RunAgain,
+            // A transaction that was only begun is rolled back when its connection closes.
             (Intent::Begin, Progress::Sent) => NextStep::RunAgain,
             (Intent::Floor, _) => NextStep::RunAgain,
-            _ => after_failure(failed.progress, self.terms.traits, failed.kind),
+            _ => after_failure(error.progress, self.options.traits, error.kind),
         }
     }
 
-    /// Goes on in an open transaction, or commits it.
-    pub async fn in_transaction(&self, pin: &Pin, intent: Intent) -> Result<Outcome, Refusal> {
+    /// Continues or commits an open transaction.
+    pub async fn execute_in_transaction(
+        &self,
+        pin: &PinnedConnection,
+        intent: Intent,
+    ) -> Result<BatchResponse, RequestError> {
         let mut request = self.request(&pin.instance, intent);
         request.pin = pin.id;
         if intent == Intent::Commit {
-            request.request_key = self.terms.request_key.clone();
+            request.request_key = self.options.request_key.clone();
         }
-        let failed = match self.send_to(&pin.instance, pin.owner, request).await {
-            Ok(outcome) => return Ok(outcome),
-            Err(failed) => failed,
+        let error = match self.send_to(&pin.instance, pin.owner, request).await {
+            Ok(response) => return Ok(response),
+            Err(error) => error,
         };
-        let may_have_committed = intent == Intent::Commit && failed.progress == Progress::Sent;
+        let may_have_committed = intent == Intent::Commit && error.progress == Progress::Sent;
         if !may_have_committed {
-            return Err(Refusal::new(ErrorKind::TransactionLost, failed.detail));
+            return Err(RequestError::new(ErrorKind::TransactionLost, error.detail));
         }
-        if self.terms.traits.has_request_id {
-            return self.resolve(&failed.detail).await;
+        if self.options.traits.has_request_id {
+            return self.resolve_outcome(&error.detail).await;
         }
-        Err(Refusal::new(ErrorKind::OutcomeUnknown, failed.detail))
+        Err(RequestError::new(ErrorKind::OutcomeUnknown, error.detail))
     }
 
-    /// Frees a pinned connection whose caller has gone.
-    pub fn free(gateway: &Gateway, pin: &Pin) {
+    /// Tells the owner to release a pinned connection.
+    pub fn release_pinned(gateway: &Gateway, pin: &PinnedConnection) {
         let request = CancelRequest {
             request_id: 0,
             instance: pin.instance.0.clone(),
@@ -476,17 +505,18 @@
         }
     }
 
-    /// Looks the request id up on the current primary before anything is said.
-    async fn resolve(&self, detail: &str) -> Result<Outcome, Refusal> {
+    /// Looks up the request id on the current primary to find out whether the request
+    /// was committed.
+    async fn resolve_outcome(&self, detail: &str) -> Result<BatchResponse, RequestError> {
         self.gateway.metrics.resolved.inc();
-        while clock::now() < self.terms.deadline {
-            let found = directory::await_primary(self.gateway, &self.spec, self.terms.deadline).await;
+        while clock::now() < self.options.deadline {
+            let found = directory::wait_for_primary(self.gateway, &self.spec, self.options.deadline).await;
             let Some(primary) = found else {
                 break;
             };
             match self.resolve_on(&primary.instance).await {
                 Some(ResolveResult::Committed { position, batch }) => {
-                    return Ok(Outcome {
+                    return Ok(BatchResponse {
                         messages: batch,
                         transaction_status: STATUS_IDLE,
                         position: Some(Position::new(position.term, position.log_position)),
@@ -496,39 +526,47 @@
                     });
                 }
                 Some(ResolveResult::Fenced) => {
-                    return Err(Refusal::new(ErrorKind::RequestFenced, detail));
+                    return Err(RequestError::new(ErrorKind::RequestFenced, detail));
                 }
                 Some(ResolveResult::Unsettled) | None => {
-                    self.gateway.directory.not_primary(&self.spec, &primary.instance);
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    self.gateway
+                        .directory
+                        .clear_primary(&self.spec, &primary.instance);
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
         warn!(
             "event=outcome_unknown tenant={} request_key={}",
-            self.tenant.name, self.terms.request_key
+            self.tenant.name, self.options.request_key
         );
-        Err(Refusal::new(ErrorKind::OutcomeUnknown, detail))
+        Err(RequestError::new(ErrorKind::OutcomeUnknown, detail))
     }
 
     async fn resolve_on(&self, instance: &InstanceName) -> Option<ResolveResult> {
-        let left = clock::until(self.terms.deadline);
+        let remaining = clock::until(self.options.deadline);
         let request = ResolveRequest {
             request_id: self.gateway.links.next_request_id(),
             group: self.spec.name.0.clone(),
             instance: instance.0.clone(),
-            request_key: self.terms.request_key.clone(),
-            window_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
+            request_key: self.options.request_key.clone(),
+            window_ms: u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX),
         };
         match self.owner_of(instance).ok()? {
-            Owner::This => Some(self.gateway.owner.resolve(request).await.result),
+            Owner::Local => Some(self.gateway.owner.resolve(request).await.result),
             Owner::Peer { address, .. } => {
                 let id = request.request_id;
                 let message = PeerMessage::Resolve(request);
                 match self
                     .gateway
                     .links
-                    .call(address, id, message, left + REPLY_SLACK, Patience::WhileHeard)
+                    .call(
+                        address,
+                        id,
+                        message,
+                        remaining + REPLY_TIMEOUT_MARGIN,
+                        Patience::WhileHeard,
+                    )
                     .await
                 {
                     Ok(PeerMessage::ResolveReply(reply)) => Some(reply.result),
@@ -539,42 +577,43 @@
     }
 }
 
-/// Whether the tenant's terms exclude all candidates that there are.
-fn is_excluded_everywhere(order: &[Choice]) -> bool {
-    let mut reasons = order.iter().map(|choice| choice.reason);
-    !order.is_empty() && reasons.all(|reason| reason == Reason::RegionNotAllowed)
+/// Returns whether all candidates are outside the tenant's allowed regions; false if
+/// there are none.
+fn all_regions_disallowed(candidates: &[Choice]) -> bool {
+    let mut reasons = candidates.iter().map(|choice| choice.reason);
+    !candidates.is_empty() && reasons.all(|reason| reason == Reason::RegionNotAllowed)
 }
 
-/// Whether a candidate has discarded the session's position and none is left
-/// that may still have it.
-fn is_discarded_everywhere(order: &[Choice]) -> bool {
-    let discarded = order.iter().any(|choice| choice.reason == Reason::Discarded);
-    discarded && order.iter().all(|choice| !choice.reason.eligible())
+/// Returns whether some candidate discarded the session's position and no candidate
+/// is eligible.
+fn is_position_discarded(candidates: &[Choice]) -> bool {
+    let discarded = candidates.iter().any(|choice| choice.reason == Reason::Discarded);
+    discarded && candidates.iter().all(|choice| !choice.reason.eligible())
 }
 
-fn wire(position: Option<Position>) -> WirePosition {
+fn to_wire_position(position: Option<Position>) -> WirePosition {
     position.map_or(WirePosition::default(), |position| WirePosition {
         term: position.term.0,
         log_position: position.log_position.0,
     })
 }
 
-fn outcome(
+fn response_from_reply(
     instance: &InstanceName,
     owner: Option<SocketAddr>,
     reply: ExecuteReply,
-) -> Result<Outcome, Failed> {
+) -> Result<BatchResponse, AttemptError> {
     match reply.result {
         ExecuteResult::Answered {
             position,
             transaction_status,
             pin,
             batch,
-        } => Ok(Outcome {
+        } => Ok(BatchResponse {
             messages: batch,
             transaction_status,
             position: (position.term > 0).then(|| Position::new(position.term, position.log_position)),
-            pin: (pin > 0).then(|| Pin {
+            pin: (pin > 0).then(|| PinnedConnection {
                 id: pin,
                 instance: instance.clone(),
                 owner,
@@ -586,14 +625,14 @@
             kind,
             progress,
             detail,
-        } => Err(Failed {
+        } => Err(AttemptError {
             kind: ErrorKind::from_code(kind).unwrap_or(ErrorKind::OutcomeUnknown),
             progress: match progress {
                 0 => Progress::NotSent,
                 2 => Progress::ProvenUndone,
                 _ => Progress::Sent,
             },
-            is_unreached: false,
+            is_owner_unreachable: false,
             detail,
         }),
     }
--- a/crates/millwind-node/src/gateway/explain.rs
+++ b/crates/millwind-node/src/gateway/explain.rs
@@ -1,4 +1,4 @@
-//! What would happen to a statement of a tenant now, without running it.
+//! Explains how a tenant's statement would be routed, without running it.
 
 use millwind_core::classify::{StatementKind, classify};
 use millwind_core::ids::TenantName;
@@ -11,35 +11,35 @@
 use crate::clock;
 use crate::decisions::CandidateReason;
 
-/// What would happen to a statement.
+/// How a statement would be handled.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Explanation {
-    /// `serving`, or why the node would refuse it.
+    /// `serving`, or why the node would reject the statement.
     pub node: String,
-    /// Kinds of its statements.
+    /// Kinds of the statements.
     pub kinds: Vec<String>,
-    /// `read`, `write`, `begin`, `local`, or why it is not carried.
+    /// `read`, `write`, `begin`, `local`, or why the statement is not supported.
     pub action: String,
-    /// Class it falls into, empty for none.
+    /// Request class; empty for none.
     pub class: String,
-    /// Time from arrival to answer, in milliseconds.
+    /// Time limit from arrival to response, in milliseconds.
     pub window_ms: u64,
-    /// Whether the proxy may run it again once sent.
+    /// Whether the proxy may run the statement again after sending it.
     pub may_repeat: bool,
-    /// Instances in the order they would be tried, with reasons; for a session
-    /// without a token.
+    /// Instances in the order in which they would be tried for a session without a
+    /// token, with reasons.
     pub candidates: Vec<CandidateReason>,
 }
 
 impl Gateway {
-    /// Explains a statement; none when there is no such tenant.
+    /// Explains a statement; returns `None` if the tenant does not exist.
     pub fn explain(&self, tenant: &str, statement: &str) -> Option<Explanation> {
         let config = self.control.config();
         let settings = config.tenants.get(&TenantName::from(tenant))?;
         let classified = classify(statement);
-        let action = request::action(&classified, true);
-        let read = action == Action::Read;
-        let class = settings.class(classified.tag("class"), read, &classified.tables);
+        let action = request::choose_action(&classified, true);
+        let is_read = action == Action::Read;
+        let class = settings.class(classified.tag("class"), is_read, &classified.tables);
         let node = match self.control.view().may_serve(clock::now()) {
             Ok(()) => "serving".to_owned(),
             Err(reason) => reason.to_string(),
@@ -50,21 +50,21 @@
             action: action_name(&action),
             class: class.map(|class| class.name.clone()).unwrap_or_default(),
             window_ms: class.map_or(settings.default_window_ms, |class| class.window_ms),
-            may_repeat: read || class.is_some_and(|class| class.may_repeat),
-            candidates: self.candidates(settings, read),
+            may_repeat: is_read || class.is_some_and(|class| class.may_repeat),
+            candidates: self.candidates(settings, is_read),
         })
     }
 
     fn candidates(
         &self,
         settings: &millwind_core::tenant::TenantSettings,
-        read: bool,
+        is_read: bool,
     ) -> Vec<CandidateReason> {
         let config = self.control.config();
         let Some(spec) = config.groups.get(&settings.group) else {
             return Vec::new();
         };
-        if !read {
+        if !is_read {
             let primary = self.directory.primary(spec);
             return primary
                 .map(|known| CandidateReason {
@@ -119,6 +119,6 @@
         Action::Write => "write".to_owned(),
         Action::Begin => "begin".to_owned(),
         Action::Local => "local".to_owned(),
-        Action::Unsupported(detail) => format!("not carried: {detail}"),
+        Action::Unsupported(detail) => format!("unsupported: {detail}"),
     }
 }
--- a/crates/millwind-node/src/gateway/listener.rs
+++ b/crates/millwind-node/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers.
+//! Accepts client connections.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,10 +10,10 @@
 
 use super::{Gateway, session, startup};
 
-/// A caller must finish its startup within this.
+/// Time limit for the startup phase of a connection.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts callers until the node stops.
+/// Accepts client connections and serves each on its own task. Never returns.
 pub async fn serve(listener: TcpListener, gateway: Arc<Gateway>) {
     loop {
         match listener.accept().await {
@@ -21,7 +21,7 @@
                 let gateway = gateway.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    serve_caller(stream, gateway).await;
+                    serve_client(stream, gateway).await;
                 });
             }
             Err(error) => {
@@ -32,17 +32,17 @@
     }
 }
 
-async fn serve_caller(stream: TcpStream, gateway: Arc<Gateway>) {
-    let open = gateway.sessions.fetch_add(1, Ordering::Relaxed);
+async fn serve_client(stream: TcpStream, gateway: Arc<Gateway>) {
+    let open_sessions = gateway.open_sessions.fetch_add(1, Ordering::Relaxed);
     gateway.metrics.clients.inc();
-    let refusal = if !gateway.accepting.load(Ordering::Relaxed) {
+    let rejection = if !gateway.accepting.load(Ordering::Relaxed) {
         Some(ErrorKind::Draining)
-    } else if open >= gateway.settings.maximum_clients as usize {
+    } else if open_sessions >= gateway.settings.maximum_clients as usize {
         Some(ErrorKind::TooManyClients)
     } else {
         None
     };
-    let started = tokio::time::timeout(STARTUP_TIMEOUT, startup::start(stream, &gateway, refusal)).await;
+    let started = tokio::time::timeout(STARTUP_TIMEOUT, startup::start(stream, &gateway, rejection)).await;
     match started {
         Ok(Ok(Some(session))) => session::run(session, &gateway).await,
         Ok(Ok(None)) => {}
@@ -50,5 +50,5 @@
         Err(_) => debug!("event=startup_failed error=\"timed out\""),
     }
     gateway.metrics.clients.dec();
-    gateway.sessions.fetch_sub(1, Ordering::Relaxed);
+    gateway.open_sessions.fetch_sub(1, Ordering::Relaxed);
 }
--- a/crates/millwind-node/src/gateway/local_answer.rs
+++ b/crates/millwind-node/src/gateway/local_response.rs
@@ -1,5 +1,5 @@
-//! Answers the proxy gives itself: its own settings, and statements that end a
-//! transaction that is not open.
+//! Responses that the proxy produces without a back end: to `millwind.*` settings,
+//! and to COMMIT or ROLLBACK outside a transaction.
 
 use bytes::BytesMut;
 use millwind_core::classify::StatementKind;
@@ -13,37 +13,37 @@
 use crate::pg::put_backend;
 
 const TEXT_TYPE_OID: u32 = 25;
-const VARIABLE_SIZE: i16 = -1;
+const VARIABLE_TYPE_SIZE: i16 = -1;
 const TARGET_STATEMENT: u8 = b'S';
 
-/// Encodes the answer to a batch that the proxy handles itself as statements
-/// of these kinds; `show` gives the value of a setting.
+/// Encodes the response to a batch whose statements are of `kinds`; `setting_value`
+/// returns the value of a `millwind.*` setting.
 pub fn encode(
     batch: &Batch,
     kinds: &[StatementKind],
-    show: impl Fn(&str) -> String,
+    setting_value: impl Fn(&str) -> String,
 ) -> Result<BytesMut, PgWireError> {
     let mut out = BytesMut::new();
     if batch.simple {
         for kind in kinds {
-            describe(&mut out, kind)?;
-            execute(&mut out, kind, &show)?;
+            encode_description(&mut out, kind)?;
+            encode_execution(&mut out, kind, &setting_value)?;
         }
         return Ok(out);
     }
     let mut executed = kinds.iter();
     for message in &batch.messages {
-        answer_message(&mut out, message, &mut executed, kinds, &show)?;
+        encode_message_response(&mut out, message, &mut executed, kinds, &setting_value)?;
     }
     Ok(out)
 }
 
-fn answer_message<'a>(
+fn encode_message_response<'a>(
     out: &mut BytesMut,
     message: &PgWireFrontendMessage,
     executed: &mut impl Iterator<Item = &'a StatementKind>,
     kinds: &[StatementKind],
-    show: &impl Fn(&str) -> String,
+    setting_value: &impl Fn(&str) -> String,
 ) -> Result<(), PgWireError> {
     match message {
         PgWireFrontendMessage::Parse(_) => {
@@ -55,25 +55,25 @@
         PgWireFrontendMessage::Close(_) => {
             put_backend(out, &PgWireBackendMessage::CloseComplete(CloseComplete::new()))
         }
-        PgWireFrontendMessage::Describe(target) => {
-            if target.target_type == TARGET_STATEMENT {
+        PgWireFrontendMessage::Describe(describe) => {
+            if describe.target_type == TARGET_STATEMENT {
                 let parameters = ParameterDescription::new(Vec::new());
                 put_backend(out, &PgWireBackendMessage::ParameterDescription(parameters))?;
             }
             match kinds.first() {
-                Some(kind @ StatementKind::ShowProxy { .. }) => describe(out, kind),
+                Some(kind @ StatementKind::ShowProxy { .. }) => encode_description(out, kind),
                 _ => put_backend(out, &PgWireBackendMessage::NoData(NoData::new())),
             }
         }
         PgWireFrontendMessage::Execute(_) => match executed.next() {
-            Some(kind) => execute(out, kind, show),
+            Some(kind) => encode_execution(out, kind, setting_value),
             None => Ok(()),
         },
         _ => Ok(()),
     }
 }
 
-fn describe(out: &mut BytesMut, kind: &StatementKind) -> Result<(), PgWireError> {
+fn encode_description(out: &mut BytesMut, kind: &StatementKind) -> Result<(), PgWireError> {
     let StatementKind::ShowProxy { name } = kind else {
         return Ok(());
     };
@@ -82,7 +82,7 @@
         0,
         0,
         TEXT_TYPE_OID,
-        VARIABLE_SIZE,
+        VARIABLE_TYPE_SIZE,
         -1,
         0,
     );
@@ -92,10 +92,10 @@
     )
 }
 
-fn execute(
+fn encode_execution(
     out: &mut BytesMut,
     kind: &StatementKind,
-    show: &impl Fn(&str) -> String,
+    setting_value: &impl Fn(&str) -> String,
 ) -> Result<(), PgWireError> {
     let tag = match kind {
         StatementKind::Empty => {
@@ -105,7 +105,10 @@
             );
         }
         StatementKind::ShowProxy { name } => {
-            put_backend(out, &PgWireBackendMessage::DataRow(text_row(&show(name))))?;
+            put_backend(
+                out,
+                &PgWireBackendMessage::DataRow(text_row(&setting_value(name))),
+            )?;
             "SHOW"
         }
         StatementKind::Commit => "COMMIT",
--- a/crates/millwind-node/src/gateway/mod.rs
+++ b/crates/millwind-node/src/gateway/mod.rs
@@ -1,19 +1,19 @@
-//! The gateway: speaks to callers, decides where each request runs, and keeps
-//! each session consistent.
+//! The gateway serves PostgreSQL clients: it routes each request to an instance
+//! and keeps each session consistent.
 
-mod accounting;
-mod avoidance;
 mod batch;
-mod caller_settings;
+mod client_settings;
 mod directory;
 mod dispatch;
 mod explain;
 mod listener;
-mod local_answer;
+mod local_response;
 mod request;
 mod residency;
 mod session;
 mod startup;
+mod telemetry;
+mod unreachable_nodes;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,59 +36,59 @@
 pub use explain::Explanation;
 pub use listener::serve;
 
-/// Saved retries per tenant at most.
-const RETRY_CEILING: u32 = 50;
+/// Maximum number of retries that a tenant's budget can accumulate.
+const MAXIMUM_SAVED_RETRIES: u32 = 50;
 
-/// What all sessions of a node share.
+/// State shared by all client sessions of a node.
 #[derive(Debug)]
 pub struct Gateway {
     /// Settings of the node.
     pub settings: Arc<NodeSettings>,
-    /// Where the node runs.
+    /// Zone and region of the node.
     pub locality: Locality,
-    /// The control plane.
+    /// Handle to the node's control plane.
     pub control: ControlHandle,
-    /// Links to peers.
+    /// Connections to other nodes.
     pub links: Arc<PeerLinks>,
-    /// The node's own instances.
+    /// Executes requests on the instances that this node owns.
     pub owner: Arc<OwnerService>,
     /// Metrics of the node.
     pub metrics: Arc<Metrics>,
-    /// Decisions for watchers.
+    /// Live stream of routing decisions.
     pub decisions: DecisionStream,
-    /// What is known of the groups.
-    pub(crate) directory: directory::Directory,
-    /// Nodes that could not be reached a moment ago.
-    pub(crate) avoidance: avoidance::Avoidance,
+    /// Last known state of the database groups.
+    pub(crate) directory: directory::GroupDirectory,
+    /// Nodes that recently could not be reached.
+    pub(crate) unreachable_nodes: unreachable_nodes::UnreachableNodes,
     draining: watch::Sender<bool>,
     tenants: Mutex<HashMap<TenantName, Arc<TenantRuntime>>>,
-    sessions: AtomicUsize,
+    open_sessions: AtomicUsize,
     accepting: AtomicBool,
 }
 
-/// Who owns an instance.
+/// The node that owns an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Owner {
     /// This node.
-    This,
+    Local,
     /// Another node.
     Peer {
-        /// Its name.
+        /// Name of the node.
         node: NodeName,
-        /// Its peer address.
+        /// Peer address of the node.
         address: SocketAddr,
     },
 }
 
-/// What sessions of one tenant share on one node.
+/// State shared by all sessions of one tenant on this node.
 #[derive(Debug)]
 pub(crate) struct TenantRuntime {
     pub(crate) clients: AtomicU32,
-    pub(crate) budget: Mutex<RetryBudget>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
 }
 
 impl Gateway {
-    /// A gateway over the node's parts.
+    /// Creates a gateway that accepts clients.
     pub fn new(
         settings: Arc<NodeSettings>,
         control: ControlHandle,
@@ -109,38 +109,39 @@
             owner,
             metrics,
             decisions: DecisionStream::default(),
-            directory: directory::Directory::default(),
-            avoidance: avoidance::Avoidance::default(),
+            directory: directory::GroupDirectory::default(),
+            unreachable_nodes: unreachable_nodes::UnreachableNodes::default(),
             draining,
             tenants: Mutex::default(),
-            sessions: AtomicUsize::new(0),
+            open_sessions: AtomicUsize::new(0),
             accepting: AtomicBool::new(true),
         })
     }
 
-    /// Stops taking new callers and lets sessions end.
+    /// Stops accepting clients and closes sessions once they are idle.
     pub fn drain(&self) {
         self.accepting.store(false, Ordering::Relaxed);
         self.draining.send_replace(true);
     }
 
-    /// Whether the node is stopping.
+    /// Returns whether [`Gateway::drain`] has been called.
     pub fn is_draining(&self) -> bool {
         *self.draining.borrow()
     }
 
-    /// Sessions open now.
+    /// Returns the number of open client connections.
     pub fn sessions(&self) -> usize {
-        self.sessions.load(Ordering::Relaxed)
+        self.open_sessions.load(Ordering::Relaxed)
     }
 
-    /// The node that owns an instance, past those that could not be reached.
+    /// Returns the owner of an instance, skipping nodes that recently could not be
+    /// reached.
     pub(crate) fn owner_of(&self, instance: &InstanceSpec) -> Option<Owner> {
         let view = self.control.view();
-        let avoided = self.avoidance.avoided();
-        let node = view.owner_except(&instance.name, &instance.zone, &instance.region, &avoided)?;
+        let unreachable = self.unreachable_nodes.current();
+        let node = view.owner_except(&instance.name, &instance.zone, &instance.region, &unreachable)?;
         if node.as_str() == view.own_name() {
-            return Some(Owner::This);
+            return Some(Owner::Local);
         }
         let address = view.address(node.as_str())?;
         Some(Owner::Peer { node, address })
@@ -151,7 +152,7 @@
         let runtime = tenants.entry(tenant.clone()).or_insert_with(|| {
             Arc::new(TenantRuntime {
                 clients: AtomicU32::new(0),
-                budget: Mutex::new(RetryBudget::new(budget_percent, RETRY_CEILING)),
+                retry_budget: Mutex::new(RetryBudget::new(budget_percent, MAXIMUM_SAVED_RETRIES)),
             })
         });
         runtime.clone()
--- a/crates/millwind-node/src/gateway/residency.rs
+++ b/crates/millwind-node/src/gateway/residency.rs
@@ -1,4 +1,4 @@
-//! Whether a tenant's terms allow an instance, or the node that owns it, by their region.
+//! Data residency checks: which instances and nodes a tenant's allowed regions permit.
 
 use millwind_core::eligibility::judge_carrier;
 use millwind_core::ids::{InstanceName, NodeName, RegionName};
@@ -6,14 +6,14 @@
 
 use super::Gateway;
 
-/// Whether the tenant's statements may run on an instance.
+/// Returns whether the tenant's statements may run on an instance.
 pub(super) fn is_allowed(tenant: &TenantSettings, group: &GroupSpec, instance: &InstanceName) -> bool {
-    let entry = group.instances.iter().find(|entry| entry.name == *instance);
-    tenant.allowed_regions.allows(entry.map(|entry| &entry.region))
+    let member = group.instances.iter().find(|member| member.name == *instance);
+    tenant.allowed_regions.allows(member.map(|member| &member.region))
 }
 
-/// Whether the text of the tenant's statements may travel to another node.
-pub(super) fn may_carry(gateway: &Gateway, tenant: &TenantSettings, node: &NodeName) -> bool {
+/// Returns whether the tenant's statement text may be forwarded to another node.
+pub(super) fn may_forward_to(gateway: &Gateway, tenant: &TenantSettings, node: &NodeName) -> bool {
     if tenant.allowed_regions.is_any() {
         return true;
     }
--- a/crates/millwind-node/src/gateway/session.rs
+++ b/crates/millwind-node/src/gateway/session.rs
@@ -1,5 +1,5 @@
-//! One caller's session: reads batches, has them run, writes whole answers,
-//! and keeps the session's token.
+//! A client session: reads batches, executes them, writes the responses and keeps
+//! the session token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,92 +19,92 @@
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
-use super::accounting::{CallerAnswer, publish_decision, record};
 use super::batch::{self, Batch, PreparedStatements};
-use super::caller_settings::CallerSettings;
-use super::dispatch::{Dispatch, Outcome, Pin, Refusal};
-use super::request::{self, Action, Terms};
-use super::startup::ClientPlace;
-use super::{Gateway, TenantRuntime, local_answer};
+use super::client_settings::ClientSettings;
+use super::dispatch::{BatchResponse, Dispatch, PinnedConnection, RequestError};
+use super::request::{self, Action, RequestOptions};
+use super::startup::ClientSlot;
+use super::telemetry::{ClientResponse, publish_decision, record_request};
+use super::{Gateway, TenantRuntime, local_response};
 use crate::clock;
 use crate::pg::{error_answer, established_context, put_backend};
 
 const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Messages of one extended batch at most.
+/// Maximum number of messages in one batch.
 const MAXIMUM_BATCH_MESSAGES: usize = 10_000;
-/// During a planned stop a caller is told once it has been idle this long.
-const DRAIN_QUIET: Duration = Duration::from_millis(150);
+/// While the node drains, a session is closed after being idle this long.
+const DRAIN_IDLE_TIME: Duration = Duration::from_millis(150);
 const SESSION_PARAMETER: &str = "millwind.session";
 
 #[derive(Debug)]
 enum Transaction {
     None,
-    Open(Pin),
-    /// Failed by the proxy; waits for the caller's ROLLBACK, as a back end
-    /// would, so that nothing behind it runs by itself.
+    Open(PinnedConnection),
+    /// Failed by the proxy. Statements are rejected until COMMIT or ROLLBACK, so that
+    /// the rest of the transaction does not run outside it.
     Failed,
 }
 
-/// One caller's session.
+/// A client session.
 #[derive(Debug)]
 pub struct Session {
     stream: TcpStream,
     buffer: BytesMut,
-    pending: Vec<PgWireFrontendMessage>,
+    partial_batch: Vec<PgWireFrontendMessage>,
     tenant: TenantName,
-    caller: CallerSettings,
+    client_settings: ClientSettings,
     prepared: PreparedStatements,
     transaction: Transaction,
     token: Option<SessionToken>,
-    /// Position of the session's own last write; what it has read may be
-    /// further on, and be discarded by a failover without harm.
-    written: Option<Position>,
-    told_token: Option<Position>,
+    /// Position of the session's last write. The token may be ahead of it because of
+    /// reads; a failover may discard the difference.
+    last_write: Option<Position>,
+    reported_position: Option<Position>,
     runtime: Arc<TenantRuntime>,
-    _place: ClientPlace,
+    _slot: ClientSlot,
 }
 
-/// What came from the caller.
+/// What the client sent.
 enum Incoming {
     Batch(Vec<PgWireFrontendMessage>),
     Closed,
 }
 
 impl Session {
-    /// A session that has finished its startup.
+    /// Creates a session for a connection that has completed startup.
     pub fn new(
         stream: TcpStream,
         buffer: BytesMut,
         tenant: TenantName,
-        mut caller: CallerSettings,
+        mut client_settings: ClientSettings,
         runtime: Arc<TenantRuntime>,
-        place: ClientPlace,
+        slot: ClientSlot,
     ) -> Self {
-        let token = caller.session.take().map(|token| *token);
+        let token = client_settings.session.take().map(|token| *token);
         Session {
             stream,
             buffer,
-            pending: Vec::new(),
+            partial_batch: Vec::new(),
             tenant,
-            caller,
+            client_settings,
             prepared: PreparedStatements::new(),
             transaction: Transaction::None,
-            written: token.as_ref().map(|token: &SessionToken| token.position),
+            last_write: token.as_ref().map(|token: &SessionToken| token.position),
             token,
-            told_token: None,
+            reported_position: None,
             runtime,
-            _place: place,
+            _slot: slot,
         }
     }
 }
 
-/// Serves a session until the caller leaves or the node has drained it.
+/// Serves a session until the client disconnects or the node drains.
 pub async fn run(mut session: Session, gateway: &Arc<Gateway>) {
-    let ended = session.serve(gateway).await;
+    let result = session.serve(gateway).await;
     if let Transaction::Open(pin) = &session.transaction {
-        Dispatch::free(gateway, pin);
+        Dispatch::release_pinned(gateway, pin);
     }
-    match ended {
+    match result {
         Ok(()) => debug!("event=session_closed tenant={}", session.tenant),
         Err(error) => debug!(
             "event=session_lost tenant={} error={:?}",
@@ -118,18 +118,18 @@
     async fn serve(&mut self, gateway: &Arc<Gateway>) -> Result<(), std::io::Error> {
         let mut draining = gateway.draining.subscribe();
         loop {
-            let idle = matches!(self.transaction, Transaction::None);
-            let stopping = *draining.borrow_and_update();
+            let is_idle = matches!(self.transaction, Transaction::None);
+            let is_draining = *draining.borrow_and_update();
             let incoming = tokio::select! {
                 biased;
                 incoming = self.next_batch() => incoming?,
-                () = tokio::time::sleep(DRAIN_QUIET), if stopping && idle => return self.say_goodbye().await,
-                _ = draining.changed(), if !stopping => continue,
+                () = tokio::time::sleep(DRAIN_IDLE_TIME), if is_draining && is_idle => return self.send_shutdown_error().await,
+                _ = draining.changed(), if !is_draining => continue,
             };
             match incoming {
                 Incoming::Closed => return Ok(()),
-                Incoming::Batch(messages) if is_goodbye(&messages) => return Ok(()),
-                // Boxed, so that an idle session stays small.
+                Incoming::Batch(messages) if is_terminate(&messages) => return Ok(()),
+                // Boxed to keep the future of an idle session small.
                 Incoming::Batch(messages) => Box::pin(self.handle(gateway, messages)).await?,
             }
             if self.buffer.is_empty() {
@@ -138,7 +138,7 @@
         }
     }
 
-    async fn say_goodbye(&mut self) -> Result<(), std::io::Error> {
+    async fn send_shutdown_error(&mut self) -> Result<(), std::io::Error> {
         let mut out = BytesMut::new();
         put_backend(
             &mut out,
@@ -149,13 +149,13 @@
         self.stream.shutdown().await
     }
 
-    /// The next whole batch. Cancel safe: messages read so far are kept.
+    /// Returns the next complete batch. Cancel safe: messages read so far are kept.
     async fn next_batch(&mut self) -> Result<Incoming, std::io::Error> {
         loop {
             if self.decode_batch()? {
-                return Ok(Incoming::Batch(std::mem::take(&mut self.pending)));
+                return Ok(Incoming::Batch(std::mem::take(&mut self.partial_batch)));
             }
-            // Waits without a buffer, so that idle sessions hold none.
+            // Waits without a read buffer, to save memory in idle sessions.
             self.stream.ready(Interest::READABLE).await?;
             self.buffer.reserve(READ_CHUNK_BYTES);
             match self.stream.try_read_buf(&mut self.buffer) {
@@ -167,21 +167,21 @@
         }
     }
 
-    /// Decodes what the buffer holds; true when a batch is whole.
+    /// Decodes buffered messages; returns whether the batch is complete.
     fn decode_batch(&mut self) -> Result<bool, std::io::Error> {
         let context = established_context();
-        let damaged = |text: String| std::io::Error::new(std::io::ErrorKind::InvalidData, text);
+        let invalid_data = |text: String| std::io::Error::new(std::io::ErrorKind::InvalidData, text);
         loop {
-            if self.pending.len() > MAXIMUM_BATCH_MESSAGES {
-                return Err(damaged("batch has too many messages".to_owned()));
+            if self.partial_batch.len() > MAXIMUM_BATCH_MESSAGES {
+                return Err(invalid_data("batch exceeds the message limit".to_owned()));
             }
             let decoded = PgWireFrontendMessage::decode(&mut self.buffer, &context);
-            let Some(message) = decoded.map_err(|error| damaged(error.to_string()))? else {
+            let Some(message) = decoded.map_err(|error| invalid_data(error.to_string()))? else {
                 return Ok(false);
             };
-            let last = ends_batch(&message);
-            self.pending.push(message);
-            if last {
+            let is_last = ends_batch(&message);
+            self.partial_batch.push(message);
+            if is_last {
                 return Ok(true);
             }
         }
@@ -192,56 +192,59 @@
         gateway: &Arc<Gateway>,
         messages: Vec<PgWireFrontendMessage>,
     ) -> Result<(), std::io::Error> {
-        match self.result_of(gateway, messages).await {
-            Ok(answer) => self.answer(&answer.messages, answer.transaction_status).await,
-            Err(refusal) => {
+        match self.execute_batch(gateway, messages).await {
+            Ok(response) => {
+                self.send_response(&response.messages, response.transaction_status)
+                    .await
+            }
+            Err(error) => {
                 self.fail_transaction(gateway);
-                self.refuse(&refusal).await
+                self.send_error(&error).await
             }
         }
     }
 
-    async fn result_of(
+    async fn execute_batch(
         &mut self,
         gateway: &Arc<Gateway>,
         messages: Vec<PgWireFrontendMessage>,
-    ) -> Result<CallerAnswer, Refusal> {
+    ) -> Result<ClientResponse, RequestError> {
         let batch = self
-            .build(messages)
-            .map_err(|error| Refusal::new(ErrorKind::Unsupported, error))?;
+            .build_batch(messages)
+            .map_err(|error| RequestError::new(ErrorKind::Unsupported, error))?;
         let config = gateway.control.config();
         let settings = config
             .tenants
             .get(&self.tenant)
             .cloned()
-            .ok_or_else(|| Refusal::new(ErrorKind::UnknownTenant, &self.tenant))?;
+            .ok_or_else(|| RequestError::new(ErrorKind::UnknownTenant, &self.tenant))?;
         let started = clock::now();
         let (kind, result) = self.run_batch(gateway, &settings, &batch, started).await;
-        let micros = clock::now().0 - started.0;
+        let elapsed_micros = clock::now().0 - started.0;
         if kind != "local" {
-            record(gateway, kind, &result, micros);
+            record_request(gateway, kind, &result, elapsed_micros);
         }
         result
     }
 
-    /// A statement refused inside a transaction fails the whole of it, as a
-    /// back end would, so that a COMMIT behind it commits nothing partial.
+    /// Marks an open transaction as failed and releases its connection, so that a later
+    /// COMMIT cannot commit part of the transaction.
     fn fail_transaction(&mut self, gateway: &Gateway) {
         if let Transaction::Open(pin) = &self.transaction {
-            Dispatch::free(gateway, pin);
+            Dispatch::release_pinned(gateway, pin);
             self.transaction = Transaction::Failed;
         }
     }
 
-    fn build(&mut self, mut messages: Vec<PgWireFrontendMessage>) -> Result<Batch, batch::BatchError> {
+    fn build_batch(&mut self, mut messages: Vec<PgWireFrontendMessage>) -> Result<Batch, batch::BatchError> {
         if let Some(PgWireFrontendMessage::Query(query)) = messages.last() {
             if messages.len() > 1 {
-                return Err(batch::BatchError::Message("mixed simple and extended"));
+                return Err(batch::BatchError::UnsupportedMessage("mixed simple and extended"));
             }
-            return batch::simple(&query.query);
+            return batch::from_simple_query(&query.query);
         }
         let statements = &mut self.prepared;
-        batch::extended(std::mem::take(&mut messages), statements)
+        batch::from_extended(std::mem::take(&mut messages), statements)
     }
 
     async fn run_batch(
@@ -250,42 +253,43 @@
         settings: &Arc<TenantSettings>,
         batch: &Batch,
         started: millwind_core::Instant,
-    ) -> (&'static str, Result<CallerAnswer, Refusal>) {
+    ) -> (&'static str, Result<ClientResponse, RequestError>) {
         match &self.transaction {
-            Transaction::Failed => return ("local", self.in_failed_transaction(batch)),
+            Transaction::Failed => return ("local", self.run_in_failed_transaction(batch)),
             Transaction::Open(pin) => {
                 let pin = pin.clone();
                 return self.in_transaction(gateway, settings, batch, &pin).await;
             }
             Transaction::None => {}
         }
-        let action = request::action(&batch.classified, batch.executes);
+        let action = request::choose_action(&batch.classified, batch.executes);
         match action {
-            Action::Local => return ("local", self.answer_locally(batch)),
+            Action::Local => return ("local", self.apply_settings_locally(batch)),
             Action::Unsupported(detail) => {
-                return ("local", Err(Refusal::new(ErrorKind::Unsupported, detail)));
+                return ("local", Err(RequestError::new(ErrorKind::Unsupported, detail)));
             }
             _ => {}
         }
         if let Err(reason) = gateway.control.view().may_serve(started) {
-            return ("read", Err(Refusal::new(ErrorKind::NotServing, reason)));
+            return ("read", Err(RequestError::new(ErrorKind::NotServing, reason)));
         }
         let (name, intent) = match action {
             Action::Begin => ("begin", Intent::Begin),
             Action::Write => ("write", Intent::Write),
             _ => ("read", Intent::Read),
         };
-        let read = intent == Intent::Read;
-        let terms = match request::terms(&batch.classified, read, settings, &mut self.caller) {
-            Ok(terms) => terms,
-            Err(error) => return (name, Err(Refusal::new(ErrorKind::InvalidSetting, error))),
-        };
-        if intent == Intent::Begin && !terms.request_key.is_empty() {
-            // The id belongs to the whole transaction and is used at its end.
-            self.caller.request_id = Some(terms.request_key.as_str().into());
+        let is_read = intent == Intent::Read;
+        let options =
+            match request::request_options(&batch.classified, is_read, settings, &mut self.client_settings) {
+                Ok(options) => options,
+                Err(error) => return (name, Err(RequestError::new(ErrorKind::InvalidSetting, error))),
+            };
+        if intent == Intent::Begin && !options.request_key.is_empty() {
+            // Keeps the request id for the commit of the transaction.
+            self.client_settings.request_id = Some(options.request_key.as_str().into());
         }
         let result = self
-            .dispatch(gateway, settings, batch, &terms, intent, started)
+            .dispatch(gateway, settings, batch, &options, intent, started)
             .await;
         (name, result)
     }
@@ -295,32 +299,32 @@
         gateway: &Arc<Gateway>,
         settings: &Arc<TenantSettings>,
         batch: &Batch,
-        terms: &Terms,
+        options: &RequestOptions,
         intent: Intent,
         started: millwind_core::Instant,
-    ) -> Result<CallerAnswer, Refusal> {
+    ) -> Result<ClientResponse, RequestError> {
         let runtime = self.runtime.clone();
-        let mut dispatch = new_dispatch(gateway, settings, &runtime, terms, batch)?;
+        let mut dispatch = new_dispatch(gateway, settings, &runtime, options, batch)?;
         let token = match intent {
-            Intent::Read | Intent::Begin => self.token_or_floor(settings, &dispatch).await?,
+            Intent::Read | Intent::Begin => self.token_or_primary_position(settings, &dispatch).await?,
             _ => None,
         };
         let result = match intent {
             Intent::Read => match dispatch.read(token).await {
-                Err(refusal) if refusal.kind == ErrorKind::SessionDiscarded && self.written < token => {
-                    self.forget_reads(settings);
-                    dispatch.read(self.written).await
+                Err(error) if error.kind == ErrorKind::SessionDiscarded && self.last_write < token => {
+                    self.reset_token_to_last_write(settings);
+                    dispatch.read(self.last_write).await
                 }
                 result => result,
             },
-            _ => dispatch.on_primary(intent, token).await,
+            _ => dispatch.execute_on_primary(intent, token).await,
         };
-        if let (Ok(outcome), true) = (&result, intent != Intent::Read) {
-            self.written = self.written.max(outcome.position);
+        if let (Ok(response), true) = (&result, intent != Intent::Read) {
+            self.last_write = self.last_write.max(response.position);
         }
         publish_decision(&dispatch, intent, &result, started);
-        let outcome = result?;
-        self.conclude(settings, batch, outcome)
+        let response = result?;
+        self.apply_response(settings, batch, response)
     }
 
     async fn in_transaction(
@@ -328,97 +332,117 @@
         gateway: &Arc<Gateway>,
         settings: &Arc<TenantSettings>,
         batch: &Batch,
-        pin: &Pin,
-    ) -> (&'static str, Result<CallerAnswer, Refusal>) {
-        if let Some(detail) = request::unsupported(&batch.classified) {
-            return ("local", Err(Refusal::new(ErrorKind::Unsupported, detail)));
+        pin: &PinnedConnection,
+    ) -> (&'static str, Result<ClientResponse, RequestError>) {
+        if let Some(detail) = request::unsupported_reason(&batch.classified) {
+            return ("local", Err(RequestError::new(ErrorKind::Unsupported, detail)));
         }
-        if request::sets_only(&batch.classified) {
-            return ("local", self.answer_locally(batch));
+        if request::is_settings_only(&batch.classified) {
+            return ("local", self.apply_settings_locally(batch));
         }
         let kinds = &batch.classified.kinds;
-        let commits = batch.executes && kinds.contains(&StatementKind::Commit);
-        let (name, intent) = if commits {
+        let is_commit = batch.executes && kinds.contains(&StatementKind::Commit);
+        let (name, intent) = if is_commit {
             ("commit", Intent::Commit)
         } else {
             ("continue", Intent::Continue)
         };
-        // A request id is kept for the commit.
-        let terms = match request::terms(&batch.classified, !commits, settings, &mut self.caller) {
-            Ok(terms) => terms,
-            Err(error) => return (name, Err(Refusal::new(ErrorKind::InvalidSetting, error))),
+        // Options of a read leave the request id in place for the commit.
+        let options = match request::request_options(
+            &batch.classified,
+            !is_commit,
+            settings,
+            &mut self.client_settings,
+        ) {
+            Ok(options) => options,
+            Err(error) => return (name, Err(RequestError::new(ErrorKind::InvalidSetting, error))),
         };
         let runtime = self.runtime.clone();
-        let dispatch = match new_dispatch(gateway, settings, &runtime, &terms, batch) {
+        let dispatch = match new_dispatch(gateway, settings, &runtime, &options, batch) {
             Ok(dispatch) => dispatch,
-            Err(refusal) => return (name, Err(refusal)),
+            Err(error) => return (name, Err(error)),
         };
         let started = clock::now();
-        let result = dispatch.in_transaction(pin, intent).await;
+        let result = dispatch.execute_in_transaction(pin, intent).await;
         publish_decision(&dispatch, intent, &result, started);
         match result {
-            Ok(outcome) => {
-                self.written = self.written.max(outcome.position);
-                (name, self.conclude(settings, batch, outcome))
+            Ok(response) => {
+                self.last_write = self.last_write.max(response.position);
+                (name, self.apply_response(settings, batch, response))
             }
-            Err(refusal) => {
-                if commits {
-                    Dispatch::free(gateway, pin);
+            Err(error) => {
+                if is_commit {
+                    Dispatch::release_pinned(gateway, pin);
                     self.transaction = Transaction::None;
                 }
-                (name, Err(refusal))
+                (name, Err(error))
             }
         }
     }
 
-    fn in_failed_transaction(&mut self, batch: &Batch) -> Result<CallerAnswer, Refusal> {
-        let ends = |kind: &StatementKind| matches!(kind, StatementKind::Commit | StatementKind::Rollback);
-        if batch.classified.kinds.iter().any(ends) {
+    fn run_in_failed_transaction(&mut self, batch: &Batch) -> Result<ClientResponse, RequestError> {
+        let ends_transaction =
+            |kind: &StatementKind| matches!(kind, StatementKind::Commit | StatementKind::Rollback);
+        if batch.classified.kinds.iter().any(ends_transaction) {
             self.transaction = Transaction::None;
-            self.caller.request_id = None;
-            // A failed transaction is rolled back whichever way it is ended.
-            return self.local_answer(batch, &[StatementKind::Rollback]);
+            self.client_settings.request_id = None;
+            // As in PostgreSQL, COMMIT of a failed transaction reports ROLLBACK.
+            return self.encode_local_response(batch, &[StatementKind::Rollback]);
         }
-        Err(Refusal::new(
+        Err(RequestError::new(
             ErrorKind::TransactionLost,
             "statements are ignored until ROLLBACK",
         ))
     }
 
-    fn answer_locally(&mut self, batch: &Batch) -> Result<CallerAnswer, Refusal> {
+    fn apply_settings_locally(&mut self, batch: &Batch) -> Result<ClientResponse, RequestError> {
         if batch.executes {
             for kind in &batch.classified.kinds {
                 if let StatementKind::SetProxy { name, value } = kind {
-                    self.caller
+                    self.client_settings
                         .set(name, value)
-                        .map_err(|error| Refusal::new(ErrorKind::InvalidSetting, error))?;
+                        .map_err(|error| RequestError::new(ErrorKind::InvalidSetting, error))?;
                 }
             }
-            if let Some(token) = self.caller.session.take() {
-                self.written = Some(token.position);
+            if let Some(token) = self.client_settings.session.take() {
+                self.last_write = Some(token.position);
                 self.token = Some(*token);
             }
         }
-        self.local_answer(batch, &batch.classified.kinds)
+        self.encode_local_response(batch, &batch.classified.kinds)
     }
 
-    fn local_answer(&self, batch: &Batch, kinds: &[StatementKind]) -> Result<CallerAnswer, Refusal> {
-        let messages = local_answer::encode(batch, kinds, |name| self.show(name))
-            .map_err(|error| Refusal::new(ErrorKind::Unsupported, error))?;
-        Ok(CallerAnswer {
+    fn encode_local_response(
+        &self,
+        batch: &Batch,
+        kinds: &[StatementKind],
+    ) -> Result<ClientResponse, RequestError> {
+        let messages = local_response::encode(batch, kinds, |name| self.setting_value(name))
+            .map_err(|error| RequestError::new(ErrorKind::Unsupported, error))?;
+        Ok(ClientResponse {
             messages,
-            transaction_status: self.status(),
+            transaction_status: self.transaction_status(),
             replica: None,
         })
     }
 
-    fn show(&self, name: &str) -> String {
+    fn setting_value(&self, name: &str) -> String {
         match name {
             "session" => self.token.as_ref().map(ToString::to_string).unwrap_or_default(),
-            "class" => self.caller.class.as_deref().unwrap_or_default().to_owned(),
-            "request_id" => self.caller.request_id.as_deref().unwrap_or_default().to_owned(),
+            "class" => self
+                .client_settings
+                .class
+                .as_deref()
+                .unwrap_or_default()
+                .to_owned(),
+            "request_id" => self
+                .client_settings
+                .request_id
+                .as_deref()
+                .unwrap_or_default()
+                .to_owned(),
             "staleness_ms" => self
-                .caller
+                .client_settings
                 .staleness_ms
                 .map(|value| value.to_string())
                 .unwrap_or_default(),
@@ -426,18 +450,20 @@
         }
     }
 
-    /// The session's position in the tenant's group. A token of another group
-    /// says nothing there.
-    fn token_in(&self, settings: &TenantSettings) -> Option<Position> {
+    /// Returns the token's position, or `None` if the token belongs to another group.
+    fn token_position(&self, settings: &TenantSettings) -> Option<Position> {
         self.token
             .as_ref()
             .filter(|token| token.group == settings.group)
             .map(|token| token.position)
     }
 
-    fn raise_token(&mut self, settings: &TenantSettings, position: Option<Position>) {
+    fn advance_token(&mut self, settings: &TenantSettings, position: Option<Position>) {
         let Some(position) = position else { return };
-        if self.token_in(settings).is_none_or(|held| position > held) {
+        if self
+            .token_position(settings)
+            .is_none_or(|current| position > current)
+        {
             self.token = Some(SessionToken {
                 group: settings.group.clone(),
                 position,
@@ -445,52 +471,52 @@
         }
     }
 
-    /// The position the session must see: its token, or a floor for one that
-    /// has none yet.
-    async fn token_or_floor(
+    /// Returns the position that reads must include: that of the token or, without a
+    /// token, the primary's current position.
+    async fn token_or_primary_position(
         &mut self,
         settings: &TenantSettings,
         dispatch: &Dispatch<'_>,
-    ) -> Result<Option<Position>, Refusal> {
-        if let Some(position) = self.token_in(settings) {
+    ) -> Result<Option<Position>, RequestError> {
+        if let Some(position) = self.token_position(settings) {
             return Ok(Some(position));
         }
-        let floor = dispatch.floor().await?;
-        self.written = floor;
-        self.raise_token(settings, floor);
-        Ok(floor)
+        let position = dispatch.primary_position().await?;
+        self.last_write = position;
+        self.advance_token(settings, position);
+        Ok(position)
     }
 
-    /// Takes the token back to the session's own last write.
-    fn forget_reads(&mut self, settings: &TenantSettings) {
-        self.token = self.written.map(|position| SessionToken {
+    /// Moves the token back to the position of the session's last write.
+    fn reset_token_to_last_write(&mut self, settings: &TenantSettings) {
+        self.token = self.last_write.map(|position| SessionToken {
             group: settings.group.clone(),
             position,
         });
     }
 
-    fn conclude(
+    fn apply_response(
         &mut self,
         settings: &TenantSettings,
         batch: &Batch,
-        outcome: Outcome,
-    ) -> Result<CallerAnswer, Refusal> {
-        self.raise_token(settings, outcome.position);
-        self.transaction = match outcome.pin {
+        response: BatchResponse,
+    ) -> Result<ClientResponse, RequestError> {
+        self.advance_token(settings, response.position);
+        self.transaction = match response.pin {
             Some(pin) => Transaction::Open(pin),
             None => Transaction::None,
         };
         let messages = batch
-            .caller_answer(outcome.messages)
-            .map_err(|error| Refusal::new(ErrorKind::AnswerTooLarge, error))?;
-        Ok(CallerAnswer {
+            .client_response(response.messages)
+            .map_err(|error| RequestError::new(ErrorKind::AnswerTooLarge, error))?;
+        Ok(ClientResponse {
             messages,
-            transaction_status: status_of(outcome.transaction_status),
-            replica: Some(!outcome.primary),
+            transaction_status: parse_transaction_status(response.transaction_status),
+            replica: Some(!response.primary),
         })
     }
 
-    fn status(&self) -> TransactionStatus {
+    fn transaction_status(&self) -> TransactionStatus {
         match self.transaction {
             Transaction::None => TransactionStatus::Idle,
             Transaction::Open(_) => TransactionStatus::Transaction,
@@ -498,23 +524,27 @@
         }
     }
 
-    async fn refuse(&mut self, refusal: &Refusal) -> Result<(), std::io::Error> {
+    async fn send_error(&mut self, error: &RequestError) -> Result<(), std::io::Error> {
         let mut out = BytesMut::new();
-        let error = error_answer::error_response(refusal.kind, false, &refusal.detail);
-        put_backend(&mut out, &error).map_err(encode_error)?;
-        let status = self.status();
-        self.answer(&out, status).await
+        let message = error_answer::error_response(error.kind, false, &error.detail);
+        put_backend(&mut out, &message).map_err(encode_error)?;
+        let transaction_status = self.transaction_status();
+        self.send_response(&out, transaction_status).await
     }
 
-    /// Writes a whole answer, the new token and the ready message, in one go.
-    async fn answer(&mut self, messages: &[u8], status: TransactionStatus) -> Result<(), std::io::Error> {
+    /// Writes the response, the token if it changed, and `ReadyForQuery` in one write.
+    async fn send_response(
+        &mut self,
+        messages: &[u8],
+        status: TransactionStatus,
+    ) -> Result<(), std::io::Error> {
         let mut out = BytesMut::with_capacity(messages.len() + 64);
         out.extend_from_slice(messages);
         let position = self.token.as_ref().map(|token| token.position);
-        if let Some(token) = self.token.as_ref().filter(|_| position != self.told_token) {
+        if let Some(token) = self.token.as_ref().filter(|_| position != self.reported_position) {
             let parameter = ParameterStatus::new(SESSION_PARAMETER.to_owned(), token.to_string());
             put_backend(&mut out, &PgWireBackendMessage::ParameterStatus(parameter)).map_err(encode_error)?;
-            self.told_token = position;
+            self.reported_position = position;
         }
         let ready = PgWireBackendMessage::ReadyForQuery(ReadyForQuery::new(status));
         put_backend(&mut out, &ready).map_err(encode_error)?;
@@ -526,31 +556,30 @@
     gateway: &'a Arc<Gateway>,
     settings: &'a TenantSettings,
     runtime: &'a TenantRuntime,
-    terms: &'a Terms,
+    options: &'a RequestOptions,
     batch: &'a Batch,
-) -> Result<Dispatch<'a>, Refusal> {
+) -> Result<Dispatch<'a>, RequestError> {
     let config = gateway.control.config();
-    let spec = config
-        .groups
-        .get(&settings.group)
-        .cloned()
-        .ok_or_else(|| Refusal::new(ErrorKind::NotServing, "the tenant's group is not configured"))?;
+    let spec =
+        config.groups.get(&settings.group).cloned().ok_or_else(|| {
+            RequestError::new(ErrorKind::NotServing, "the tenant's group is not configured")
+        })?;
     Ok(Dispatch {
         gateway,
         tenant: settings,
         runtime,
         spec,
-        terms,
+        options,
         batch: &batch.bytes,
-        weighed: Vec::new(),
+        candidates: Vec::new(),
     })
 }
 
-fn status_of(byte: u8) -> TransactionStatus {
+fn parse_transaction_status(byte: u8) -> TransactionStatus {
     TransactionStatus::try_from(byte).unwrap_or(TransactionStatus::Idle)
 }
 
-fn is_goodbye(messages: &[PgWireFrontendMessage]) -> bool {
+fn is_terminate(messages: &[PgWireFrontendMessage]) -> bool {
     matches!(messages.last(), Some(PgWireFrontendMessage::Terminate(_)))
 }
 
--- a/crates/millwind-node/src/gateway/startup.rs
+++ b/crates/millwind-node/src/gateway/startup.rs
@@ -1,4 +1,4 @@
-//! The startup phase of a caller: encryption request, startup message,
+//! Startup phase of a client connection: encryption request, startup message and
 //! authentication.
 
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::caller_settings::CallerSettings;
+use super::client_settings::ClientSettings;
 use super::session::Session;
 use super::{Gateway, TenantRuntime};
 use crate::pg::{error_answer, put_backend};
@@ -32,49 +32,51 @@
 const SCRAM_MECHANISM: &str = "SCRAM-SHA-256";
 const SCRAM_ITERATIONS: usize = 4_096;
 const SALT_BYTES: usize = 16;
-/// Longest startup or password message.
+/// Maximum size of a startup or password message.
 const MAXIMUM_STARTUP_BYTES: usize = 16 * 1024;
 
-/// Why a startup ended without a session.
+/// Why startup ended without a session.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// The connection broke.
+    /// The connection failed.
     #[error("connection lost: {0}")]
     Lost(#[from] std::io::Error),
-    /// The caller broke the protocol.
-    #[error("protocol: {0}")]
+    /// The client violated the protocol.
+    #[error("protocol error: {0}")]
     Protocol(String),
-    /// The caller was refused.
-    #[error("refused: {}", .0.name())]
-    Refused(ErrorKind),
+    /// The node rejected the client.
+    #[error("rejected: {}", .0.name())]
+    Rejected(ErrorKind),
 }
 
-fn protocol(error: impl std::fmt::Display) -> StartupError {
+fn protocol_error(error: impl std::fmt::Display) -> StartupError {
     StartupError::Protocol(error.to_string())
 }
 
-struct Conversation {
+struct StartupConnection {
     stream: TcpStream,
     buffer: BytesMut,
     context: DecodeContext,
 }
 
-/// Leads a caller through startup; none when it only asked to cancel.
+/// Performs startup and returns the session, or `None` for a cancel request.
+///
+/// If `rejection` is set, the client gets that error after its startup message.
 pub async fn start(
     stream: TcpStream,
     gateway: &Arc<Gateway>,
-    refusal: Option<ErrorKind>,
+    rejection: Option<ErrorKind>,
 ) -> Result<Option<Session>, StartupError> {
-    let mut conversation = Conversation {
+    let mut connection = StartupConnection {
         stream,
         buffer: BytesMut::new(),
         context: DecodeContext::new(ProtocolVersion::PROTOCOL3_0),
     };
-    let Some(startup) = conversation.startup_message().await? else {
+    let Some(startup) = connection.startup_message().await? else {
         return Ok(None);
     };
-    if let Some(kind) = refusal {
-        return conversation.refuse(kind, "").await;
+    if let Some(kind) = rejection {
+        return connection.reject(kind, "").await;
     }
     let name = startup
         .parameters
@@ -83,92 +85,94 @@
     let tenant = TenantName::from(name.map_or("", String::as_str));
     let config = gateway.control.config();
     if config.revision == 0 {
-        return conversation
-            .refuse(ErrorKind::NotServing, "no configuration yet")
+        return connection
+            .reject(ErrorKind::NotServing, "no configuration yet")
             .await;
     }
     let Some(settings) = config.tenants.get(&tenant).cloned() else {
-        return conversation
-            .refuse(ErrorKind::UnknownTenant, tenant.as_str())
-            .await;
+        return connection.reject(ErrorKind::UnknownTenant, tenant.as_str()).await;
     };
-    if !conversation.authenticate(&settings).await? {
-        return conversation.refuse(ErrorKind::AuthenticationFailed, "").await;
+    if !connection.authenticate(&settings).await? {
+        return connection.reject(ErrorKind::AuthenticationFailed, "").await;
     }
-    let mut caller = CallerSettings::default();
-    for (name, value) in own_parameters(&startup.parameters) {
-        if let Err(error) = caller.set(&name, &value) {
-            return conversation
-                .refuse(ErrorKind::InvalidSetting, &error.to_string())
+    let mut client_settings = ClientSettings::default();
+    for (name, value) in millwind_parameters(&startup.parameters) {
+        if let Err(error) = client_settings.set(&name, &value) {
+            return connection
+                .reject(ErrorKind::InvalidSetting, &error.to_string())
                 .await;
         }
     }
     let runtime = gateway.tenant_runtime(&tenant, settings.retry_budget_percent);
-    let Some(place) = ClientPlace::take(runtime.clone(), settings.maximum_clients) else {
-        return conversation
-            .refuse(ErrorKind::TooManyClients, tenant.as_str())
+    let Some(slot) = ClientSlot::try_acquire(runtime.clone(), settings.maximum_clients) else {
+        return connection
+            .reject(ErrorKind::TooManyClients, tenant.as_str())
             .await;
     };
-    conversation.welcome().await?;
+    connection.send_startup_complete().await?;
     debug!("event=session_opened tenant={tenant}");
     Ok(Some(Session::new(
-        conversation.stream,
-        conversation.buffer,
+        connection.stream,
+        connection.buffer,
         tenant,
-        caller,
+        client_settings,
         runtime,
-        place,
+        slot,
     )))
 }
 
-/// `millwind.*` parameters, given directly or as `-c name=value` options.
-fn own_parameters(parameters: &BTreeMap<String, String>) -> Vec<(String, String)> {
-    let direct = parameters
+/// Returns the `millwind.*` startup parameters without their prefix, given directly
+/// or as `-c name=value` in `options`.
+fn millwind_parameters(parameters: &BTreeMap<String, String>) -> Vec<(String, String)> {
+    let from_parameters = parameters
         .iter()
         .filter_map(|(name, value)| Some((name.strip_prefix("millwind.")?.to_owned(), value.clone())));
     let options = parameters.get("options").map_or("", String::as_str);
-    let by_option = options.split_whitespace().filter_map(|word| {
+    let from_options = options.split_whitespace().filter_map(|word| {
         let assignment = word.trim_start_matches("-c").trim_start_matches("--");
         let (name, value) = assignment.strip_prefix("millwind.")?.split_once('=')?;
         Some((name.to_owned(), value.to_owned()))
     });
-    direct.chain(by_option).collect()
+    from_parameters.chain(from_options).collect()
 }
 
-/// A place within the tenant's limit of clients; given back when dropped.
+/// A slot within the tenant's client limit, released on drop.
 #[derive(Debug)]
-pub struct ClientPlace {
+pub struct ClientSlot {
     runtime: Arc<TenantRuntime>,
 }
 
-impl ClientPlace {
-    fn take(runtime: Arc<TenantRuntime>, limit: u32) -> Option<Self> {
+impl ClientSlot {
+    fn try_acquire(runtime: Arc<TenantRuntime>, limit: u32) -> Option<Self> {
         if runtime.clients.fetch_add(1, Ordering::Relaxed) >= limit {
             runtime.clients.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
-        Some(ClientPlace { runtime })
+        Some(ClientSlot { runtime })
     }
 }
 
-impl Drop for ClientPlace {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
         self.runtime.clients.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Conversation {
+impl StartupConnection {
     async fn read(&mut self) -> Result<PgWireFrontendMessage, StartupError> {
         loop {
-            let decoded = PgWireFrontendMessage::decode(&mut self.buffer, &self.context).map_err(protocol)?;
+            let decoded =
+                PgWireFrontendMessage::decode(&mut self.buffer, &self.context).map_err(protocol_error)?;
             if let Some(message) = decoded {
                 return Ok(message);
             }
             if self.buffer.len() > MAXIMUM_STARTUP_BYTES {
-                return Err(StartupError::Protocol("startup message too long".into()));
+                return Err(StartupError::Protocol(
+                    "message exceeds the startup size limit".into(),
+                ));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
-                return Err(StartupError::Protocol("closed during startup".into()));
+                return Err(StartupError::Protocol("connection closed during startup".into()));
             }
         }
     }
@@ -176,7 +180,7 @@
     async fn write(&mut self, messages: &[PgWireBackendMessage]) -> Result<(), StartupError> {
         let mut out = BytesMut::new();
         for message in messages {
-            put_backend(&mut out, message).map_err(protocol)?;
+            put_backend(&mut out, message).map_err(protocol_error)?;
         }
         self.stream.write_all(&out).await?;
         Ok(())
@@ -196,9 +200,9 @@
                     self.context.awaiting_frontend_startup = false;
                     return Ok(Some(startup));
                 }
-                // Cancelling across sessions is not carried yet; see docs/PROOFS.md.
+                // Cancel requests are not supported; the connection is closed.
                 PgWireFrontendMessage::CancelRequest(_) => return Ok(None),
-                other => return Err(StartupError::Protocol(format!("unexpected {other:?}"))),
+                other => return Err(StartupError::Protocol(format!("unexpected message {other:?}"))),
             }
         }
     }
@@ -212,29 +216,29 @@
             mechanisms,
         ))])
         .await?;
-        let first = self
+        let initial = self
             .password_message()
             .await?
             .into_sasl_initial_response()
-            .map_err(protocol)?;
+            .map_err(protocol_error)?;
         let salt: [u8; SALT_BYTES] = rand::random();
         let salted = gen_salted_password(&settings.password, &salt, SCRAM_ITERATIONS);
         let expected = Password::new(Some(salt.to_vec()), salted);
         let mut server = ScramServerAuth::new();
         server.set_iterations(SCRAM_ITERATIONS);
-        let data = first.data.unwrap_or_default();
-        let Ok((reply, waiting)) = server.on_client_first_message(&data, expected) else {
+        let data = initial.data.unwrap_or_default();
+        let Ok((reply, exchange)) = server.on_client_first_message(&data, expected) else {
             return Ok(false);
         };
-        let continued = Authentication::SASLContinue(Bytes::from(reply));
-        self.write(&[PgWireBackendMessage::Authentication(continued)])
+        let challenge = Authentication::SASLContinue(Bytes::from(reply));
+        self.write(&[PgWireBackendMessage::Authentication(challenge)])
             .await?;
-        let last = self
+        let response = self
             .password_message()
             .await?
             .into_sasl_response()
-            .map_err(protocol)?;
-        let Ok(proof) = waiting.on_client_final_message(&last.data) else {
+            .map_err(protocol_error)?;
+        let Ok(proof) = exchange.on_client_final_message(&response.data) else {
             return Ok(false);
         };
         let finished = Authentication::SASLFinal(Bytes::from(proof));
@@ -252,7 +256,7 @@
         }
     }
 
-    async fn welcome(&mut self) -> Result<(), StartupError> {
+    async fn send_startup_complete(&mut self) -> Result<(), StartupError> {
         let mut messages = vec![PgWireBackendMessage::Authentication(Authentication::Ok)];
         let parameters = [
             ("server_version", SERVER_VERSION),
@@ -275,10 +279,10 @@
         self.write(&messages).await
     }
 
-    async fn refuse(mut self, kind: ErrorKind, detail: &str) -> Result<Option<Session>, StartupError> {
+    async fn reject(mut self, kind: ErrorKind, detail: &str) -> Result<Option<Session>, StartupError> {
         self.write(&[error_answer::error_response(kind, true, detail)])
             .await?;
         self.stream.shutdown().await?;
-        Err(StartupError::Refused(kind))
+        Err(StartupError::Rejected(kind))
     }
 }
--- a/crates/millwind-node/src/gateway/accounting.rs
+++ b/crates/millwind-node/src/gateway/telemetry.rs
@@ -1,55 +1,55 @@
-//! What is counted of finished requests, and told to watchers.
+//! Records metrics of finished requests and publishes routing decisions.
 
 use bytes::BytesMut;
 use millwind_wire::Intent;
 use pgwire::messages::response::TransactionStatus;
 
 use super::Gateway;
-use super::dispatch::{Dispatch, Outcome, Refusal};
+use super::dispatch::{BatchResponse, Dispatch, RequestError};
 use crate::clock;
 use crate::decisions::{CandidateReason, Decision};
 use crate::metrics::RequestLabels;
 
-/// An answer as the caller gets it.
-pub(super) struct CallerAnswer {
-    /// Encoded messages.
+/// A response ready to be sent to the client.
+pub(super) struct ClientResponse {
+    /// Encoded backend messages without the final `ReadyForQuery`.
     pub(super) messages: BytesMut,
-    /// Status for the ready message.
+    /// Transaction status for `ReadyForQuery`.
     pub(super) transaction_status: TransactionStatus,
-    /// Whether a replica answered; none when no back end did.
+    /// Whether a replica served the request; `None` if no back end did.
     pub(super) replica: Option<bool>,
 }
 
-pub(super) fn record(
+pub(super) fn record_request(
     gateway: &Gateway,
     kind: &'static str,
-    result: &Result<CallerAnswer, Refusal>,
-    micros: u64,
+    result: &Result<ClientResponse, RequestError>,
+    elapsed_micros: u64,
 ) {
     let labels = RequestLabels {
         kind,
         result: match result {
             Ok(_) => "answered",
-            Err(refusal) => refusal.kind.name(),
+            Err(error) => error.kind.name(),
         },
         role: match result {
-            Ok(CallerAnswer {
+            Ok(ClientResponse {
                 replica: Some(true), ..
             }) => "replica",
-            Ok(CallerAnswer {
+            Ok(ClientResponse {
                 replica: Some(false), ..
             }) => "primary",
             _ => "none",
         },
     };
     gateway.metrics.requests.get_or_create(&labels).inc();
-    gateway.metrics.latency.observe(micros as f64 / 1e6);
+    gateway.metrics.latency.observe(elapsed_micros as f64 / 1e6);
 }
 
 pub(super) fn publish_decision(
     dispatch: &Dispatch<'_>,
     intent: Intent,
-    result: &Result<Outcome, Refusal>,
+    result: &Result<BatchResponse, RequestError>,
     started: millwind_core::Instant,
 ) {
     if !dispatch.gateway.decisions.is_watched() {
@@ -63,7 +63,7 @@
         Intent::Commit => "commit",
     };
     let candidates = dispatch
-        .weighed
+        .candidates
         .iter()
         .map(|choice| CandidateReason {
             instance: choice.instance.0.clone(),
@@ -72,7 +72,7 @@
         .collect();
     dispatch.gateway.decisions.publish(Decision {
         tenant: dispatch.tenant.name.0.clone(),
-        class: dispatch.terms.class.clone(),
+        class: dispatch.options.class.clone(),
         kind,
         candidates,
         chosen: result
@@ -81,7 +81,7 @@
             .unwrap_or_default(),
         result: match result {
             Ok(_) => "answered".to_owned(),
-            Err(refusal) => refusal.kind.name().to_owned(),
+            Err(error) => error.kind.name().to_owned(),
         },
         micros: clock::now().0 - started.0,
     });
--- a/crates/millwind-node/src/gateway/avoidance.rs
+++ b/crates/millwind-node/src/gateway/unreachable_nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes that could not be reached a moment ago: the gateway goes to the next
-//! owner in order, before the member table says that a node is dead.
+//! Tracks nodes that recently could not be reached, so that the gateway tries the
+//! next owner before membership marks the node dead.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, PoisonError};
@@ -9,27 +9,27 @@
 
 use crate::clock;
 
-/// A node that could not be reached is left alone this long.
-const AVOIDED_MS: u64 = 1_000;
+/// How long a node is skipped after a failed connection.
+const SKIP_MS: u64 = 1_000;
 
-/// Nodes to leave alone for a while.
+/// Nodes to skip, each with the time at which it is tried again.
 #[derive(Debug, Default)]
-pub struct Avoidance {
+pub struct UnreachableNodes {
     until: Mutex<BTreeMap<NodeName, Instant>>,
 }
 
-impl Avoidance {
-    /// Leaves a node alone for a while.
-    pub fn avoid(&self, node: &NodeName) {
-        let until = clock::now().plus_millis(AVOIDED_MS);
+impl UnreachableNodes {
+    /// Skips `node` for [`SKIP_MS`].
+    pub fn mark(&self, node: &NodeName) {
+        let until = clock::now().plus_millis(SKIP_MS);
         self.until
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(node.clone(), until);
     }
 
-    /// The nodes left alone now.
-    pub fn avoided(&self) -> BTreeSet<NodeName> {
+    /// Returns the nodes to skip now and drops expired entries.
+    pub fn current(&self) -> BTreeSet<NodeName> {
         let mut until = self.until.lock().unwrap_or_else(PoisonError::into_inner);
         if until.is_empty() {
             return BTreeSet::new();
