--- a/crates/millwind-node/src/pg/answer.rs
+++ b/crates/millwind-node/src/pg/answer.rs
@@ -1,4 +1,4 @@
-//! Collects the backend messages of one answer, up to `ReadyForQuery`.
+//! Collects the backend messages of one response, up to `ReadyForQuery`.
 
 use bytes::{Buf, BytesMut};
 use pgwire::error::PgWireError;
@@ -6,35 +6,35 @@
 use pgwire::messages::data::DataRow;
 use pgwire::messages::response::{ErrorResponse, TransactionStatus};
 
-/// Answers longer than this are not held; see `ErrorKind::AnswerTooLarge`.
+/// Maximum size of a response; a longer one fails with `ErrorKind::AnswerTooLarge`.
 pub const MAXIMUM_ANSWER_BYTES: usize = 48 * 1024 * 1024;
-/// Rows kept as text, for the proxy's own queries only.
+/// Maximum number of rows kept as text, enough for the proxy's own queries.
 const MAXIMUM_KEPT_ROWS: usize = 4;
 
-/// An error the back end answered.
+/// An error returned by a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SqlError {
     /// SQLSTATE.
     pub sqlstate: String,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
 }
 
-/// A whole answer of a back end.
+/// A response of a back end.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Answer {
     /// Encoded messages without the final `ReadyForQuery`.
     pub messages: BytesMut,
     /// Transaction status byte.
     pub transaction_status: u8,
-    /// The first error in it.
+    /// First error in the response.
     pub error: Option<SqlError>,
-    /// First rows as text.
+    /// First rows, with each column as text or `None` for NULL.
     pub rows: Vec<Vec<Option<String>>>,
 }
 
 impl Answer {
-    /// Adds a message; true when it was the final one.
+    /// Adds a message and returns whether it completes the response.
     pub fn push(&mut self, message: PgWireBackendMessage) -> Result<bool, PgWireError> {
         match &message {
             PgWireBackendMessage::ReadyForQuery(ready) => {
--- a/crates/millwind-node/src/pg/backend.rs
+++ b/crates/millwind-node/src/pg/backend.rs
@@ -17,16 +17,16 @@
 use tokio::time::timeout;
 
 use super::answer::{Answer, MAXIMUM_ANSWER_BYTES};
-use super::status::put_status_preparation;
+use super::status::put_status_prepare;
 use super::{established_context, put_frontend};
 
 const READ_CHUNK_BYTES: usize = 4 * 1024;
 const APPLICATION_NAME: &str = "millwind";
 
-/// How to reach and enter an instance.
+/// Address and credentials of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendTarget {
-    /// Address to dial.
+    /// Address to connect to.
     pub address: SocketAddr,
     /// User to connect as.
     pub user: String,
@@ -36,42 +36,42 @@
     pub database: String,
 }
 
-/// Why a back end could not be used.
+/// Why a back-end connection failed.
 #[derive(Debug, Error)]
 pub enum BackendError {
-    /// No connection within the time allowed.
+    /// Connecting took longer than the time limit.
     #[error("connecting timed out")]
     ConnectTimeout,
-    /// The connection broke.
+    /// The connection failed.
     #[error("connection lost: {0}")]
     Lost(#[from] std::io::Error),
     /// The back end closed the connection.
     #[error("connection closed by the back end")]
     Closed,
-    /// The protocol was broken.
-    #[error("protocol: {0}")]
+    /// The back end violated the protocol.
+    #[error("protocol error: {0}")]
     Protocol(String),
     /// The back end refused the connection.
     #[error("refused: {sqlstate} {message}")]
     Refused {
         /// SQLSTATE.
         sqlstate: String,
-        /// Text for people.
+        /// Human-readable message.
         message: String,
     },
-    /// The answer is longer than the node holds.
+    /// The response exceeds [`MAXIMUM_ANSWER_BYTES`].
     #[error("answer is longer than {MAXIMUM_ANSWER_BYTES} bytes")]
     TooLarge,
 }
 
-/// An open connection.
+/// An authenticated connection to a back end.
 #[derive(Debug)]
 pub struct BackendConnection {
     stream: TcpStream,
     buffer: BytesMut,
     context: DecodeContext,
-    partial: Answer,
-    /// Process id and key for a cancel request.
+    partial_answer: Answer,
+    /// Process id and secret key for cancel requests.
     pub cancel_key: Option<(i32, SecretKey)>,
 }
 
@@ -90,18 +90,18 @@
             stream,
             buffer: BytesMut::new(),
             context: established_context(),
-            partial: Answer::default(),
+            partial_answer: Answer::default(),
             cancel_key: None,
         };
-        connection.start(target).await?;
+        connection.perform_startup(target).await?;
         connection.prepare_status().await?;
         Ok(connection)
     }
 
-    /// Prepares the status question, so that asking it costs few bytes.
+    /// Prepares the status query, to keep each later status request small.
     async fn prepare_status(&mut self) -> Result<(), BackendError> {
         let mut bytes = BytesMut::new();
-        put_status_preparation(&mut bytes).map_err(protocol)?;
+        put_status_prepare(&mut bytes).map_err(protocol_error)?;
         self.send(&bytes).await?;
         match self.next_answer().await?.error {
             None => Ok(()),
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn start(&mut self, target: &BackendTarget) -> Result<(), BackendError> {
+    async fn perform_startup(&mut self, target: &BackendTarget) -> Result<(), BackendError> {
         let mut startup = Startup::new();
         startup.parameters.insert("user".into(), target.user.clone());
         startup
@@ -163,21 +163,22 @@
             }
             (Authentication::SASL(_), _) => {
                 let client = ScramClientAuth::new(target.user.clone(), target.password.clone());
-                let (first, next) = client.build_client_first().map_err(protocol)?;
-                let initial = SASLInitialResponse::new("SCRAM-SHA-256".into(), Some(Bytes::from(first)));
+                let (client_first, next) = client.build_client_first().map_err(protocol_error)?;
+                let initial =
+                    SASLInitialResponse::new("SCRAM-SHA-256".into(), Some(Bytes::from(client_first)));
                 self.send_password(PasswordMessageFamily::SASLInitialResponse(initial))
                     .await?;
                 Ok(ScramState::AwaitServerFirst(next))
             }
             (Authentication::SASLContinue(data), ScramState::AwaitServerFirst(client)) => {
-                let (last, next) = client.build_client_final(&data).map_err(protocol)?;
-                let response = SASLResponse::new(Bytes::from(last));
+                let (client_final, next) = client.build_client_final(&data).map_err(protocol_error)?;
+                let response = SASLResponse::new(Bytes::from(client_final));
                 self.send_password(PasswordMessageFamily::SASLResponse(response))
                     .await?;
                 Ok(ScramState::AwaitServerFinal(next))
             }
             (Authentication::SASLFinal(data), ScramState::AwaitServerFinal(client)) => {
-                client.verify_server_final(&data).map_err(protocol)?;
+                client.verify_server_final(&data).map_err(protocol_error)?;
                 Ok(ScramState::Start)
             }
             (other, _) => Err(BackendError::Protocol(format!(
@@ -193,7 +194,7 @@
 
     async fn send_message(&mut self, message: &PgWireFrontendMessage) -> Result<(), BackendError> {
         let mut out = BytesMut::new();
-        put_frontend(&mut out, message).map_err(protocol)?;
+        put_frontend(&mut out, message).map_err(protocol_error)?;
         self.send(&out).await
     }
 
@@ -203,7 +204,7 @@
         Ok(())
     }
 
-    /// Whether an idle connection is still open and silent.
+    /// Returns whether an idle connection is open and has no unread data.
     pub fn is_usable(&self) -> bool {
         if !self.buffer.is_empty() {
             return false;
@@ -211,19 +212,19 @@
         let mut probe = [0u8; 1];
         match self.stream.try_read(&mut probe) {
             Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
-            // Closed, or bytes nobody asked for: either way not to be reused.
+            // The connection is closed or has unexpected data; it must not be reused.
             Ok(_) => false,
         }
     }
 
-    /// The next whole answer. Cancel safe: what was read is kept.
+    /// Reads the next complete response. Cancel safe: messages read so far are kept.
     pub async fn next_answer(&mut self) -> Result<Answer, BackendError> {
         loop {
             let message = self.next_message().await?;
-            if self.partial.push(message).map_err(protocol)? {
-                return Ok(std::mem::take(&mut self.partial));
+            if self.partial_answer.push(message).map_err(protocol_error)? {
+                return Ok(std::mem::take(&mut self.partial_answer));
             }
-            if self.partial.messages.len() > MAXIMUM_ANSWER_BYTES {
+            if self.partial_answer.messages.len() > MAXIMUM_ANSWER_BYTES {
                 return Err(BackendError::TooLarge);
             }
         }
@@ -231,7 +232,8 @@
 
     async fn next_message(&mut self) -> Result<PgWireBackendMessage, BackendError> {
         loop {
-            let decoded = PgWireBackendMessage::decode(&mut self.buffer, &self.context).map_err(protocol)?;
+            let decoded =
+                PgWireBackendMessage::decode(&mut self.buffer, &self.context).map_err(protocol_error)?;
             if let Some(message) = decoded {
                 return Ok(message);
             }
@@ -249,6 +251,6 @@
     AwaitServerFinal(ScramClientAuthWaitingForServerFinal),
 }
 
-fn protocol(error: impl std::fmt::Display) -> BackendError {
+fn protocol_error(error: impl std::fmt::Display) -> BackendError {
     BackendError::Protocol(error.to_string())
 }
--- a/crates/millwind-node/src/pg/error_answer.rs
+++ b/crates/millwind-node/src/pg/error_answer.rs
@@ -1,4 +1,4 @@
-//! Turns an error kind into the answer a caller gets, by the one table.
+//! Encodes error kinds as PostgreSQL error responses.
 
 use millwind_core::error_kind::{Effect, ErrorKind, Repeat};
 use pgwire::messages::PgWireBackendMessage;
@@ -11,7 +11,7 @@
 const DETAIL: u8 = b'D';
 const HINT: u8 = b'H';
 
-/// The effect's name in hints and logs.
+/// Returns the name of an effect in hints and logs.
 pub const fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::NotRun => "not_run",
@@ -20,7 +20,7 @@
     }
 }
 
-/// The repeat advice's name in hints and logs.
+/// Returns the name of a repeat advice in hints and logs.
 pub const fn repeat_name(repeat: Repeat) -> &'static str {
     match repeat {
         Repeat::Yes => "yes",
@@ -29,7 +29,7 @@
     }
 }
 
-/// The key=value hint that programs read.
+/// Returns the machine-readable `key=value` hint of an error kind.
 pub fn hint(kind: ErrorKind) -> String {
     let answer = kind.answer();
     let mut hint = format!(
@@ -44,7 +44,7 @@
     hint
 }
 
-/// The error message for a caller.
+/// Returns the `ErrorResponse` for a client; `fatal` sets the severity to FATAL.
 pub fn error_response(kind: ErrorKind, fatal: bool, detail: &str) -> PgWireBackendMessage {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let mut fields = vec![
--- a/crates/millwind-node/src/pg/mod.rs
+++ b/crates/millwind-node/src/pg/mod.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL protocol, through the `pgwire` library's message codec.
+//! PostgreSQL protocol messages, encoded and decoded by the `pgwire` library.
 
 pub mod answer;
 pub mod backend;
@@ -14,7 +14,7 @@
 /// Transaction status byte inside a transaction.
 pub const STATUS_TRANSACTION: u8 = b'T';
 
-/// A decode context for messages after the startup phase.
+/// Returns a decode context for messages after the startup phase.
 pub fn established_context() -> DecodeContext {
     let mut context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     context.awaiting_frontend_ssl = false;
@@ -32,7 +32,7 @@
     message.encode(out)
 }
 
-/// Appends a simple query to `out`.
+/// Appends an encoded simple query to `out`.
 pub fn put_query(out: &mut BytesMut, text: &str) -> Result<(), PgWireError> {
     let query = pgwire::messages::simplequery::Query::new(text.to_owned());
     put_frontend(out, &PgWireFrontendMessage::Query(query))
--- a/crates/millwind-node/src/pg/status.rs
+++ b/crates/millwind-node/src/pg/status.rs
@@ -1,5 +1,5 @@
-//! The status question: role, position, term and term history of an instance,
-//! in one statement of PostgreSQL's own functions.
+//! The status query: reads role, log position, term and term history of an instance
+//! in one statement.
 
 use bytes::BytesMut;
 use millwind_core::group_view::{InstanceStatus, Role};
@@ -12,7 +12,7 @@
 use super::answer::Answer;
 use super::put_frontend;
 
-/// The statement that asks an instance for its status.
+/// Statement that returns the status of an instance.
 pub const STATUS_QUERY: &str = "SELECT pg_is_in_recovery(), \
 CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_lsn() END, \
 timeline_id, \
@@ -20,11 +20,11 @@
 CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() ELSE pg_current_wal_lsn() END \
 FROM pg_control_checkpoint()";
 
-/// Name of the prepared status question on every back-end connection.
+/// Name of the prepared status query on each back-end connection.
 const STATEMENT_NAME: &str = "millwind_status";
 
-/// Appends the messages that prepare the status question.
-pub fn put_status_preparation(out: &mut BytesMut) -> Result<(), PgWireError> {
+/// Appends the messages that prepare the status query.
+pub fn put_status_prepare(out: &mut BytesMut) -> Result<(), PgWireError> {
     let parse = Parse::new(
         Some(STATEMENT_NAME.to_owned()),
         STATUS_QUERY.to_owned(),
@@ -34,7 +34,7 @@
     put_frontend(out, &PgWireFrontendMessage::Sync(Sync::new()))
 }
 
-/// Appends the messages that ask the prepared status question.
+/// Appends the messages that execute the prepared status query.
 pub fn put_status(out: &mut BytesMut) -> Result<(), PgWireError> {
     let bind = Bind::new(
         None,
@@ -48,18 +48,19 @@
     put_frontend(out, &PgWireFrontendMessage::Sync(Sync::new()))
 }
 
-/// Why a status answer was not understood.
+/// Why a status response could not be used.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum StatusError {
-    /// The instance answered an error.
-    #[error("status question failed: {0}")]
+    /// The instance returned an error.
+    #[error("status query failed: {0}")]
     Sql(String),
-    /// A column is missing or not of its form.
-    #[error("status answer: column {0} is missing or malformed")]
+    /// A column is missing or malformed.
+    #[error("status response: column {0} is missing or malformed")]
     Column(&'static str),
 }
 
-/// Reads an answer to [`STATUS_QUERY`].
+/// Parses a response to [`STATUS_QUERY`]. Fails if the response is an error, or if
+/// role, position or timeline is missing or malformed.
 pub fn parse_status(answer: &Answer) -> Result<InstanceStatus, StatusError> {
     if let Some(error) = &answer.error {
         return Err(StatusError::Sql(format!("{}: {}", error.sqlstate, error.message)));
@@ -90,8 +91,8 @@
     })
 }
 
-/// Reads a timeline history: each line names a timeline and the position at
-/// which its successor branched off.
+/// Parses a timeline history file: each line holds a timeline and the position at
+/// which its successor branched off. Malformed lines are skipped.
 fn parse_history(text: &str, current: u64) -> Vec<TermStart> {
     let ends: Vec<(u64, LogPosition)> = text
         .lines()
