--- a/crates/millwind-node/src/clock.rs
+++ b/crates/millwind-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's monotonic clock, in the core's units.
+//! Monotonic clock of the node, as `millwind_core::Instant`.
 
 use std::sync::LazyLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,21 +6,23 @@
 use millwind_core::Instant;
 
 static START: LazyLock<std::time::Instant> = LazyLock::new(std::time::Instant::now);
-/// Times start well above zero, so that ages reach back before the start.
-const ORIGIN: Duration = Duration::from_secs(1_000_000);
+/// Offset of the start time from zero, so that times before the start can be
+/// represented.
+const START_OFFSET: Duration = Duration::from_secs(1_000_000);
 
-/// The present.
+/// Returns the current time.
 pub fn now() -> Instant {
-    let elapsed = START.elapsed() + ORIGIN;
+    let elapsed = START.elapsed() + START_OFFSET;
     Instant(elapsed.as_micros() as u64)
 }
 
-/// A time read from the standard clock.
-pub fn at(time: std::time::Instant) -> Instant {
+/// Converts a past `std::time::Instant`.
+pub fn from_std(time: std::time::Instant) -> Instant {
     Instant(now().0.saturating_sub(time.elapsed().as_micros() as u64))
 }
 
-/// Milliseconds since 1970, for incarnations and change identifiers.
+/// Returns milliseconds since the Unix epoch, for incarnations and change
+/// identifiers.
 pub fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -28,7 +30,7 @@
         .as_millis() as u64
 }
 
-/// Time left until `deadline`; zero when it has passed.
+/// Returns the time until `deadline`, or zero if it has passed.
 pub fn until(deadline: Instant) -> Duration {
     Duration::from_micros(deadline.0.saturating_sub(now().0))
 }
--- a/crates/millwind-node/src/config_watch.rs
+++ b/crates/millwind-node/src/config_watch.rs
@@ -1,5 +1,5 @@
-//! Watches the platform's store while this node is a relay, and feeds the
-//! control actor. Calls are paced; an outage of any length only means retries.
+//! Watches the platform's key-value store while this node is a relay and forwards
+//! configuration documents to the control actor. Failures are retried with backoff.
 
 use log::{info, warn};
 use millwind_core::config_state::DocumentKind;
@@ -14,54 +14,55 @@
 
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is stored under a configuration key, as JSON.
+/// A configuration document as stored, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredDocument {
-    /// Names the change.
+    /// Identifier of the change that wrote the document.
     pub change_id: String,
-    /// True when the document is deleted.
+    /// Whether the document is deleted.
     #[serde(default)]
     pub deleted: bool,
-    /// TOML text.
+    /// TOML text of the document.
     pub body: String,
 }
 
-/// Where documents lie in the store.
+/// Key layout of the store.
 #[derive(Debug, Clone)]
 pub struct KeySpace {
     prefix: String,
 }
 
 impl KeySpace {
-    /// Keys under `prefix`.
+    /// Creates a layout whose keys start with `prefix`.
     pub fn new(prefix: &str) -> Self {
         KeySpace {
             prefix: prefix.to_owned(),
         }
     }
 
-    /// Prefix of all keys.
+    /// Returns the prefix of all keys.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
 
-    /// Store key of a document.
+    /// Returns the store key of a document.
     pub fn document(&self, key: &str) -> String {
         format!("{}config/{key}", self.prefix)
     }
 
-    /// Store key that every change also writes, so that changes that were
-    /// checked against the same state cannot both be accepted.
+    /// Returns the store key that every change writes, so that two changes validated
+    /// against the same state cannot both succeed.
     pub fn head(&self) -> String {
         format!("{}head", self.prefix)
     }
 
-    /// Store key of a machine list entry.
+    /// Returns the store key of a machine list entry.
     pub fn machine(&self, name: &str) -> String {
         format!("{}machines/{name}", self.prefix)
     }
 
-    /// The document an entry holds; none for keys that are not documents.
+    /// Returns the document of a store entry, or `None` if the key is not a document's.
+    /// An entry that cannot be parsed yields a deleted document.
     pub fn parse(&self, entry: &Entry) -> Option<WireDocument> {
         let rest = entry.key.strip_prefix(&self.prefix)?;
         if let Some(name) = rest.strip_prefix("machines/") {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Watches for as long as the node runs.
+/// Watches the store whenever this node is a relay. Never returns.
 pub async fn run<S: Store>(store: S, keys: KeySpace, control: ControlHandle) {
     let mut backoff = Backoff::default();
     loop {
@@ -146,7 +147,7 @@
     while control.view().is_relay() {
         let report = watch.next().await?;
         let changes = FromPlatform::Changes {
-            asked: report.asked.map(clock::at),
+            asked: report.asked.map(clock::from_std),
             revision: report.revision.number,
             documents: self::documents(keys, &report.changes),
         };
--- a/crates/millwind-node/src/logging.rs
+++ b/crates/millwind-node/src/logging.rs
@@ -1,8 +1,10 @@
-//! Logs: one line of key=value pairs for each event.
+//! Log output: one line of `key=value` pairs per event.
 
 use log::LevelFilter;
 
-/// Sends log lines of `level` and above to standard error.
+/// Installs a logger that writes to standard error: `level` and above from this
+/// project's crates, warnings and errors from dependencies. Fails if a logger is
+/// already installed.
 pub fn start(level: LevelFilter) -> Result<(), log::SetLoggerError> {
     fern::Dispatch::new()
         .format(|out, message, record| {
--- a/crates/millwind-node/src/metrics.rs
+++ b/crates/millwind-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text.
+//! Metrics in the Prometheus text format.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -24,13 +24,13 @@
     registry: Registry,
     /// Finished requests.
     pub requests: Family<RequestLabels, Counter>,
-    /// Time from arrival to answer, in seconds.
+    /// Time from arrival to response, in seconds.
     pub latency: Histogram,
-    /// Callers connected.
+    /// Connected clients.
     pub clients: Gauge,
-    /// Requests settled by the ledger.
+    /// Requests whose outcome was looked up by request id.
     pub resolved: Counter,
-    /// Times a request was held for a primary.
+    /// Number of times a request waited for a primary.
     pub held: Counter,
 }
 
@@ -59,10 +59,10 @@
 }
 
 impl Metrics {
-    /// The metrics as Prometheus text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
         text
     }
--- a/crates/millwind-node/src/settings.rs
+++ b/crates/millwind-node/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of one node: read from a TOML file, overridden by flags, checked
-//! before anything starts.
+//! Settings of a node: read from a TOML file, overridden by command-line flags and
+//! validated before startup.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,45 +9,45 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest accepted node name in bytes.
+/// Maximum length of a node, zone or region name in bytes.
 const MAXIMUM_NAME_BYTES: usize = 64;
 const DRAIN_MS_RANGE: std::ops::RangeInclusive<u64> = 100..=600_000;
-const CLIENTS_RANGE: std::ops::RangeInclusive<u32> = 1..=1_000_000;
+const MAXIMUM_CLIENTS_RANGE: std::ops::RangeInclusive<u32> = 1..=1_000_000;
 
 /// Settings of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Name, unique over the deployment.
+    /// Node name, unique in the deployment.
     pub name: String,
     /// Zone the node runs in.
     pub zone: String,
-    /// Region of that zone.
+    /// Region of the zone.
     pub region: String,
-    /// Listener for callers (PostgreSQL protocol).
+    /// Listen address for clients (PostgreSQL protocol).
     pub client_address: SocketAddr,
-    /// Listener for other nodes.
+    /// Listen address for other nodes.
     pub peer_address: SocketAddr,
-    /// Listener for operators (HTTP).
+    /// Listen address for the admin interface (HTTP).
     pub admin_address: SocketAddr,
     /// Endpoints of the platform's key-value service.
     pub platform: Vec<SocketAddr>,
     /// Prefix of all keys in the platform's store.
     #[serde(default = "default_prefix")]
     pub platform_prefix: String,
-    /// Peer addresses of nodes to ask first.
+    /// Peer addresses of the nodes to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Addresses to dial in place of advertised ones.
+    /// Maps advertised addresses to the addresses to connect to instead.
     #[serde(default)]
     pub dial: BTreeMap<SocketAddr, SocketAddr>,
-    /// Callers accepted at the same time.
+    /// Maximum number of concurrent client connections.
     #[serde(default = "default_clients")]
     pub maximum_clients: u32,
-    /// Longest time a planned stop may take, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Least severe level that is logged.
+    /// Least severe level to log.
     #[serde(default = "default_level")]
     pub log_level: LevelFilter,
 }
@@ -68,38 +68,39 @@
     LevelFilter::Info
 }
 
-/// Why settings were refused.
+/// Why settings were rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file is not valid TOML, or a field is unknown, missing or of the
     /// wrong type.
     #[error("{path}: {source}")]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong and where.
+        /// The parse error with its location.
         source: Box<toml::de::Error>,
     },
     /// A value is outside its range.
     #[error("{field} must be {allowed}")]
     Range {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file. Fails if the file cannot be read or parsed,
+    /// or if a value is out of range.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
             path: path.display().to_string(),
@@ -113,43 +114,43 @@
         Ok(settings)
     }
 
-    /// Checks every value against its range.
+    /// Validates all values; fails on the first one out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_name("name", &self.name)?;
         check_name("zone", &self.zone)?;
         check_name("region", &self.region)?;
         if self.platform.is_empty() {
-            return range("platform", "one address or more".to_owned());
+            return range_error("platform", "one address or more".to_owned());
         }
         if !self.platform_prefix.starts_with('/') || !self.platform_prefix.ends_with('/') {
-            return range(
+            return range_error(
                 "platform_prefix",
                 "a text that starts and ends with '/'".to_owned(),
             );
         }
-        if !CLIENTS_RANGE.contains(&self.maximum_clients) {
-            return range("maximum_clients", format!("{CLIENTS_RANGE:?}"));
+        if !MAXIMUM_CLIENTS_RANGE.contains(&self.maximum_clients) {
+            return range_error("maximum_clients", format!("{MAXIMUM_CLIENTS_RANGE:?}"));
         }
         if !DRAIN_MS_RANGE.contains(&self.drain_ms) {
-            return range("drain_ms", format!("{DRAIN_MS_RANGE:?}"));
+            return range_error("drain_ms", format!("{DRAIN_MS_RANGE:?}"));
         }
         Ok(())
     }
 
-    /// The address to dial for an advertised one.
+    /// Returns the address to connect to for an advertised address.
     pub fn dial_address(&self, advertised: SocketAddr) -> SocketAddr {
         self.dial.get(&advertised).copied().unwrap_or(advertised)
     }
 }
 
-fn range<T>(field: &'static str, allowed: String) -> Result<T, SettingsError> {
+fn range_error<T>(field: &'static str, allowed: String) -> Result<T, SettingsError> {
     Err(SettingsError::Range { field, allowed })
 }
 
 fn check_name(field: &'static str, name: &str) -> Result<(), SettingsError> {
-    let legal = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    if name.is_empty() || name.len() > MAXIMUM_NAME_BYTES || !name.chars().all(legal) {
-        return range(
+    let is_allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    if name.is_empty() || name.len() > MAXIMUM_NAME_BYTES || !name.chars().all(is_allowed) {
+        return range_error(
             field,
             format!("1 to {MAXIMUM_NAME_BYTES} letters, digits, '-', '_' or '.'"),
         );
