--- a/crates/millwind-node/src/config_watch.rs
+++ b/crates/millwind-node/src/config_watch.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the document of a store entry, or `None` if the key is not a document's.
-    /// An entry that cannot be parsed yields a deleted document.
+    /// A configuration entry that cannot be parsed yields a deleted document.
     pub fn parse(&self, entry: &Entry) -> Option<WireDocument> {
         let rest = entry.key.strip_prefix(&self.prefix)?;
         if let Some(name) = rest.strip_prefix("machines/") {
--- a/crates/millwind-node/src/gateway/request.rs
+++ b/crates/millwind-node/src/gateway/request.rs
@@ -125,8 +125,8 @@
     pub traits: RequestTraits,
 }
 
-/// Returns the options of a batch that arrives now, and takes the pending request id
-/// unless the batch is read-only. Fails if a tag in the statement is invalid.
+/// Returns the options of a batch that arrives now. Takes the session's pending request
+/// id unless the batch is read-only or has a `request_id` tag. Fails if a tag is invalid.
 pub fn request_options(
     classified: &Classified,
     is_read: bool,
--- a/crates/millwind-node/src/gateway/session.rs
+++ b/crates/millwind-node/src/gateway/session.rs
@@ -264,7 +264,7 @@
         }
         let action = request::choose_action(&batch.classified, batch.executes);
         match action {
-            Action::Local => return ("local", self.apply_settings_locally(batch)),
+            Action::Local => return ("local", self.run_locally(batch)),
             Action::Unsupported(detail) => {
                 return ("local", Err(RequestError::new(ErrorKind::Unsupported, detail)));
             }
@@ -338,7 +338,7 @@
             return ("local", Err(RequestError::new(ErrorKind::Unsupported, detail)));
         }
         if request::is_settings_only(&batch.classified) {
-            return ("local", self.apply_settings_locally(batch));
+            return ("local", self.run_locally(batch));
         }
         let kinds = &batch.classified.kinds;
         let is_commit = batch.executes && kinds.contains(&StatementKind::Commit);
@@ -395,7 +395,7 @@
         ))
     }
 
-    fn apply_settings_locally(&mut self, batch: &Batch) -> Result<ClientResponse, RequestError> {
+    fn run_locally(&mut self, batch: &Batch) -> Result<ClientResponse, RequestError> {
         if batch.executes {
             for kind in &batch.classified.kinds {
                 if let StatementKind::SetProxy { name, value } = kind {
