--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -124,7 +124,7 @@
 
     /// Number of steps that prepare the connection for `session` and the statement `needed`.
     pub fn steps_to(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
-        self.session_state.steps_to(session, needed).len()
+        self.session_state.preparation_steps(session, needed).len()
     }
 
     /// Sends one command and waits until `deadline` for its complete reply.
@@ -146,7 +146,7 @@
             Command::Execute { statement, .. } => Some(statement),
             _ => None,
         };
-        let steps = self.session_state.steps_to(session, needed);
+        let steps = self.session_state.preparation_steps(session, needed);
         for step in &steps {
             self.encode_step(step);
         }
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -143,7 +143,7 @@
             is_same_user: waiter.user == *user,
             overtaken_count: waiter.passed_over,
         };
-        let index = next_in_line(self.waiters.iter().map(view))?;
+        let index = select_next(self.waiters.iter().map(view))?;
         for skipped in self.waiters.iter_mut().take(index) {
             skipped.passed_over += 1;
         }
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -76,7 +76,7 @@
 
 impl Turn {
     /// Releases the turn and reports how the statement ended.
-    pub fn end(mut self, end: TurnEnd) {
+    pub fn end(mut self, end: ExecutionEnd) {
         self.end = end;
     }
 }
@@ -130,7 +130,7 @@
                 return Ok(self.begin(user.clone()));
             }
             let queued_urgency = state
-                .queued_urgency(urgency, aim, deadline)
+                .queued_urgency(urgency, target_time, deadline)
                 .ok_or(LinkError::NoConnection)?;
             state.enqueue(queued_urgency, user.clone())
         };
@@ -151,15 +151,15 @@
     }
 
     /// Releases a turn of `user` and grants turns to waiting statements.
-    fn release(self: &Arc<Self>, began: Instant, end: TurnEnd, user: &ConnectionUser) {
+    fn release(self: &Arc<Self>, began: Instant, end: ExecutionEnd, user: &ConnectionUser) {
         let now = clock::now();
         let mut admitted = Vec::new();
         {
             let mut state = self.state();
             let was_full = state.running >= state.limit.allowed();
             state.running -= 1;
-            state.limit.ended(now, end, was_full);
-            if end == TurnEnd::Ran {
+            state.limit.record_end(now, end, was_full);
+            if end == ExecutionEnd::Ran {
                 state.record_turn(now.0.saturating_sub(began.0));
             }
             while state.running < state.limit.allowed() {
@@ -229,7 +229,7 @@
             is_same_user: waiter.user == *user,
             overtaken_count: waiter.passed_over,
         };
-        let index = next_in_line(self.waiters.iter().map(view))?;
+        let index = select_next(self.waiters.iter().map(view))?;
         for skipped in self.waiters.iter_mut().take(index) {
             skipped.passed_over += 1;
         }
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -35,7 +35,7 @@
             let change = apply(&mut state.evacuations, now);
             // The instances become cold under the same lock, so that no reader sees the zone
             // in use while its instances still count as warm.
-            for zone in &change.taken_back {
+            for zone in &change.withdrawn {
                 state.mark_zone_cold(zone, now);
             }
             (change, state.evacuations.clone())
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -93,7 +93,7 @@
     state: &mut State,
     previous: &Known,
     record: &InstanceRecord,
-    evidence: LifeEvidence,
+    evidence: RestartEvidence,
 ) {
     let name = &record.name;
     info!(
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -60,9 +60,9 @@
     /// What peers last reported about the instance, and when.
     pub testimony: Option<(Instant, Testimony)>,
     /// Observations of the current incarnation from which `warmth` is computed.
-    sight: Sight,
+    sight: WarmUpObservation,
     /// Whether the instance is warm.
-    pub warmth: Warmth,
+    pub warmth: WarmUpStatus,
     /// When this node first saw the current incarnation; none for the first incarnation
     /// that this node has seen.
     pub life_began: Option<Instant>,
@@ -71,9 +71,9 @@
 impl Known {
     /// Whether `record` differs from the known record at most in its heartbeat.
     fn differs_only_in_heartbeat(&self, record: &InstanceRecord) -> bool {
-        let is_same_incarnation = began_anew(&self.record.life_signs(), &record.life_signs()).is_none();
+        let is_same_incarnation = restart_evidence(&self.record.life_signs(), &record.life_signs()).is_none();
         let is_usable = !self.is_gone && !self.is_undecodable;
-        is_usable && is_same_incarnation && self.record.says_but_for_heartbeat(record)
+        is_usable && is_same_incarnation && self.record.equals_except_heartbeat(record)
     }
 }
 
--- a/crates/millwind-engine/src/directory/permits.rs
+++ b/crates/millwind-engine/src/directory/permits.rs
@@ -56,7 +56,7 @@
     /// Whether leaders' answers may be accepted: promotions fence, or the knowledge of closed
     /// terms is recent enough.
     pub fn has_permits(&self) -> bool {
-        self.is_fenced || is_confirmed(clock::now(), self.state().closed_terms_confirmed)
+        self.is_fenced || are_permits_valid(clock::now(), self.state().closed_terms_confirmed)
     }
 
     /// Records that `term` of a group and all earlier terms are closed, and that `retired` led
@@ -149,7 +149,7 @@
             return true;
         }
         let state = self.state();
-        if needs_permit && !is_confirmed(clock::now(), state.closed_terms_confirmed) {
+        if needs_permit && !are_permits_valid(clock::now(), state.closed_terms_confirmed) {
             return false;
         }
         let entry = state.groups.get(group);
--- a/crates/millwind-engine/src/directory/warm_up.rs
+++ b/crates/millwind-engine/src/directory/warm_up.rs
@@ -16,16 +16,16 @@
     has_begun_anew: bool,
     record: &InstanceRecord,
     now: Instant,
-) -> Sight {
+) -> WarmUpObservation {
     let warm_up_left_ms = record.warm_up_left_ms;
     let Some(previous) = previous else {
-        return Sight::first(warm_up_left_ms, now);
+        return WarmUpObservation::first_observed(warm_up_left_ms, now);
     };
     match has_begun_anew {
-        true => Sight::new_life(warm_up_left_ms, now),
+        true => WarmUpObservation::restarted(warm_up_left_ms, now),
         false => previous
             .sight
-            .read_again(warm_up_left_ms, now)
+            .record_reread(warm_up_left_ms, now)
             .heard(record.heartbeat),
     }
 }
@@ -44,7 +44,7 @@
     }
 
     /// The warm-up settings of the instance's group; none if the group has none.
-    pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpTerms> {
+    pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpLimits> {
         let config = self.config.as_ref()?;
         config.groups.get(&known.record.group)?.warm_up
     }
@@ -75,7 +75,7 @@
 
     /// The warm-up limits for statements sent to an instance; none if the instance is warm or
     /// unknown.
-    pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpTerms> {
+    pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpLimits> {
         let state = self.state();
         let known = state.instances.get(instance)?;
         let terms = state.warm_up_terms(known)?;
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -77,17 +77,17 @@
     duties: Arc<FailoverOwnership<S>>,
     promoter: Arc<dyn Promoter>,
     codec: Arc<dyn CatalogCodec>,
-    running_checks: Arc<GroupMarks>,
-    running_replacements: Arc<GroupMarks>,
-    running_duty_claims: Arc<GroupMarks>,
-    running_peer_queries: Arc<GroupMarks>,
-    running_leader_searches: Arc<GroupMarks>,
+    running_checks: Arc<InProgressGroups>,
+    running_replacements: Arc<InProgressGroups>,
+    running_duty_claims: Arc<InProgressGroups>,
+    running_peer_queries: Arc<InProgressGroups>,
+    running_leader_searches: Arc<InProgressGroups>,
     /// Groups without a known leader, and since when.
     leaderless: Mutex<HashMap<GroupName, Instant>>,
     /// Start of the cooldown after a replacement attempt because of hanging or failing statements.
     statement_failover_times: Mutex<HashMap<GroupName, Instant>>,
     leadership_histories: LeadershipHistories,
-    running_reports: Arc<GroupMarks>,
+    running_reports: Arc<InProgressGroups>,
     /// Time of the last attempt to hand over a leader that is still in an evacuated zone after
     /// the evacuation bound.
     evacuation_attempt_times: Mutex<HashMap<GroupName, Instant>>,
@@ -216,16 +216,16 @@
             return;
         }
         let evidence = self.collect_evidence(group, leader.as_ref());
-        let verdict = judge_leader(clock::now(), &evidence, &self.failover_times());
+        let verdict = evaluate_leader(clock::now(), &evidence, &self.failover_times());
         let reason = match verdict {
             LeaderVerdict::Healthy => return,
             LeaderVerdict::Suspected => {
-                self.engine.doubt_leader();
+                self.engine.expedite_instance_batch();
                 return self.query_peers(group, leader);
             }
             LeaderVerdict::Replace(reason) => reason,
         };
-        if reason.is_by_statements() && !self.may_fail_over_for_statements(group) {
+        if reason.is_detected_by_statements() && !self.may_fail_over_for_statements(group) {
             return;
         }
         if reason == ReplaceReason::Evacuated && !self.may_attempt_evacuation(group, leader.as_ref()) {
@@ -297,7 +297,7 @@
         };
         let duties = self.duties.clone();
         tokio::spawn(async move {
-            duties.hold_ahead(mark.group()).await;
+            duties.claim_in_advance(mark.group()).await;
             tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
         });
     }
@@ -326,7 +326,7 @@
     fn failover_times(&self) -> FailoverTimes {
         FailoverTimes {
             suspect_ms: SUSPICION_TIMEOUT_MS,
-            alone_ms: SINGLE_OBSERVER_TIMEOUT_MS,
+            unconfirmed_ms: SINGLE_OBSERVER_TIMEOUT_MS,
             heartbeat_ms: self.engine.settings.heartbeat_ms * MISSED_HEARTBEATS_TENTHS / 10,
         }
     }
@@ -369,7 +369,7 @@
             let statements = &known.contact.statements;
             let silent_since = known.contact.unresponsive_since();
             // Statements that wait for a connection slot of a cold instance hang as well.
-            let is_unresponsive = statements.is_repeatedly_silent() && !known.warmth.is_cold(now);
+            let is_unresponsive = statements.has_repeated_silence() && !known.warmth.is_cold(now);
             evidence.unresponsive_since = silent_since.filter(|_| is_unresponsive);
             evidence.is_outlier = statements.is_outlier(now);
         }
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -59,7 +59,7 @@
     /// Records the current leader and drops expired entries of `left_regions`.
     fn record_leader(&mut self, leader: &InstanceName, now: Instant) {
         self.left_regions
-            .retain(|_, since| now.millis_since(*since) < RETURN_PAUSE_MS);
+            .retain(|_, since| now.millis_since(*since) < RETURN_COOLDOWN_MS);
         if self.leader.as_ref().is_some_and(|seen| seen != leader) {
             self.leader_changed = Some(now);
         }
@@ -68,7 +68,7 @@
 
     /// Records the data residency terms of the group. If they have changed, a move back into a
     /// former region is allowed at once. Other configuration changes have no effect.
-    fn record_allowed_regions(&mut self, terms: &LeadTerms<'_>, group: &GroupName) {
+    fn record_allowed_regions(&mut self, terms: &LeaderRegionRules<'_>, group: &GroupName) {
         if self.config_version == terms.config_version {
             return;
         }
@@ -104,9 +104,9 @@
         let facts = LeadershipState {
             region,
             unchanged_ms: history.leader_changed.map_or(UNCHANGED_MS, age_ms),
-            tried_ms: history.last_attempt.map(age_ms),
+            since_attempt_ms: history.last_attempt.map(age_ms),
             candidates,
-            left: &history.left_regions.keys().cloned().collect(),
+            left_regions: &history.left_regions.keys().cloned().collect(),
         };
         decide_relocation(demand, &facts)
     }
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -94,7 +94,7 @@
     pub(super) async fn replace(self: &Arc<Self>, replacement: &Replacement) {
         let group = &replacement.group;
         let rank = match &replacement.old_leader {
-            Some(leader) if replacement.reason.is_by_statements() => self.connection_owner_rank(leader),
+            Some(leader) if replacement.reason.is_detected_by_statements() => self.connection_owner_rank(leader),
             _ => self.failover_rank(group),
         };
         info!(
@@ -172,12 +172,12 @@
 
     /// Returns whether the replacement is complete or no longer needed.
     fn is_resolved(&self, replacement: &Replacement) -> bool {
-        if self.duties.is_ordered_by_other(&replacement.group) {
+        if self.duties.has_recent_promotion_by_other(&replacement.group) {
             return true;
         }
         let directory = &self.engine.directory;
         let leader = directory.leader(&replacement.group);
-        if replacement.reason.is_move() {
+        if replacement.reason.is_planned_move() {
             return self.is_move_over(replacement, leader.as_ref());
         }
         let Some(leader) = leader else {
@@ -217,8 +217,8 @@
         let claim = Claim::Promote(choice.instance.clone());
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return OrderOutcome::Abandon,
-            Err(DutyError::Store(_)) => match held {
+            Err(FailoverOwnershipError::Taken) => return OrderOutcome::Abandon,
+            Err(FailoverOwnershipError::Store(_)) => match held {
                 Some(token) if choice.has_majority => token,
                 _ => return OrderOutcome::Retry,
             },
@@ -276,15 +276,15 @@
         };
         let token = match self.duties.take(group, claim).await {
             Ok(token) => token,
-            Err(DutyError::Taken) => return OrderOutcome::Abandon,
-            Err(DutyError::Store(_)) => return OrderOutcome::Retry,
+            Err(FailoverOwnershipError::Taken) => return OrderOutcome::Abandon,
+            Err(FailoverOwnershipError::Store(_)) => return OrderOutcome::Retry,
         };
         let closed = ClosedTerm {
             group: group.clone(),
             term,
             leader,
             successor: choice.instance.clone(),
-            is_leader_serving: replacement.reason.is_of_live_leader(),
+            is_leader_serving: replacement.reason.is_leader_alive(),
             token,
         };
         let incarnation = self.incarnation_of(closed.leader.as_ref());
@@ -307,8 +307,8 @@
             // A restarted leader has lost its step-down, and permits for its term count again.
             Ok(_) if self.incarnation_of(closed.leader.as_ref()) != incarnation => OrderOutcome::Retry,
             Ok(token) => self.promote(group, choice, token).await,
-            Err(DutyError::Taken) => OrderOutcome::Abandon,
-            Err(DutyError::Store(_)) => OrderOutcome::Retry,
+            Err(FailoverOwnershipError::Taken) => OrderOutcome::Abandon,
+            Err(FailoverOwnershipError::Store(_)) => OrderOutcome::Retry,
         }
     }
 
@@ -411,7 +411,7 @@
             .group_limits(&replacement.group)?
             .sync_replicas;
         let command = self.position_command(&replacement.group, sync_replicas);
-        if replacement.reason.is_move() && sync_replicas > 0 {
+        if replacement.reason.is_planned_move() && sync_replicas > 0 {
             // The leader is healthy and its commits wait for the replicas, so replicas are
             // paused only once a suitable one is known.
             self.select_successor_by(replacement, excluded, Command::Status)
@@ -429,7 +429,7 @@
     ) -> Option<SuccessorChoice> {
         let engine = &self.engine;
         let group = &replacement.group;
-        let required_position = match replacement.reason.is_move() {
+        let required_position = match replacement.reason.is_planned_move() {
             true => Some(self.acknowledged_position(replacement).await?),
             false => self.required_position(replacement),
         };
@@ -447,12 +447,12 @@
         }
         let demand = engine.leader_demands.total_demand(group);
         let worth_in = |known: &Known| demand.served_in(engine.region_of(known));
-        if replacement.reason.is_move() {
+        if replacement.reason.is_planned_move() {
             tokio::time::sleep(CATCH_UP_DELAY).await;
         }
         let requests = replicas
             .iter()
-            .map(|known| ask_status_over(engine, &known.record, command));
+            .map(|known| ask_status_with_connection(engine, &known.record, command));
         let answers = join_all(requests).await;
         let mut paused = PausedReplicas::default();
         let mut answered = Vec::new();
@@ -475,7 +475,7 @@
                 is_evacuated: engine.directory.evacuated_since(&known.record.zone).is_some(),
                 servable_share: worth_in(known),
                 is_cold: known.warmth.is_cold(clock::now()),
-                is_named: previously_chosen.as_ref() == Some(&known.record.name),
+                is_named_in_order: previously_chosen.as_ref() == Some(&known.record.name),
                 is_near: known.record.zone.as_str() == engine.settings.zone,
             })
             .collect();
@@ -494,7 +494,7 @@
         let chosen = choose_successor(&successors, total, sync_replicas, required_position)
             // A healthy leader must not be replaced by a replica that has to leave its zone
             // too.
-            .filter(|chosen| !replacement.reason.is_move() || !chosen.is_evacuated)
+            .filter(|chosen| !replacement.reason.is_planned_move() || !chosen.is_evacuated)
             .filter(|chosen| self.improves_placement(replacement, chosen, &demand));
         let Some(chosen) = chosen else {
             info!(
@@ -530,7 +530,7 @@
     /// leader that still serves. For a leader that is shutting down the requirement is dropped
     /// after half of the drain bound.
     fn required_position(&self, replacement: &Replacement) -> Option<Position> {
-        if !replacement.reason.is_of_live_leader() {
+        if !replacement.reason.is_leader_alive() {
             return None;
         }
         let directory = &self.engine.directory;
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -22,7 +22,7 @@
 
 /// Timeout for the answer of a node, in milliseconds. The node may wait for its running
 /// statements to end, and the exchange may cross regions.
-const RESPONSE_TIMEOUT_MS: u64 = SETTLE_MS + 100;
+const RESPONSE_TIMEOUT_MS: u64 = DRAIN_MS + 100;
 /// Interval between requests to the nodes that have not answered.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Time for a successor to catch up with a leader that gets no new statements, in milliseconds;
@@ -173,7 +173,7 @@
             let reply = self.engine.peers.ask_apart(*address, &request, limit).await;
             (*address, reply)
         });
-        let own = term_closing::hand_back(&self.engine, &closing);
+        let own = term_closing::return_permit(&self.engine, &closing);
         let (mut has_stepped_down, replies) = futures::future::join(own, join_all(requests)).await;
         for (address, reply) in replies {
             if let Ok(ExchangeReply::TermClosed {
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -78,7 +78,7 @@
             .await
             .is_err()
         {
-            self.engine.relays.judge(&self.engine);
+            self.engine.relays.reconsider_source(&self.engine);
         }
     }
 
@@ -100,7 +100,7 @@
         let is_relay = relays.is_relay(&self.engine.registry);
         let relay = match is_relay {
             true => None,
-            false => choose_random(&relays.to_ask(&self.engine.registry)),
+            false => choose_random(&relays.relays_to_ask(&self.engine.registry)),
         };
         // A node that reads the store because its relays are stale also asks neighbours, which
         // may reach the store when the relays do not.
@@ -249,7 +249,7 @@
             clock::now().millis_since(sent),
             error.to_string()
         );
-        self.engine.unreached.failed(address, sent);
+        self.engine.unreachable_peers.failed(address, sent);
         // A starting node may have asked nodes that are starting too.
         if self.engine.directory.is_complete() {
             self.engine.owners.doubt_links();
--- a/crates/millwind-node/src/gateway/directory.rs
+++ b/crates/millwind-node/src/gateway/directory.rs
@@ -108,7 +108,7 @@
     pub fn ban(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) {
         self.with_group(spec, |group| {
             if let Some(hint) = group.hint(instance) {
-                hint.banned_until = clock::now().plus_millis(BAN_MS);
+                hint.excluded_until = clock::now().plus_millis(BAN_MS);
             }
         });
     }
@@ -164,9 +164,9 @@
                     primary: previous.is_some_and(|hint| hint.primary),
                     position: previous.and_then(|hint| hint.position),
                     lag_ms: previous.map_or(0, |hint| hint.lag_ms),
-                    history: previous.map(|hint| hint.history.clone()).unwrap_or_default(),
+                    term_starts: previous.map(|hint| hint.term_starts.clone()).unwrap_or_default(),
                     leaving: instance.leaving,
-                    banned_until: previous.map_or(Instant::default(), |hint| hint.banned_until),
+                    excluded_until: previous.map_or(Instant::default(), |hint| hint.excluded_until),
                 }
             })
             .collect();
@@ -188,7 +188,7 @@
         let is_current = known_term.is_none_or(|term| position.term >= term);
         if let Some(hint) = self.hint(instance) {
             hint.position = Some((clock::now(), position));
-            hint.history = history;
+            hint.term_starts = history;
             hint.primary = primary && is_current;
         }
         if !(primary && is_current) {
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -78,7 +78,7 @@
 
 struct AttemptError {
     kind: ErrorKind,
-    progress: Progress,
+    progress: RequestProgress,
     /// The owner could not be reached; the instance itself may be healthy.
     is_owner_unreachable: bool,
     detail: String,
@@ -100,7 +100,7 @@
     /// Encoded frontend messages.
     pub batch: &'a [u8],
     /// Ranked candidates of the last attempt; filled only if decisions are watched.
-    pub candidates: Vec<Choice>,
+    pub candidates: Vec<RankedCandidate>,
 }
 
 impl Dispatch<'_> {
@@ -130,7 +130,7 @@
             .and_then(|member| self.gateway.owner_of(member))
             .ok_or_else(|| AttemptError {
                 kind: ErrorKind::BackEndUnreachable,
-                progress: Progress::NotSent,
+                progress: RequestProgress::NotSent,
                 is_owner_unreachable: false,
                 detail: "no node owns the instance".to_owned(),
             })
@@ -145,7 +145,7 @@
         let regions = &self.tenant.allowed_regions;
         Err(AttemptError {
             kind: ErrorKind::RegionNotAllowed,
-            progress: Progress::NotSent,
+            progress: RequestProgress::NotSent,
             is_owner_unreachable: false,
             detail: format!("owner node {node} is outside the allowed regions: {regions}"),
         })
@@ -271,17 +271,17 @@
     /// returns the last error.
     async fn read_in_order(
         &self,
-        candidates: &[Choice],
+        candidates: &[RankedCandidate],
         token: Option<Position>,
         attempts: &mut u32,
     ) -> Result<BatchResponse, AttemptError> {
         let mut last = AttemptError {
             kind: ErrorKind::ReplicaBehind,
-            progress: Progress::NotSent,
+            progress: RequestProgress::NotSent,
             is_owner_unreachable: false,
             detail: "no instance is eligible for the read".to_owned(),
         };
-        for choice in candidates.iter().filter(|choice| choice.reason.eligible()) {
+        for choice in candidates.iter().filter(|choice| choice.reason.is_eligible()) {
             if *attempts > 0 && !self.withdraw_retry() {
                 return Err(last);
             }
@@ -314,7 +314,7 @@
         }
     }
 
-    fn rank_candidates(&mut self, token: Option<Position>) -> Vec<Choice> {
+    fn rank_candidates(&mut self, token: Option<Position>) -> Vec<RankedCandidate> {
         let mut hints = self.gateway.directory.hints(&self.spec);
         let config = self.gateway.control.config();
         for hint in &mut hints {
@@ -342,7 +342,7 @@
 
     async fn read_from(
         &self,
-        choice: &Choice,
+        choice: &RankedCandidate,
         token: Option<Position>,
     ) -> Result<BatchResponse, AttemptError> {
         let mut request = self.request(&choice.instance, Intent::Read);
@@ -432,12 +432,12 @@
                     .clear_primary(&self.spec, &primary.instance);
             }
             match self.next_step(intent, &error) {
-                NextStep::Tell(kind) => return Err(RequestError::new(kind, error.detail)),
-                NextStep::Resolve => return self.resolve_outcome(&error.detail).await,
-                NextStep::RunAgain if clock::now() >= primary_wait_deadline => {
+                NextStep::Report(kind) => return Err(RequestError::new(kind, error.detail)),
+                NextStep::ResolveOutcome => return self.resolve_outcome(&error.detail).await,
+                NextStep::Retry if clock::now() >= primary_wait_deadline => {
                     return Err(RequestError::new(error.kind, error.detail));
                 }
-                NextStep::RunAgain => tokio::time::sleep(RETRY_DELAY).await,
+                NextStep::Retry => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
@@ -446,7 +446,7 @@
         // These errors are permanent, or the owner returned them after waiting.
         let is_final = matches!(
             error.kind,
-            ErrorKind::WindowTooShort
+            ErrorKind::DeadlineTooShort
                 | ErrorKind::QueueFull
                 | ErrorKind::InvalidSetting
                 | ErrorKind::AnswerTooLarge
@@ -455,15 +455,15 @@
                 | ErrorKind::RegionNotAllowed
         );
         if is_final {
-            return NextStep::Tell(error.kind);
+            return NextStep::Report(error.kind);
         }
         match (intent, error.progress) {
             // The write was not executed, so it is safe to retry on the new primary.
-            (_, Progress::ProvenUndone) if error.kind == ErrorKind::NotPrimary => NextStep::RunAgain,
+            (_, RequestProgress::ConfirmedNotApplied) if error.kind == ErrorKind::NotPrimary => NextStep::Retry,
             // A transaction that was only begun is rolled back when its connection closes.
-            (Intent::Begin, Progress::Sent) => NextStep::RunAgain,
-            (Intent::Floor, _) => NextStep::RunAgain,
-            _ => after_failure(error.progress, self.options.traits, error.kind),
+            (Intent::Begin, RequestProgress::Sent) => NextStep::Retry,
+            (Intent::Floor, _) => NextStep::Retry,
+            _ => next_step_after_failure(error.progress, self.options.traits, error.kind),
         }
     }
 
@@ -482,7 +482,7 @@
             Ok(response) => return Ok(response),
             Err(error) => error,
         };
-        let may_have_committed = intent == Intent::Commit && error.progress == Progress::Sent;
+        let may_have_committed = intent == Intent::Commit && error.progress == RequestProgress::Sent;
         if !may_have_committed {
             return Err(RequestError::new(ErrorKind::TransactionLost, error.detail));
         }
@@ -579,16 +579,16 @@
 
 /// Returns whether all candidates are outside the tenant's allowed regions; false if
 /// there are none.
-fn all_regions_disallowed(candidates: &[Choice]) -> bool {
+fn all_regions_disallowed(candidates: &[RankedCandidate]) -> bool {
     let mut reasons = candidates.iter().map(|choice| choice.reason);
     !candidates.is_empty() && reasons.all(|reason| reason == Reason::RegionNotAllowed)
 }
 
 /// Returns whether some candidate discarded the session's position and no candidate
 /// is eligible.
-fn is_position_discarded(candidates: &[Choice]) -> bool {
+fn is_position_discarded(candidates: &[RankedCandidate]) -> bool {
     let discarded = candidates.iter().any(|choice| choice.reason == Reason::Discarded);
-    discarded && candidates.iter().all(|choice| !choice.reason.eligible())
+    discarded && candidates.iter().all(|choice| !choice.reason.is_eligible())
 }
 
 fn to_wire_position(position: Option<Position>) -> WirePosition {
--- a/crates/millwind-node/src/gateway/mod.rs
+++ b/crates/millwind-node/src/gateway/mod.rs
@@ -139,7 +139,7 @@
     pub(crate) fn owner_of(&self, instance: &InstanceSpec) -> Option<Owner> {
         let view = self.control.view();
         let unreachable = self.unreachable_nodes.current();
-        let node = view.owner_except(&instance.name, &instance.zone, &instance.region, &unreachable)?;
+        let node = view.owner_excluding(&instance.name, &instance.zone, &instance.region, &unreachable)?;
         if node.as_str() == view.own_name() {
             return Some(Owner::Local);
         }
--- a/crates/millwind-node/src/pg/error_answer.rs
+++ b/crates/millwind-node/src/pg/error_answer.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the name of a repeat advice in hints and logs.
-pub const fn repeat_name(repeat: Repeat) -> &'static str {
+pub const fn repeat_name(repeat: RetryAdvice) -> &'static str {
     match repeat {
         RetryAdvice::Yes => "yes",
         RetryAdvice::No => "no",
