--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a statement on one instance, over a connection of this node
-//! or one leased from an owner.
+//! Attempts to run a statement on one instance, over a local connection or one
+//! leased from an owner.
 
 use std::sync::Arc;
 
@@ -17,36 +17,37 @@
 use crate::node::Engine;
 use crate::statement::{Envelope, Reply, TransactionState};
 
-/// A statement that so many nodes found no time for is refused: its caller may
-/// come back with all of its time, while trying on here leaves it ever less.
-const MOST_OVERLOADS: u32 = 2;
+/// Number of overloaded attempts after which a statement is refused. The caller can
+/// retry with a full time budget, while each further attempt has less time left.
+const MAX_OVERLOADED_ATTEMPTS: u32 = 2;
 
-/// The tries of one statement that found an instance with too much to do.
+/// Counts the attempts of one statement that failed on an overloaded instance.
 #[derive(Debug, Default)]
-pub(super) struct Overloads(u32);
+pub(super) struct OverloadCounter(u32);
 
-impl Overloads {
-    /// Takes in how a try failed; true if the statement should be refused now.
-    pub(super) fn is_enough(&mut self, error: &AttemptError) -> bool {
+impl OverloadCounter {
+    /// Counts `error` if it reports overload. Returns whether the statement should
+    /// be refused.
+    pub(super) fn reaches_limit(&mut self, error: &AttemptError) -> bool {
         self.0 += u32::from(error.is_overload());
-        self.0 >= MOST_OVERLOADS
+        self.0 >= MAX_OVERLOADED_ATTEMPTS
     }
 }
 
-/// A connection that a session uses.
+/// A connection to an instance, in use by a session.
 #[derive(Debug)]
 pub(super) enum SessionConnection {
-    /// One of this node's own.
-    Own(Box<PooledConnection>),
-    /// One of an owner.
+    /// A connection from this node's pool.
+    Local(Box<PooledConnection>),
+    /// A connection of an owner, used through a lease.
     Leased(Box<Lease>),
 }
 
 impl SessionConnection {
-    /// Where it stands.
+    /// Returns the transaction state of the connection.
     pub(super) fn transaction(&self) -> TransactionState {
         match self {
-            SessionConnection::Own(connection) => connection.transaction(),
+            SessionConnection::Local(connection) => connection.transaction(),
             SessionConnection::Leased(lease) => lease.transaction(),
         }
     }
@@ -55,16 +56,16 @@
         &self.record().name
     }
 
-    /// The instance that it leads to.
+    /// Returns the instance that the connection is open to.
     pub(super) fn record(&self) -> &InstanceRecord {
         match self {
-            SessionConnection::Own(connection) => connection.pool().record(),
+            SessionConnection::Local(connection) => connection.pool().record(),
             SessionConnection::Leased(lease) => lease.record(),
         }
     }
 }
 
-/// Gets a connection to `record` for a statement of `operation`.
+/// Acquires a local or leased connection to `record` for `operation`.
 pub(super) async fn connect(
     engine: &Arc<Engine>,
     record: &Arc<InstanceRecord>,
@@ -72,7 +73,7 @@
     session: &SessionState,
 ) -> Result<SessionConnection, AttemptError> {
     let priority = operation.database.priority;
-    let aim = operation.aim();
+    let aim = operation.target_time();
     let connected = match engine.route(record, &operation.user, &operation.regions).await {
         Route::Own => {
             let wanted = Wanted {
@@ -80,11 +81,11 @@
                 aim,
                 user: &operation.user,
                 session,
-                needed: operation.needed(),
+                needed: operation.prepared_statement(),
                 deadline: operation.deadline,
             };
             let connected = execution::connect(engine, record, wanted).await;
-            connected.map(|own| SessionConnection::Own(Box::new(own)))
+            connected.map(|local| SessionConnection::Local(Box::new(local)))
         }
         Route::Through(link) => {
             engine.metrics.forwarded_out.inc();
@@ -93,12 +94,12 @@
         }
         Route::Unreachable => Err(AttemptError::Link(LinkError::OwnerUnreachable)),
     };
-    connected.inspect_err(|error| operation.trail.tried(&record.name, error.name()))
+    connected.inspect_err(|error| operation.attempt_log.record(&record.name, error.name()))
 }
 
-/// Begins a transaction on `record`, at once or together with its first
-/// statement; where it is not read-only, a success proves that the instance
-/// leads.
+/// Begins a transaction on `record`. A leased connection sends the begin together with
+/// the first statement. The success of a read-write begin proves that the instance is
+/// the leader.
 pub(super) async fn begin(
     engine: &Arc<Engine>,
     record: &Arc<InstanceRecord>,
@@ -110,13 +111,13 @@
     let mut connection = connect(engine, record, operation, session).await?;
     match &mut connection {
         SessionConnection::Leased(lease) => lease.begins(read_only, floor),
-        SessionConnection::Own(own) => {
+        SessionConnection::Local(local) => {
             let deadline = operation.deadline;
             let since = floor.resolve(engine, &record.group, deadline).await;
             let since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
-            execution::begin(engine, own, read_only, since, deadline)
+            execution::begin(engine, local, read_only, since, deadline)
                 .await
-                .inspect_err(|error| operation.trail.tried(&record.name, error.name()))?;
+                .inspect_err(|error| operation.attempt_log.record(&record.name, error.name()))?;
         }
     }
     Ok(connection)
@@ -144,18 +145,18 @@
                 .run(engine, session, &envelope, proves_leader, deadline)
                 .await
         }
-        SessionConnection::Own(own) => {
+        SessionConnection::Local(local) => {
             let since = floor.resolve(engine, operation.group(), deadline).await;
             envelope.since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
-            execution::run(engine, own, session, &envelope, proves_leader, deadline).await
+            execution::run(engine, local, session, &envelope, proves_leader, deadline).await
         }
     };
     let outcome = result.as_ref().map_or_else(AttemptError::name, |_| "ok");
-    operation.trail.tried(connection.instance(), outcome);
+    operation.attempt_log.record(connection.instance(), outcome);
     result
 }
 
-/// The caller's answer to a statement that ran.
+/// Converts the reply of an instance to the answer for the caller.
 pub(super) fn success(reply: Reply) -> Answer {
     match reply.result {
         Ok(signature) => Ok(Success {
--- a/crates/millwind-engine/src/session/trail.rs
+++ b/crates/millwind-engine/src/session/attempt_log.rs
@@ -1,4 +1,4 @@
-//! What was tried for one statement, for the log.
+//! Records the attempts of a statement for the request log.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,10 +9,10 @@
 
 use crate::clock;
 
-/// Attempts kept of one statement; later ones are only counted.
-const KEPT_ATTEMPTS: usize = 8;
+/// Maximum number of attempts recorded per statement; further ones are only counted.
+const MAX_LOGGED_ATTEMPTS: usize = 8;
 
-/// One attempt on one instance.
+/// The outcome of an attempt on one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Attempt {
     instance: InstanceName,
@@ -28,34 +28,34 @@
     count: usize,
 }
 
-/// The attempts of the statement that a session is at.
+/// The attempts of a session's current statement, shared by its clones.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Trail(Arc<Mutex<State>>);
+pub(super) struct AttemptLog(Arc<Mutex<State>>);
 
-impl Trail {
-    /// The trail of a statement that begins now.
+impl AttemptLog {
+    /// Creates an empty log for a statement that starts now.
     pub(super) fn begin() -> Self {
         let state = State {
             started: clock::now(),
             ..State::default()
         };
-        Trail(Arc::new(Mutex::new(state)))
+        AttemptLog(Arc::new(Mutex::new(state)))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The position that the read needs.
-    pub(super) fn needs(&self, floor: Position) {
+    /// Sets the log position that the read requires.
+    pub(super) fn set_floor(&self, floor: Position) {
         self.state().floor = Some(floor);
     }
 
-    /// An attempt on `instance` ended.
-    pub(super) fn tried(&self, instance: &InstanceName, outcome: &'static str) {
+    /// Records the end of an attempt on `instance`.
+    pub(super) fn record(&self, instance: &InstanceName, outcome: &'static str) {
         let mut state = self.state();
         state.count += 1;
-        if state.attempts.len() < KEPT_ATTEMPTS {
+        if state.attempts.len() < MAX_LOGGED_ATTEMPTS {
             let ended_ms = clock::now().millis_since(state.started);
             state.attempts.push(Attempt {
                 instance: instance.clone(),
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Attempts that ended.
+    /// Returns the number of attempts that have ended.
     pub(super) fn count(&self) -> usize {
         self.state().count
     }
 }
 
-impl fmt::Display for Trail {
+impl fmt::Display for AttemptLog {
     /// `floor=TERM:NUMBER attempts=N tried=INSTANCE:OUTCOME@MS,…`
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let state = self.state();
--- a/crates/millwind-engine/src/session/caller.rs
+++ b/crates/millwind-engine/src/session/caller.rs
@@ -1,5 +1,5 @@
-//! Who a session's caller is, by the configuration in force: a key may be taken
-//! away, or given to another tenant, while its sessions are open.
+//! Authenticates a session's caller against the current configuration. A key may be
+//! revoked, or assigned to another tenant, while sessions that use it are open.
 
 use std::sync::Arc;
 
@@ -12,37 +12,39 @@
 use crate::backend::ConnectionUser;
 use crate::catalog::{ConfigSnapshot, Database};
 
-/// The terms on which a statement runs.
+/// The database, identity and allowed regions that a statement runs with.
 #[derive(Debug, Clone)]
-pub(super) struct Terms {
-    /// The database that the session is on.
+pub(super) struct CallerContext {
+    /// The database that the session is connected to.
     pub(super) database: Arc<Database>,
-    /// On whose behalf it runs.
+    /// The user that the statement runs as.
     pub(super) user: ConnectionUser,
-    /// Regions in which it may run, by the terms of both.
+    /// Regions that both the database and the tenant allow.
     pub(super) regions: AllowedRegions,
 }
 
 impl Session {
-    /// The terms that are in force now.
-    pub(super) fn terms_in_force(&self) -> Result<Terms, Refusal> {
+    /// Resolves the caller's database, identity and allowed regions. Fails if there is
+    /// no configuration, the database is unknown or authentication fails.
+    pub(super) fn caller_context(&self) -> Result<CallerContext, Refusal> {
         let Some(config) = self.engine.directory.config() else {
             return Err(Refusal::new(ErrorKind::NotServing, "no configuration yet"));
         };
         let database = config.databases.get(&self.database).cloned();
         let database = database.ok_or_else(|| Refusal::new(ErrorKind::UnknownTenant, &self.database))?;
-        let user = self.user_in_force(&config, &database)?;
-        let regions = regions_in_force(&config, &database, &user);
-        Ok(Terms {
+        let user = self.authenticate(&config, &database)?;
+        let regions = effective_regions(&config, &database, &user);
+        Ok(CallerContext {
             database,
             user,
             regions,
         })
     }
 
-    /// On whose behalf the caller's statements run. Callers of a public database
-    /// need no key; one that shows a tenant's is that tenant all the same.
-    fn user_in_force(&self, config: &ConfigSnapshot, database: &Database) -> Result<ConnectionUser, Refusal> {
+    /// Returns the user that the caller's key identifies. A public database accepts
+    /// callers without a valid key as the system user. Fails for other databases if the
+    /// key belongs to no tenant.
+    fn authenticate(&self, config: &ConfigSnapshot, database: &Database) -> Result<ConnectionUser, Refusal> {
         let Some(tenants) = &config.tenants else {
             return Ok(ConnectionUser::System);
         };
@@ -52,16 +54,15 @@
             None if database.is_public => Ok(ConnectionUser::System),
             None => Err(Refusal::new(
                 ErrorKind::AuthenticationFailed,
-                "the key is no tenant's",
+                "key does not belong to a tenant",
             )),
         }
     }
 
-    /// Refuses a statement whose caller's key was taken away. An open transaction
-    /// whose key is no longer its tenant's is rolled back first: nothing of it is
-    /// kept, and its caller is told so.
-    pub(super) fn check_caller(&mut self) -> Result<(), Refusal> {
-        self.check_transaction();
+    /// Refuses the statement if the caller's key has been revoked. An open transaction
+    /// is abandoned first, and its failure takes precedence over the refusal.
+    pub(super) fn check_credentials(&mut self) -> Result<(), Refusal> {
+        self.abandon_if_key_revoked();
         let Some(config) = self.engine.directory.config() else {
             return Ok(());
         };
@@ -72,26 +73,27 @@
             // The statement itself is refused if it needs the database.
             return Ok(());
         };
-        self.user_in_force(&config, database).map(drop)
+        self.authenticate(&config, database).map(drop)
     }
 
-    /// Rolls an open transaction back whose key is no longer its tenant's.
-    pub(super) fn check_transaction(&mut self) {
+    /// Abandons the open transaction if the caller's key no longer identifies the user
+    /// that began it.
+    pub(super) fn abandon_if_key_revoked(&mut self) {
         let Some(config) = self.engine.directory.config() else {
             return;
         };
-        let Some((database, user)) = self.transaction_terms() else {
+        let Some((database, user)) = self.transaction_identity() else {
             return;
         };
-        if self.user_in_force(&config, &database).as_ref() != Ok(&user) {
-            self.log_withdrawn(config.version, "transaction");
-            self.abandon_transaction("the caller's key was taken away");
+        if self.authenticate(&config, &database).as_ref() != Ok(&user) {
+            self.log_key_revoked(config.version, "transaction");
+            self.abandon_transaction("the caller's key was revoked");
         }
     }
 
-    /// Whether the session must end: its caller's key was taken away, and no
-    /// transaction is left to be answered for.
-    pub(super) fn has_ended(&self) -> bool {
+    /// Returns whether the session must be closed because the caller's key was revoked
+    /// and no failed transaction remains to be reported.
+    pub(super) fn must_close(&self) -> bool {
         if self.transaction.is_some() {
             return false;
         }
@@ -101,31 +103,31 @@
         let Some(database) = config.databases.get(&self.database) else {
             return false;
         };
-        let has_ended = self.user_in_force(&config, database).is_err();
-        if has_ended {
-            self.log_withdrawn(config.version, "session");
+        let must_close = self.authenticate(&config, database).is_err();
+        if must_close {
+            self.log_key_revoked(config.version, "session");
         }
-        has_ended
+        must_close
     }
 
-    fn log_withdrawn(&self, config_version: u64, what: &str) {
+    fn log_key_revoked(&self, config_version: u64, ended: &str) {
         if self.engine.request_log.admit() {
             info!(
-                "event=key_withdrawn session={} database={} ended={what} config_version={config_version}",
-                self.number, self.database
+                "event=key_withdrawn session={} database={} ended={ended} config_version={config_version}",
+                self.session_id, self.database
             );
         }
     }
 }
 
-/// Regions that both the database and the tenant allow.
-fn regions_in_force(config: &ConfigSnapshot, database: &Database, user: &ConnectionUser) -> AllowedRegions {
+/// Returns the regions that both the database and the tenant allow.
+fn effective_regions(config: &ConfigSnapshot, database: &Database, user: &ConnectionUser) -> AllowedRegions {
     let tenants = config.tenants.as_ref();
-    let of_tenant = user
+    let tenant_regions = user
         .tenant()
         .and_then(|tenant| tenants?.allowed_regions.get(tenant));
-    match of_tenant {
-        Some(of_tenant) => database.allowed_regions.both(of_tenant),
+    match tenant_regions {
+        Some(tenant_regions) => database.allowed_regions.both(tenant_regions),
         None => database.allowed_regions.clone(),
     }
 }
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -1,10 +1,11 @@
-//! A caller's session: reads its messages, keeps its values, prepared
-//! statements and transaction, and answers each statement exactly once.
+//! Client sessions. A session reads the caller's messages, holds its variables,
+//! prepared statements and open transaction, and sends exactly one answer per
+//! statement.
 
 mod attempt;
+mod attempt_log;
 mod caller;
 mod reads;
-mod trail;
 mod transaction;
 mod writes;
 
@@ -32,20 +33,20 @@
 use crate::directory::Written;
 use crate::node::{Engine, Phase};
 use crate::statement::{CallerMessage, Command, Request, Statement, TransactionState};
-use caller::Terms;
-use trail::Trail;
+use attempt_log::AttemptLog;
+use caller::CallerContext;
 use transaction::OpenTransaction;
 
-const READ_CAPACITY: usize = 2_048;
-/// Taken off a statement's time-out, so that the answer arrives within it, in
-/// milliseconds.
+const READ_BUFFER_BYTES: usize = 2_048;
+/// Time in milliseconds that is reserved within a statement's timeout for
+/// returning the answer to the caller.
 const ANSWER_MARGIN_MS: u64 = 25;
-/// One of so many statements that went as planned is logged.
-const PLAIN_SAMPLE: u64 = 500;
-/// A session is closed during a planned stop once it has rested for this long.
-const RESTING: Duration = Duration::from_millis(250);
+/// One in this many routine statements is logged.
+const ROUTINE_LOG_INTERVAL: u64 = 500;
+/// Idle time after which a session is closed during a graceful shutdown.
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(250);
 
-/// One caller's session.
+/// The session of one client connection.
 pub struct Session {
     engine: Arc<Engine>,
     stream: TcpStream,
@@ -54,34 +55,34 @@
     /// Digest of the caller's key.
     key: Option<KeyDigest>,
     state: Arc<SessionState>,
-    /// The session's last commit, with the group that holds it.
-    written: Option<(GroupName, Written)>,
+    /// The session's last commit and the group that it was made in.
+    last_commit: Option<(GroupName, Written)>,
     transaction: Option<OpenTransaction>,
-    /// Number of the session on this node.
-    number: u64,
-    /// What was tried for the present statement.
-    trail: Trail,
+    /// Identifies the session in this node's log lines.
+    session_id: u64,
+    /// Attempts made for the current statement.
+    attempt_log: AttemptLog,
 }
 
-/// What ended the wait for a message.
-enum Event {
+/// An event that the session loop handles.
+enum SessionEvent {
     Message(CallerMessage),
     Closed,
     Malformed,
-    TransactionIdle,
-    /// Nothing may be sent any more to the instance of the open transaction.
-    Evacuated,
-    /// Another configuration is in force.
-    Configured,
+    TransactionIdleTimeout,
+    /// The evacuation of a zone has closed the open transaction's instance.
+    InstanceEvacuated,
+    /// A new configuration version has taken effect.
+    ConfigChanged,
     Stop,
 }
 
-/// One statement on its way, with the terms it runs under.
+/// A statement to execute, with its caller's database, identity and deadline.
 #[derive(Debug, Clone)]
 struct Operation {
     database: Arc<Database>,
     user: ConnectionUser,
-    /// Regions in which it may run.
+    /// Regions in which the statement may run.
     regions: AllowedRegions,
     id: String,
     text: String,
@@ -89,7 +90,7 @@
     access: Access,
     arrived: Instant,
     deadline: Instant,
-    trail: Trail,
+    attempt_log: AttemptLog,
 }
 
 impl Operation {
@@ -100,8 +101,8 @@
         }
     }
 
-    /// The same with a deadline no later than `limit` from now, if there is one.
-    fn within(&self, limit: Option<Duration>) -> Operation {
+    /// Returns a copy whose deadline is at most `limit` from now.
+    fn with_time_limit(&self, limit: Option<Duration>) -> Operation {
         let limited = limit.map(|limit| clock::now().plus_millis(limit.as_millis() as u64));
         Operation {
             deadline: limited.map_or(self.deadline, |limited| limited.min(self.deadline)),
@@ -109,19 +110,19 @@
         }
     }
 
-    /// When the caller should have the answer.
-    fn aim(&self) -> Instant {
+    /// Returns the time by which the database's target latency is met.
+    fn target_time(&self) -> Instant {
         let target_ms = self.database.target_latency_ms;
         self.arrived
             .plus_millis(target_ms.saturating_sub(ANSWER_MARGIN_MS))
     }
 
-    fn needed(&self) -> Option<&PreparedStatement> {
+    fn prepared_statement(&self) -> Option<&PreparedStatement> {
         self.prepared.as_ref().map(|(statement, _)| statement)
     }
 
-    /// Tells that the operation needs its group's leader.
-    fn needs_leader(&self, engine: &Engine) {
+    /// Records that the operation needs the leader of its group.
+    fn record_leader_demand(&self, engine: &Engine) {
         if engine.leader_demands.is_counted() {
             let worth = worth_of(self.database.priority);
             engine.leader_demands.note(self.group(), &self.regions, worth);
@@ -135,36 +136,37 @@
 }
 
 impl Session {
-    /// Serves a caller until it leaves, or until the node stops.
-    pub async fn serve(engine: Arc<Engine>, stream: TcpStream, number: u64) {
+    /// Serves a client until it disconnects, its key is revoked or the node stops.
+    pub async fn serve(engine: Arc<Engine>, stream: TcpStream, session_id: u64) {
         let mut session = Session {
             engine,
             stream,
-            input: BytesMut::with_capacity(READ_CAPACITY),
+            input: BytesMut::with_capacity(READ_BUFFER_BYTES),
             database: DatabaseName::from(""),
             key: None,
             state: Arc::default(),
-            written: None,
+            last_commit: None,
             transaction: None,
-            number,
-            trail: Trail::default(),
+            session_id,
+            attempt_log: AttemptLog::default(),
         };
-        if session.start().await {
+        if session.open().await {
             session.run().await;
         }
     }
 
-    /// Reads the startup message; true when the session is open.
-    async fn start(&mut self) -> bool {
+    /// Reads and answers the startup message. Returns whether the session was
+    /// accepted.
+    async fn open(&mut self) -> bool {
         let limit = Duration::from_secs(10);
         let message = tokio::time::timeout(limit, self.next_message()).await;
-        let Ok(Event::Message(CallerMessage::Startup { database, key })) = message else {
+        let Ok(SessionEvent::Message(CallerMessage::Startup { database, key })) = message else {
             return false;
         };
         self.database = DatabaseName(database);
         self.key = key;
         let mut output = BytesMut::new();
-        let accepted = self.terms_in_force();
+        let accepted = self.caller_context();
         match &accepted {
             Ok(_) => self.engine.caller_codec.encode_welcome(&mut output),
             Err(refusal) => {
@@ -185,27 +187,32 @@
         let mut versions = self.engine.directory.config_versions();
         loop {
             match self.next_event(&mut versions).await {
-                Event::Message(CallerMessage::Request(request)) => {
+                SessionEvent::Message(CallerMessage::Request(request)) => {
                     let answer = self.handle(request).await;
-                    if self.send(&answer).await.is_err() || self.has_ended() {
+                    if self.send(&answer).await.is_err() || self.must_close() {
                         return;
                     }
                 }
-                Event::Evacuated => self.check_evacuation(),
-                Event::TransactionIdle => self.abandon_transaction("transaction rested too long"),
-                Event::Configured => {
-                    self.check_transaction();
-                    if self.has_ended() {
+                SessionEvent::InstanceEvacuated => self.abandon_if_evacuated(),
+                SessionEvent::TransactionIdleTimeout => {
+                    self.abandon_transaction("transaction idle timeout exceeded")
+                }
+                SessionEvent::ConfigChanged => {
+                    self.abandon_if_key_revoked();
+                    if self.must_close() {
                         return;
                     }
                 }
-                Event::Message(_) | Event::Closed | Event::Malformed | Event::Stop => return,
+                SessionEvent::Message(_)
+                | SessionEvent::Closed
+                | SessionEvent::Malformed
+                | SessionEvent::Stop => return,
             }
         }
     }
 
-    /// The next message, the end of the connection, or the time to act.
-    async fn next_event(&mut self, versions: &mut watch::Receiver<u64>) -> Event {
+    /// Waits for the next message or other event.
+    async fn next_event(&mut self, versions: &mut watch::Receiver<u64>) -> SessionEvent {
         let idle_limit = self.transaction_idle_limit();
         let mut phase = self.engine.phase.subscribe();
         let is_in_transaction = self.transaction.is_some();
@@ -214,28 +221,28 @@
         if *phase.borrow_and_update() == Phase::Running {
             tokio::select! {
                 event = self.next_message() => return event,
-                () = sleep_or_forever(idle_limit) => return Event::TransactionIdle,
-                Ok(()) = versions.changed() => return Event::Configured,
-                () = closed_by_evacuation(&engine, zone.as_ref()) => return Event::Evacuated,
+                () = sleep_or_forever(idle_limit) => return SessionEvent::TransactionIdleTimeout,
+                Ok(()) = versions.changed() => return SessionEvent::ConfigChanged,
+                () = wait_until_zone_closed(&engine, zone.as_ref()) => return SessionEvent::InstanceEvacuated,
                 _ = phase.changed() => {}
             }
         }
         tokio::select! {
             biased;
             event = self.next_message() => event,
-            () = closed_by_evacuation(&engine, zone.as_ref()) => Event::Evacuated,
-            () = sleep_or_forever(idle_limit) => Event::TransactionIdle,
-            () = engine.may_close_session(is_in_transaction, RESTING) => {
+            () = wait_until_zone_closed(&engine, zone.as_ref()) => SessionEvent::InstanceEvacuated,
+            () = sleep_or_forever(idle_limit) => SessionEvent::TransactionIdleTimeout,
+            () = engine.may_close_session(is_in_transaction, IDLE_BEFORE_CLOSE) => {
                 if is_in_transaction {
-                    Event::TransactionIdle
+                    SessionEvent::TransactionIdleTimeout
                 } else {
-                    Event::Stop
+                    SessionEvent::Stop
                 }
             }
         }
     }
 
-    /// The zone of the instance that the open transaction runs on.
+    /// Returns the zone of the instance that the open transaction runs on.
     fn transaction_zone(&self) -> Option<ZoneName> {
         let record = self.transaction.as_ref()?.record()?;
         Some(record.zone.clone())
@@ -250,15 +257,15 @@
         Some(Duration::from_millis(config.transaction_idle_ms.max(1)))
     }
 
-    async fn next_message(&mut self) -> Event {
+    async fn next_message(&mut self) -> SessionEvent {
         loop {
             match self.engine.caller_codec.decode(&mut self.input) {
-                Err(_) => return Event::Malformed,
-                Ok(Some(message)) => return Event::Message(message),
+                Err(_) => return SessionEvent::Malformed,
+                Ok(Some(message)) => return SessionEvent::Message(message),
                 Ok(None) => {}
             }
             match self.stream.read_buf(&mut self.input).await {
-                Ok(0) | Err(_) => return Event::Closed,
+                Ok(0) | Err(_) => return SessionEvent::Closed,
                 Ok(_) => {}
             }
         }
@@ -279,12 +286,12 @@
         }
     }
 
-    /// Answers one statement.
+    /// Executes one statement and records its outcome in metrics and the log.
     async fn handle(&mut self, request: Request) -> Answer {
         let arrived = clock::now();
         let name = request.statement.as_ref().map_or("malformed", statement_name);
         let id = request.id.clone();
-        self.trail = Trail::begin();
+        self.attempt_log = AttemptLog::begin();
         let answer = self.dispatch(request, arrived).await;
         let micros = clock::now().0 - arrived.0;
         let outcome = answer.as_ref().map_or_else(Failure::name, |_| "ok");
@@ -293,24 +300,24 @@
         answer
     }
 
-    /// One line for each statement that failed, was tried more than once or
-    /// came late, and for a sample of the others.
+    /// Logs each statement that failed, needed more than one attempt or exceeded
+    /// the target latency, and a sample of the others.
     fn log_request(&self, id: &str, name: &str, answer: &Answer, micros: u64) {
-        let terms = self.terms_in_force().ok();
-        let regions = terms
+        let context = self.caller_context().ok();
+        let regions = context
             .as_ref()
-            .map(|terms| terms.regions.clone())
+            .map(|context| context.regions.clone())
             .unwrap_or_default();
-        let tenant = terms
+        let tenant = context
             .as_ref()
-            .map_or("unknown", |terms| terms.user.as_str())
+            .map_or("unknown", |context| context.user.as_str())
             .to_owned();
-        let database = terms.map(|terms| terms.database);
+        let database = context.map(|context| context.database);
         let target_us = database
             .as_ref()
             .map_or(u64::MAX, |database| database.target_latency_ms * 1_000);
-        let is_plain = answer.is_ok() && self.trail.count() <= 1 && micros <= target_us;
-        let sample = if is_plain { PLAIN_SAMPLE } else { 1 };
+        let is_routine = answer.is_ok() && self.attempt_log.count() <= 1 && micros <= target_us;
+        let sample = if is_routine { ROUTINE_LOG_INTERVAL } else { 1 };
         if !self.engine.request_log.is_sampled(sample) || !self.engine.request_log.admit() {
             return;
         }
@@ -318,18 +325,21 @@
             Ok(_) => ("ok", ""),
             Err(failure) => (failure.name(), failure.detail()),
         };
-        let belief = database.map_or_else(String::new, |database| self.belief(&database.settings.group));
+        let leader_summary = database.map_or_else(String::new, |database| {
+            self.describe_leader(&database.settings.group)
+        });
         info!(
-            "event=request id={id} session={} database={} tenant={tenant} statement={name} outcome={outcome} micros={micros} sample={sample} config_version={} allowed_regions={regions} {belief} {} detail={detail:?}",
-            self.number,
+            "event=request id={id} session={} database={} tenant={tenant} statement={name} outcome={outcome} micros={micros} sample={sample} config_version={} allowed_regions={regions} {leader_summary} {} detail={detail:?}",
+            self.session_id,
             self.database,
             self.engine.config_version(),
-            self.trail,
+            self.attempt_log,
         );
     }
 
-    /// What the node believes of a group, with the age of the belief.
-    fn belief(&self, group: &GroupName) -> String {
+    /// Formats the known leader of a group and the age of the latest observation
+    /// for the log.
+    fn describe_leader(&self, group: &GroupName) -> String {
         let directory = &self.engine.directory;
         let leader = directory.leader(group);
         let name = leader.as_ref().map_or("none", |leader| leader.instance.as_str());
@@ -350,11 +360,11 @@
         let Some(statement) = request.statement.clone() else {
             return Err(malformed().into());
         };
-        self.check_caller()?;
-        self.check_evacuation();
+        self.check_credentials()?;
+        self.abandon_if_evacuated();
         let is_failed = self.transaction.as_ref().is_some_and(OpenTransaction::is_failed);
         if is_failed {
-            return self.in_failed_transaction(&statement);
+            return self.answer_in_failed_transaction(&statement);
         }
         match statement {
             Statement::Begin { read_only } => self.begin(read_only),
@@ -369,12 +379,12 @@
                 self.execute(request, access, Some((prepared, arguments)), arrived)
                     .await
             }
-            local => self.change_state(local),
+            session_statement => self.update_session_state(session_statement),
         }
     }
 
-    /// Statements that concern the session alone.
-    fn change_state(&mut self, statement: Statement) -> Answer {
+    /// Executes a statement that only changes the session's state.
+    fn update_session_state(&mut self, statement: Statement) -> Answer {
         let state = Arc::make_mut(&mut self.state);
         match statement {
             Statement::Set { name, value } => {
@@ -402,64 +412,64 @@
             let operation = self.operation_in_transaction(request, access, prepared, arrived)?;
             return self.run_in_transaction(operation).await;
         }
-        let terms = self.terms_in_force()?;
-        self.engine.admit(&terms.user).await?;
-        let operation = self.operation(terms, request, access, prepared, arrived);
+        let context = self.caller_context()?;
+        self.engine.admit(&context.user).await?;
+        let operation = self.operation(context, request, access, prepared, arrived);
         match access {
             Access::Read => self.single_read(operation).await,
             Access::Write => self.single_write(operation).await,
         }
     }
 
-    /// A statement on these terms that arrived at `arrived`, with its deadline.
+    /// Builds the operation of a request and computes its deadline from `arrived`.
     fn operation(
         &self,
-        terms: Terms,
+        context: CallerContext,
         request: Request,
         access: Access,
         prepared: Option<(PreparedStatement, String)>,
         arrived: Instant,
     ) -> Operation {
-        let limit = terms.database.settings.default_window_ms;
+        let limit = context.database.settings.default_window_ms;
         let margin = ANSWER_MARGIN_MS.min(limit / 4);
         Operation {
             deadline: self
                 .engine
                 .statement_deadline(arrived.plus_millis(limit - margin)),
-            database: terms.database,
-            user: terms.user,
-            regions: terms.regions,
+            database: context.database,
+            user: context.user,
+            regions: context.regions,
             id: request.id,
             text: request.text,
             prepared,
             access,
             arrived,
-            trail: self.trail.clone(),
+            attempt_log: self.attempt_log.clone(),
         }
     }
 
-    /// The session's last commit in this group.
-    fn written_in(&self, group: &GroupName) -> Option<Written> {
-        self.written
+    /// Returns the session's last commit if it was made in `group`.
+    fn last_commit_in(&self, group: &GroupName) -> Option<Written> {
+        self.last_commit
             .as_ref()
-            .filter(|(held, _)| held == group)
+            .filter(|(committed, _)| committed == group)
             .map(|(_, written)| *written)
     }
 
-    fn note_written(&mut self, group: &GroupName, position: Option<Position>) {
+    fn record_commit(&mut self, group: &GroupName, position: Option<Position>) {
         if let Some(position) = position {
             let written = Written {
                 position,
                 acknowledged: clock::now(),
             };
-            self.written = Some((group.clone(), written));
+            self.last_commit = Some((group.clone(), written));
         }
     }
 }
 
-/// Waits until nothing may be sent any more to the instances of `zone`; forever without
-/// one.
-async fn closed_by_evacuation(engine: &Engine, zone: Option<&ZoneName>) {
+/// Waits until an evacuation closes the instances of `zone`. Never returns if
+/// `zone` is `None`.
+async fn wait_until_zone_closed(engine: &Engine, zone: Option<&ZoneName>) {
     match zone {
         Some(zone) => engine.closed_by_evacuation(zone).await,
         None => std::future::pending().await,
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -1,5 +1,6 @@
-//! Single reads: on any instance whose log provably holds enough, or on a
-//! leader that proves its lead in the same transaction.
+//! Reads outside a transaction. A read runs on any instance whose log has
+//! reached the required position, or on a leader that confirms its leadership in
+//! the same transaction.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 use millwind_core::selection::{ReadCandidate, order_by_expected_time};
 use millwind_core::session_state::SessionState;
 
-use super::attempt::{self, Overloads, SessionConnection};
-use super::writes::{RETRY_PAUSE, pause_after, usable_leader};
+use super::attempt::{self, OverloadCounter, SessionConnection};
+use super::writes::{RETRY_DELAY, await_usable_leader, wait_before_retry};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal};
 use crate::backend::LinkError;
@@ -27,25 +28,25 @@
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Reply};
 
-/// A read is tried elsewhere as well after this many times its instance's
-/// mean latency.
-const HEDGE_FACTOR: u64 = 4;
-/// Never sooner than this.
-const HEDGE_LEAST: Duration = Duration::from_millis(150);
-/// Instances tried at the same time at most.
-const HEDGE_MOST: usize = 3;
+/// A read is hedged after this multiple of its instance's mean latency.
+const HEDGE_LATENCY_FACTOR: u64 = 4;
+/// Lower bound of the delay before a read is hedged.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(150);
+/// Maximum number of concurrent attempts of one read.
+const MAX_HEDGED_ATTEMPTS: usize = 3;
 
-/// A read at the leader is tried through another owner after so many times its
-/// mean latency, and never sooner than the least.
-const PATIENCE_FACTOR: u64 = 8;
-const PATIENCE_LEAST: Duration = Duration::from_millis(350);
-/// The pause between two rounds of tries doubles so often.
-const MOST_DOUBLINGS: u32 = 3;
+/// A leader read through an owner times out after this multiple of the leader's
+/// mean latency, and is then retried through another owner.
+const OWNER_TIMEOUT_FACTOR: u64 = 8;
+/// Lower bound of the timeout of a leader read through an owner.
+const MIN_OWNER_TIMEOUT: Duration = Duration::from_millis(350);
+/// Number of times that the delay between rounds of attempts doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-type Attempt = BoxFuture<'static, Result<Reply, AttemptError>>;
+type AttemptFuture = BoxFuture<'static, Result<Reply, AttemptError>>;
 
 impl Session {
-    /// Runs a read outside of a transaction.
+    /// Runs a read outside a transaction.
     pub(super) async fn single_read(&mut self, operation: Operation) -> Answer {
         match operation.database.consistency {
             Consistency::Primary => self.leader_read(operation).await,
@@ -53,18 +54,18 @@
         }
     }
 
-    /// A read that must see every commit: inside a transaction of the engine's
-    /// own, which a former leader refuses.
+    /// Runs a read that must see every commit. The read runs in an implicit
+    /// read-write transaction, which a former leader rejects.
     async fn leader_read(&mut self, operation: Operation) -> Answer {
         let engine = self.engine.clone();
-        operation.needs_leader(&engine);
-        let mut overloads = Overloads::default();
+        operation.record_leader_demand(&engine);
+        let mut overloads = OverloadCounter::default();
         loop {
-            let record = usable_leader(&engine, &operation).await?;
-            let attempt = operation.within(patience(&engine, &record));
+            let record = await_usable_leader(&engine, &operation).await?;
+            let attempt = operation.with_time_limit(owner_timeout(&engine, &record));
             match self.leader_read_on(&record, &attempt).await {
                 Ok(reply) => return attempt::success(reply),
-                Err(error) => after_failed_read(&engine, error, &operation, 0, &mut overloads).await?,
+                Err(error) => wait_before_read_retry(&engine, error, &operation, 0, &mut overloads).await?,
             }
         }
     }
@@ -94,31 +95,34 @@
         .await
     }
 
-    /// A read on any instance whose log holds the least position that proves
-    /// it safe.
+    /// Runs a read on any instance whose log has reached the position that the
+    /// consistency level requires.
     async fn floor_read(&mut self, operation: Operation) -> Answer {
         let engine = self.engine.clone();
         let staleness = operation.database.settings.staleness_ms;
         engine.directory.used(operation.group(), Some(staleness));
         let operation = Arc::new(operation);
         let mut rounds = 0;
-        let mut overloads = Overloads::default();
+        let mut overloads = OverloadCounter::default();
         loop {
             let floor = self.floor_for(&operation).await?;
             match hedged_read(&engine, &self.state, &operation, floor).await {
                 Ok(reply) => return attempt::success(reply),
-                Err(error) => after_failed_read(&engine, error, &operation, rounds, &mut overloads).await?,
+                Err(error) => {
+                    wait_before_read_retry(&engine, error, &operation, rounds, &mut overloads).await?
+                }
             }
             rounds += 1;
         }
     }
 
-    /// What a read of this operation must see: the least position that proves
-    /// it safe, or the terms from which the owner that runs it works that out.
+    /// Returns the lowest log position that satisfies the consistency level, or
+    /// the staleness terms from which an owner computes it. Fails if no leader
+    /// position is observed before the deadline.
     pub(super) async fn floor_for(&self, operation: &Operation) -> Result<ReadFloor, Refusal> {
         let written = match operation.database.consistency {
             Consistency::BoundedStaleness => None,
-            _ => self.written_in(operation.group()),
+            _ => self.last_commit_in(operation.group()),
         };
         let terms = StalenessTerms {
             arrived: operation.arrived,
@@ -136,34 +140,35 @@
         }
         let position =
             position.ok_or_else(|| Refusal::new(ErrorKind::NoPrimary, "no recent position of a leader"))?;
-        operation.trail.needs(position);
+        operation.attempt_log.set_floor(position);
         Ok(ReadFloor::Position(position))
     }
 }
 
-/// Returns where a read may be tried again, after a pause that grows with
-/// `rounds`, and fails where not.
-async fn after_failed_read(
+/// Waits before a failed read is retried; the delay grows with `rounds`. Returns
+/// the failure if the read must not be retried.
+async fn wait_before_read_retry(
     engine: &Engine,
     error: AttemptError,
     operation: &Operation,
     rounds: u32,
-    overloads: &mut Overloads,
+    overloads: &mut OverloadCounter,
 ) -> Result<(), Failure> {
     let has_run = matches!(&error, AttemptError::BackEnd(error)
         if !error.kind.is_not_run());
-    let is_in_vain = engine.is_in_vain(&error, operation.group(), &operation.regions);
-    let is_in_vain = is_in_vain || overloads.is_enough(&error);
-    if has_run || clock::now() >= operation.deadline || is_in_vain {
+    let is_futile = engine.is_in_vain(&error, operation.group(), &operation.regions);
+    let is_futile = is_futile || overloads.reaches_limit(&error);
+    if has_run || clock::now() >= operation.deadline || is_futile {
         return Err(read_failure(error));
     }
-    pause_after(&error).await;
-    let more = RETRY_PAUSE * (2_u32.pow(rounds.min(MOST_DOUBLINGS)) - 1);
-    tokio::time::sleep(more.min(clock::until(operation.deadline))).await;
+    wait_before_retry(&error).await;
+    let backoff = RETRY_DELAY * (2_u32.pow(rounds.min(MAX_BACKOFF_DOUBLINGS)) - 1);
+    tokio::time::sleep(backoff.min(clock::until(operation.deadline))).await;
     Ok(())
 }
 
-/// A read that ran without an answer has changed nothing.
+/// Converts the error of the last attempt. A read has no side effects, so a lost
+/// answer is reported as a refusal and not as an unknown outcome.
 fn read_failure(error: AttemptError) -> Failure {
     match error {
         AttemptError::Link(error) => {
@@ -177,9 +182,10 @@
     }
 }
 
-/// Instances that a read may use, in the order in which it tries them; the reason why
-/// the last of the others may not be used where there is none.
-pub(super) fn read_order(
+/// Returns the instances that a read may use, in order of expected time. If the
+/// group has instances but none is eligible, fails with the reason of the last one
+/// that was checked.
+pub(super) fn read_candidates(
     engine: &Engine,
     group: &GroupName,
     regions: &AllowedRegions,
@@ -189,9 +195,9 @@
     let mut known = engine.directory.instances_of(group);
     let mut reason = None;
     known.retain(|known| {
-        let judged = engine.judge_instance(known, InstanceUse::Replica, regions);
-        reason = judged.err().or(reason);
-        judged.is_ok()
+        let eligibility = engine.judge_instance(known, InstanceUse::Replica, regions);
+        reason = eligibility.err().or(reason);
+        eligibility.is_ok()
     });
     if let (true, Some(reason)) = (known.is_empty(), reason) {
         return Err(reason);
@@ -213,54 +219,54 @@
             is_cold: known.warmth.is_cold(now),
         })
         .collect();
-    let find = |name: InstanceName| {
+    let record_of = |name: InstanceName| {
         known
             .iter()
             .find(|known| known.record.name == name)
             .map(|known| known.record.clone())
     };
     let order = order_by_expected_time(&candidates);
-    Ok(order.into_iter().filter_map(find).collect())
+    Ok(order.into_iter().filter_map(record_of).collect())
 }
 
-/// Tries a read on the instances in order, and on a second one at the same
-/// time while the first is silent. Attempts that lose run to their end, so
-/// that their connections can be used again.
+/// Tries a read on the instances in order, and starts a concurrent attempt on the
+/// next one when an answer is late. The remaining attempts run to completion in the
+/// background so that their connections can be reused.
 async fn hedged_read(
     engine: &Arc<Engine>,
     session: &Arc<SessionState>,
     operation: &Arc<Operation>,
     floor: ReadFloor,
 ) -> Result<Reply, AttemptError> {
-    let order = read_order(engine, operation.group(), &operation.regions);
+    let order = read_candidates(engine, operation.group(), &operation.regions);
     let mut order = order.map_err(ineligible)?.into_iter();
-    let mut running: FuturesUnordered<Attempt> = FuturesUnordered::new();
-    let mut last = AttemptError::Link(LinkError::NoConnection);
+    let mut in_flight: FuturesUnordered<AttemptFuture> = FuturesUnordered::new();
+    let mut last_error = AttemptError::Link(LinkError::NoConnection);
     let mut hedge_at = clock::now();
     loop {
-        if running.is_empty() {
+        if in_flight.is_empty() {
             let Some(record) = order.next() else {
-                return Err(last);
+                return Err(last_error);
             };
-            hedge_at = hedge_time(engine, &record);
+            hedge_at = next_hedge_time(engine, &record);
             engine.retry_budget.deposit();
-            running.push(start(engine, session, operation, record, floor));
+            in_flight.push(start_attempt(engine, session, operation, record, floor));
         }
-        let may_hedge = running.len() < HEDGE_MOST && !order.as_slice().is_empty();
+        let may_hedge = in_flight.len() < MAX_HEDGED_ATTEMPTS && !order.as_slice().is_empty();
         tokio::select! {
             biased;
-            ended = running.next() => match ended {
+            attempt_result = in_flight.next() => match attempt_result {
                 Some(Ok(reply)) => {
-                    finish_in_background(running);
+                    detach_remaining(in_flight);
                     return Ok(reply);
                 }
                 Some(Err(error)) => {
                     let is_final = matches!(&error, AttemptError::BackEnd(error) if !error.kind.is_not_run());
                     if is_final {
-                        finish_in_background(running);
+                        detach_remaining(in_flight);
                         return Err(error);
                     }
-                    last = error;
+                    last_error = error;
                 }
                 None => {}
             },
@@ -270,8 +276,8 @@
                     && let Some(record) = order.next()
                 {
                     engine.metrics.hedged.inc();
-                    hedge_at = hedge_time(engine, &record);
-                    running.push(start(engine, session, operation, record, floor));
+                    hedge_at = next_hedge_time(engine, &record);
+                    in_flight.push(start_attempt(engine, session, operation, record, floor));
                 }
             }
         }
@@ -282,14 +288,15 @@
     AttemptError::Link(LinkError::Ineligible(reason))
 }
 
-/// How long a read waits for an answer before another owner is tried, which may
-/// reach the instance where this one does not; none without owners.
-fn patience(engine: &Engine, record: &InstanceRecord) -> Option<Duration> {
+/// Returns the timeout after which a leader read is retried through another owner,
+/// which may still reach the instance. Returns `None` if this node runs the
+/// statement itself.
+fn owner_timeout(engine: &Engine, record: &InstanceRecord) -> Option<Duration> {
     if engine.runs_statements_on(record) {
         return None;
     }
-    let patience = Duration::from_micros(mean_latency_us(engine, record) * PATIENCE_FACTOR);
-    Some(patience.max(PATIENCE_LEAST))
+    let owner_timeout = Duration::from_micros(mean_latency_us(engine, record) * OWNER_TIMEOUT_FACTOR);
+    Some(owner_timeout.max(MIN_OWNER_TIMEOUT))
 }
 
 fn mean_latency_us(engine: &Engine, record: &InstanceRecord) -> u64 {
@@ -297,24 +304,25 @@
     known.map_or(0, |known| known.contact.latency_us)
 }
 
-fn hedge_time(engine: &Engine, record: &InstanceRecord) -> millwind_core::Instant {
-    let delay = Duration::from_micros(mean_latency_us(engine, record) * HEDGE_FACTOR).max(HEDGE_LEAST);
+fn next_hedge_time(engine: &Engine, record: &InstanceRecord) -> millwind_core::Instant {
+    let delay =
+        Duration::from_micros(mean_latency_us(engine, record) * HEDGE_LATENCY_FACTOR).max(MIN_HEDGE_DELAY);
     clock::now().plus_millis(delay.as_millis() as u64)
 }
 
-fn finish_in_background(running: FuturesUnordered<Attempt>) {
-    if !running.is_empty() {
-        tokio::spawn(running.for_each(|_| std::future::ready(())));
+fn detach_remaining(in_flight: FuturesUnordered<AttemptFuture>) {
+    if !in_flight.is_empty() {
+        tokio::spawn(in_flight.for_each(|_| std::future::ready(())));
     }
 }
 
-fn start(
+fn start_attempt(
     engine: &Arc<Engine>,
     session: &Arc<SessionState>,
     operation: &Arc<Operation>,
     record: Arc<InstanceRecord>,
     floor: ReadFloor,
-) -> Attempt {
+) -> AttemptFuture {
     let engine = engine.clone();
     let session = session.clone();
     let operation = operation.clone();
@@ -324,26 +332,26 @@
     })
 }
 
-/// Begins a read-only transaction on an instance whose log holds `floor`.
-pub(super) async fn begin_at_floor(
+/// Begins a read-only transaction on an instance whose log has reached `floor`.
+pub(super) async fn begin_read_only(
     engine: &Arc<Engine>,
     session: &SessionState,
     operation: &Operation,
     floor: ReadFloor,
 ) -> Result<SessionConnection, AttemptError> {
-    let mut last = AttemptError::Link(LinkError::NoConnection);
-    let order = read_order(engine, operation.group(), &operation.regions);
+    let mut last_error = AttemptError::Link(LinkError::NoConnection);
+    let order = read_candidates(engine, operation.group(), &operation.regions);
     for record in order.map_err(ineligible)? {
         match attempt::begin(engine, &record, operation, session, true, floor).await {
             Ok(connection) => return Ok(connection),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
         if clock::now() >= operation.deadline {
             break;
         }
     }
-    if matches!(&last, AttemptError::BackEnd(error) if error.kind == BackEndErrorKind::Behind) {
-        tokio::time::sleep(RETRY_PAUSE).await;
+    if matches!(&last_error, AttemptError::BackEnd(error) if error.kind == BackEndErrorKind::Behind) {
+        tokio::time::sleep(RETRY_DELAY).await;
     }
-    Err(last)
+    Err(last_error)
 }
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -1,5 +1,5 @@
-//! Transactions: begun lazily on the instance that its first statement needs,
-//! then held on that one connection.
+//! Explicit transactions. A transaction begins on an instance with its first
+//! statement and then stays on that connection.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::session_state::{Access, PreparedStatement, SessionState};
 
-use super::attempt::{self, Overloads, SessionConnection};
-use super::caller::Terms;
-use super::reads::begin_at_floor;
-use super::writes::{pause_after, usable_leader};
+use super::attempt::{self, OverloadCounter, SessionConnection};
+use super::caller::CallerContext;
+use super::reads::begin_read_only;
+use super::writes::{await_usable_leader, wait_before_retry};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal, Success};
 use crate::backend::{ConnectionUser, LinkError};
@@ -21,13 +21,13 @@
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Reply, Request, Statement, TransactionState};
 
-/// An open transaction of a session.
+/// The transaction that a session has begun and not yet ended.
 #[derive(Debug)]
 pub(super) struct OpenTransaction {
-    /// Terms in force when it began; a change binds the next transaction.
-    terms: Terms,
+    /// Database and identity at the begin; changes apply to the next transaction.
+    context: CallerContext,
     read_only: bool,
-    /// The connection it runs on; none before its first statement.
+    /// The connection that the transaction runs on, `None` before its first statement.
     connection: Option<SessionConnection>,
     has_written: bool,
     is_failed: bool,
@@ -38,17 +38,19 @@
         self.is_failed
     }
 
-    /// The instance that it is open on.
+    /// Returns the instance that the transaction runs on, if it has a connection.
     pub(super) fn record(&self) -> Option<&InstanceRecord> {
         self.connection.as_ref().map(SessionConnection::record)
     }
 
-    /// Whether it runs on a leader, so that each answer proves the lead.
+    /// Returns whether the transaction runs on the leader, so that each answer
+    /// confirms the leadership.
     fn is_on_leader(&self) -> bool {
-        !self.read_only || self.terms.database.consistency == Consistency::Primary
+        !self.read_only || self.context.database.consistency == Consistency::Primary
     }
 
-    /// Gives its connection back, which rolls it back, and keeps it as failed.
+    /// Marks the transaction as failed and releases its connection, which rolls it
+    /// back.
     fn fail(&mut self) {
         self.connection = None;
         self.is_failed = true;
@@ -56,14 +58,14 @@
 }
 
 impl Session {
-    /// Begins a transaction; no instance hears of it before its first
-    /// statement.
+    /// Opens a transaction in the session. Nothing is sent to an instance before
+    /// the first statement.
     pub(super) fn begin(&mut self, read_only: bool) -> Answer {
         if self.transaction.is_some() {
-            return Err(Refusal::new(ErrorKind::Unsupported, "a transaction is open").into());
+            return Err(Refusal::new(ErrorKind::Unsupported, "a transaction is already open").into());
         }
         self.transaction = Some(OpenTransaction {
-            terms: self.terms_in_force()?,
+            context: self.caller_context()?,
             read_only,
             connection: None,
             has_written: false,
@@ -72,21 +74,21 @@
         Ok(Success::default())
     }
 
-    /// The terms of the open transaction, if there is one that has not failed.
-    pub(super) fn transaction_terms(&self) -> Option<(Arc<Database>, ConnectionUser)> {
+    /// Returns the database and user of the open transaction, unless it has failed.
+    pub(super) fn transaction_identity(&self) -> Option<(Arc<Database>, ConnectionUser)> {
         let open = self.transaction.as_ref().filter(|open| !open.is_failed)?;
-        Some((open.terms.database.clone(), open.terms.user.clone()))
+        Some((open.context.database.clone(), open.context.user.clone()))
     }
 
     /// Rolls the open transaction back.
     pub(super) fn rollback(&mut self) -> Answer {
-        // Giving the connection back rolls back there.
+        // Releasing the connection rolls the transaction back on the instance.
         self.transaction = None;
         Ok(Success::default())
     }
 
-    /// Ends an open transaction from this side; its caller is told with its
-    /// next statement.
+    /// Fails the open transaction. The caller receives the error with its next
+    /// statement.
     pub(super) fn abandon_transaction(&mut self, reason: &str) {
         if let Some(open) = &mut self.transaction
             && !open.is_failed
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Ends an open transaction on an instance to which nothing may be sent any more.
-    pub(super) fn check_evacuation(&mut self) {
+    /// Abandons the open transaction if an evacuation has closed its instance.
+    pub(super) fn abandon_if_evacuated(&mut self) {
         let Some(record) = self.transaction.as_ref().and_then(OpenTransaction::record) else {
             return;
         };
@@ -111,24 +113,25 @@
         if self.engine.request_log.admit() {
             info!(
                 "event=transaction_ended_by_evacuation session={} database={} instance={} zone={}",
-                self.number, self.database, record.name, record.zone
+                self.session_id, self.database, record.name, record.zone
             );
         }
         self.engine.metrics.evacuated_transactions.inc();
-        self.abandon_transaction("its instance's zone is being evacuated");
+        self.abandon_transaction("zone of the instance is being evacuated");
     }
 
-    /// Answers a statement inside a transaction that has failed.
-    pub(super) fn in_failed_transaction(&mut self, statement: &Statement) -> Answer {
+    /// Answers a statement in a failed transaction, which only a rollback or commit
+    /// ends.
+    pub(super) fn answer_in_failed_transaction(&mut self, statement: &Statement) -> Answer {
         match statement {
             Statement::Rollback => self.rollback(),
             Statement::Commit => {
                 self.transaction = None;
-                Err(Refusal::new(ErrorKind::TransactionLost, "it was rolled back").into())
+                Err(Refusal::new(ErrorKind::TransactionLost, "transaction was rolled back").into())
             }
             _ => Err(Refusal::new(
                 ErrorKind::TransactionLost,
-                "statements are refused until the transaction ends",
+                "transaction has failed; statements are refused until it ends",
             )
             .into()),
         }
@@ -143,7 +146,7 @@
     ) -> Result<Operation, Refusal> {
         let open = self.transaction.as_ref();
         let open = open.ok_or_else(|| Refusal::new(ErrorKind::Unsupported, "no transaction is open"))?;
-        Ok(self.operation(open.terms.clone(), request, access, prepared, arrived))
+        Ok(self.operation(open.context.clone(), request, access, prepared, arrived))
     }
 
     /// Runs a statement inside the open transaction.
@@ -152,9 +155,9 @@
             return Err(Refusal::new(ErrorKind::Unsupported, "no transaction is open").into());
         };
         let result = if open.connection.is_some() {
-            self.next_statement(&mut open, &operation).await
+            self.run_next_statement(&mut open, &operation).await
         } else {
-            self.first_statement(&mut open, &operation).await
+            self.run_first_statement(&mut open, &operation).await
         };
         if result.is_err() {
             open.fail();
@@ -163,53 +166,53 @@
         attempt::success(result?)
     }
 
-    /// Begins on an instance and runs the first statement there; until that
-    /// has answered nothing is kept anywhere, so it may be tried again.
-    async fn first_statement(
+    /// Begins the transaction on an instance and runs the first statement. Both may
+    /// be retried, because nothing is committed yet.
+    async fn run_first_statement(
         &mut self,
         open: &mut OpenTransaction,
         operation: &Operation,
     ) -> Result<Reply, Failure> {
-        self.engine.admit(&open.terms.user).await?;
-        let staleness = open.terms.database.settings.staleness_ms;
+        self.engine.admit(&open.context.user).await?;
+        let staleness = open.context.database.settings.staleness_ms;
         let is_on_leader = open.is_on_leader();
         let engine = self.engine.clone();
         match is_on_leader {
-            true => operation.needs_leader(&engine),
+            true => operation.record_leader_demand(&engine),
             false => engine.directory.used(operation.group(), Some(staleness)),
         }
-        let mut overloads = Overloads::default();
+        let mut overloads = OverloadCounter::default();
         loop {
-            let error = match self.try_first(open, operation).await {
+            let error = match self.try_first_statement(open, operation).await {
                 Ok(reply) => return Ok(reply),
-                Err(FirstError::Refused(refusal)) => return Err(refusal.into()),
-                Err(FirstError::Attempt(error)) => error,
+                Err(FirstStatementError::Refused(refusal)) => return Err(refusal.into()),
+                Err(FirstStatementError::Attempt(error)) => error,
             };
             open.connection = None;
             let has_run = matches!(&error, AttemptError::BackEnd(error) if !error.kind.is_not_run());
-            let is_in_vain = engine.is_in_vain(&error, operation.group(), &operation.regions);
-            let is_in_vain = is_in_vain || overloads.is_enough(&error);
-            if has_run || clock::now() >= operation.deadline || is_in_vain {
-                return Err(failure_in_transaction(error));
+            let is_futile = engine.is_in_vain(&error, operation.group(), &operation.regions);
+            let is_futile = is_futile || overloads.reaches_limit(&error);
+            if has_run || clock::now() >= operation.deadline || is_futile {
+                return Err(transaction_failure(error));
             }
-            pause_after(&error).await;
+            wait_before_retry(&error).await;
         }
     }
 
-    async fn try_first(
+    async fn try_first_statement(
         &mut self,
         open: &mut OpenTransaction,
         operation: &Operation,
-    ) -> Result<Reply, FirstError> {
+    ) -> Result<Reply, FirstStatementError> {
         let engine = self.engine.clone();
         let state = self.state.clone();
         let is_on_leader = open.is_on_leader();
         let mut connection = if is_on_leader {
-            let record = usable_leader(&engine, operation).await?;
+            let record = await_usable_leader(&engine, operation).await?;
             attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await?
         } else {
             let floor = self.floor_for(operation).await?;
-            begin_at_floor(&engine, &state, operation, floor).await?
+            begin_read_only(&engine, &state, operation, floor).await?
         };
         let reply = attempt::run(
             &engine,
@@ -225,7 +228,7 @@
         Ok(reply)
     }
 
-    async fn next_statement(
+    async fn run_next_statement(
         &mut self,
         open: &mut OpenTransaction,
         operation: &Operation,
@@ -235,14 +238,14 @@
         let is_on_leader = open.is_on_leader();
         open.has_written |= operation.access == Access::Write;
         let Some(connection) = &mut open.connection else {
-            return Err(Refusal::new(ErrorKind::TransactionLost, "its connection is gone").into());
+            return Err(Refusal::new(ErrorKind::TransactionLost, "transaction has no connection").into());
         };
-        run_while_busy(&engine, connection, operation, &state, is_on_leader)
+        retry_while_busy(&engine, connection, operation, &state, is_on_leader)
             .await
             .map_err(|error| match error.ineligible() {
-                // The statement has not run, and what ran before is not kept.
-                Some(_) => lost_with_instance(&error),
-                None => failure_in_transaction(error),
+                // The statement has not run, and earlier statements are rolled back.
+                Some(_) => transaction_lost(&error),
+                None => transaction_failure(error),
             })
     }
 
@@ -251,29 +254,29 @@
         let Some(mut open) = self.transaction.take() else {
             return Err(Refusal::new(ErrorKind::Unsupported, "no transaction is open").into());
         };
-        let operation = self.operation(open.terms.clone(), request, Access::Write, None, arrived);
+        let operation = self.operation(open.context.clone(), request, Access::Write, None, arrived);
         if open.connection.is_none() {
             return self.commit_empty(&open, &operation).await;
         }
-        let result = self.commit_on(&mut open, &operation).await;
+        let result = self.send_commit(&mut open, &operation).await;
         let reply = match result {
             Ok(reply) => reply,
-            // The commit was not sent, and never will be: nothing is kept.
-            Err(error) if error.ineligible().is_some() || is_without_place(&error) => {
-                return Err(lost_with_instance(&error));
+            // The commit was never sent, so the transaction is rolled back.
+            Err(error) if error.ineligible().is_some() || is_warming_up(&error) => {
+                return Err(transaction_lost(&error));
             }
             Err(AttemptError::Link(error)) if open.has_written => {
                 return Err(Refusal::new(ErrorKind::OutcomeUnknown, error).into());
             }
-            Err(error) => return Err(failure_in_transaction(error)),
+            Err(error) => return Err(transaction_failure(error)),
         };
         if open.has_written {
-            self.note_written(operation.group(), reply.position);
+            self.record_commit(operation.group(), reply.position);
         }
         attempt::success(reply)
     }
 
-    async fn commit_on(
+    async fn send_commit(
         &mut self,
         open: &mut OpenTransaction,
         operation: &Operation,
@@ -284,30 +287,31 @@
         let Some(connection) = &mut open.connection else {
             return Err(AttemptError::Link(LinkError::Retired));
         };
-        run_while_busy(&engine, connection, operation, &state, proves_leader).await
+        retry_while_busy(&engine, connection, operation, &state, proves_leader).await
     }
 
-    /// A commit without statements still needs an instance's signature.
+    /// Commits a transaction without statements. The answer carries a signature that
+    /// only an instance can provide.
     async fn commit_empty(&mut self, open: &OpenTransaction, operation: &Operation) -> Answer {
         self.engine.admit(&operation.user).await?;
         let engine = self.engine.clone();
         let state = self.state.clone();
         let mut connection = if open.is_on_leader() {
-            let record = usable_leader(&engine, operation).await?;
+            let record = await_usable_leader(&engine, operation).await?;
             attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await
         } else {
             let floor = self.floor_for(operation).await?;
-            begin_at_floor(&engine, &state, operation, floor).await
+            begin_read_only(&engine, &state, operation, floor).await
         }
-        .map_err(failure_in_transaction)?;
+        .map_err(transaction_failure)?;
         let reply = attempt::run(&engine, &mut connection, operation, &state, ReadFloor::Any, false).await;
-        attempt::success(reply.map_err(failure_in_transaction)?)
+        attempt::success(reply.map_err(transaction_failure)?)
     }
 }
 
-/// Runs a statement of an open transaction; asks again while the instance is
-/// busy and the transaction stays open.
-async fn run_while_busy(
+/// Runs a statement of an open transaction and retries it while the instance is
+/// busy, the transaction stays open and the deadline has not passed.
+async fn retry_while_busy(
     engine: &Arc<Engine>,
     connection: &mut SessionConnection,
     operation: &Operation,
@@ -328,31 +332,31 @@
             Ok(reply) => return Ok(reply),
             Err(error) => error,
         };
-        let may_ask_again = is_busy(&error)
+        let may_retry = is_busy(&error)
             && connection.transaction() == TransactionState::Open
             && clock::now() < operation.deadline;
-        if !may_ask_again {
+        if !may_retry {
             return Err(error);
         }
-        pause_after(&error).await;
+        wait_before_retry(&error).await;
     }
 }
 
-/// Why a first statement was not answered.
-enum FirstError {
+/// Error of an attempt to run the first statement of a transaction.
+enum FirstStatementError {
     Refused(Refusal),
     Attempt(AttemptError),
 }
 
-impl From<Refusal> for FirstError {
+impl From<Refusal> for FirstStatementError {
     fn from(refusal: Refusal) -> Self {
-        FirstError::Refused(refusal)
+        FirstStatementError::Refused(refusal)
     }
 }
 
-impl From<AttemptError> for FirstError {
+impl From<AttemptError> for FirstStatementError {
     fn from(error: AttemptError) -> Self {
-        FirstError::Attempt(error)
+        FirstStatementError::Attempt(error)
     }
 }
 
@@ -360,19 +364,19 @@
     matches!(error, AttemptError::BackEnd(error) if error.kind == BackEndErrorKind::Busy)
 }
 
-/// The instance is cold, and had no place for the statement.
-fn is_without_place(error: &AttemptError) -> bool {
+/// Returns whether the instance rejected the statement because it is warming up.
+fn is_warming_up(error: &AttemptError) -> bool {
     matches!(error, AttemptError::Link(LinkError::WarmingUp { .. }))
 }
 
-/// A transaction whose instance may not be used any more.
-fn lost_with_instance(error: &AttemptError) -> Failure {
+/// Returns the failure of a transaction whose instance can no longer be used.
+fn transaction_lost(error: &AttemptError) -> Failure {
     Refusal::new(ErrorKind::TransactionLost, error.name()).into()
 }
 
-/// Before its commit was sent, a transaction that lost its connection is
-/// rolled back by the instance.
-fn failure_in_transaction(error: AttemptError) -> Failure {
+/// Converts the error of a statement that ran before the commit was sent. If the
+/// connection was lost, the instance rolls the transaction back.
+fn transaction_failure(error: AttemptError) -> Failure {
     if error.is_not_run() {
         return error.into_failure();
     }
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -1,4 +1,4 @@
-//! Single writes: on the leader, at most once.
+//! Writes outside a transaction, which run on the leader at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use millwind_core::error_kind::ErrorKind;
 use millwind_core::ids::{GroupName, RegionName};
 
-use super::attempt::{self, Overloads};
+use super::attempt::{self, OverloadCounter};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal};
 use crate::backend::LinkError;
@@ -21,26 +21,25 @@
 use crate::peers;
 use crate::statement::BackEndErrorKind;
 
-/// Between two tries while an instance cannot serve.
-pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(15);
-/// Between two tries while owners don't reach an instance, or watchers know no
-/// leader.
-const LEADER_PAUSE: Duration = Duration::from_millis(60);
-/// A leader that was heard within this time is not asked after again by those who may
-/// not use it, in milliseconds: callers that are refused are told to come back after so
-/// long.
-const BELIEF_MS: u64 = 1_000;
+/// Delay before a retry while an instance is busy or not ready.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Delay before a retry while no owner reaches the instance or no leader is known
+/// to the nodes that watch the group.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Age in milliseconds from which the known leader is refreshed when a caller may
+/// not use it. Refused callers are told to retry after the same interval.
+const LEADER_REFRESH_AGE_MS: u64 = 1_000;
 
 impl Session {
-    /// Runs a write outside of a transaction.
+    /// Runs a write outside a transaction.
     pub(super) async fn single_write(&mut self, operation: Operation) -> Answer {
         let engine = self.engine.clone();
-        operation.needs_leader(&engine);
-        let mut overloads = Overloads::default();
+        operation.record_leader_demand(&engine);
+        let mut overloads = OverloadCounter::default();
         loop {
-            let record = usable_leader(&engine, &operation).await?;
-            let attempted = self.write_on(&record, &operation).await;
-            let error = match attempted {
+            let record = await_usable_leader(&engine, &operation).await?;
+            let result = self.write_on(&record, &operation).await;
+            let error = match result {
                 Ok(answer) => return answer,
                 Err(error) => error,
             };
@@ -52,10 +51,10 @@
                 AttemptError::BackEnd(error) if !error.kind.is_not_run() => {
                     return Err(Failure::BackEnd(error));
                 }
-                error if clock::now() >= operation.deadline || overloads.is_enough(&error) => {
+                error if clock::now() >= operation.deadline || overloads.reaches_limit(&error) => {
                     return Err(error.into_failure());
                 }
-                error => pause_after(&error).await,
+                error => wait_before_retry(&error).await,
             }
         }
     }
@@ -70,15 +69,15 @@
         let mut connection = attempt::connect(&engine, record, operation, &state).await?;
         let reply = attempt::run(&engine, &mut connection, operation, &state, ReadFloor::Any, true).await?;
         drop(connection);
-        self.note_written(operation.group(), reply.position);
+        self.record_commit(operation.group(), reply.position);
         Ok(attempt::success(reply))
     }
 }
 
-/// The leader of the operation's group, once one is known that answers. Where the known
-/// one may not be used the operation is refused at once, unless another instance takes
-/// over from it.
-pub(super) async fn usable_leader(
+/// Waits until a responsive leader of the operation's group is known and returns it.
+/// Fails at the deadline, or at once if the leader is ineligible and no other instance
+/// is about to take over.
+pub(super) async fn await_usable_leader(
     engine: &Arc<Engine>,
     operation: &Operation,
 ) -> Result<Arc<InstanceRecord>, Refusal> {
@@ -87,24 +86,24 @@
         let leader = engine.directory.leader(group);
         let known = leader.and_then(|leader| engine.directory.instance(&leader.instance));
         let watches = engine.watches(group);
-        let mut is_handed_over = false;
+        let mut is_handover = false;
         let reason = match known {
             Some(known) if is_usable(engine, &known, watches) => {
                 match engine.judge_instance(&known, InstanceUse::Leader, &operation.regions) {
                     Ok(()) => return Ok(known.record),
-                    Err(Ineligible::Leaving) => format!("leader {} will end", known.record.name),
+                    Err(Ineligible::Leaving) => format!("leader {} is shutting down", known.record.name),
                     Err(Ineligible::ZoneEvacuated)
                         if engine.has_instance_elsewhere(group, &operation.regions) =>
                     {
-                        is_handed_over = true;
+                        is_handover = true;
                         let record = &known.record;
                         format!("leader {} in evacuated zone {}", record.name, record.zone)
                     }
                     Err(reason) => {
                         if !watches {
-                            renew_belief(engine, group);
+                            refresh_leader(engine, group);
                         }
-                        return Err(unusable_leader(engine, &known, reason, operation));
+                        return Err(ineligible_leader(engine, &known, reason, operation));
                     }
                 }
             }
@@ -114,22 +113,24 @@
         if clock::now() >= deadline {
             return Err(Refusal::new(ErrorKind::NoPrimary, reason));
         }
-        // While the lead is handed over its watchers name the old leader for a moment.
-        if !watches && peers::ask_leader(engine, group).await && !is_handed_over {
+        // Watchers briefly report the old leader during a handover, so the loop
+        // pauses even if they answered.
+        if !watches && peers::ask_leader(engine, group).await && !is_handover {
             continue;
         }
-        let pause = if watches { RETRY_PAUSE } else { LEADER_PAUSE };
+        let pause = if watches { RETRY_DELAY } else { LEADER_RETRY_DELAY };
         let step = clock::now().plus_millis(pause.as_millis() as u64);
         engine.directory.leaders_changed(step.min(deadline)).await;
     }
 }
 
-/// Asks in the background who leads, where that was not heard lately. A node that does
-/// not watch the group, and whose callers are all refused, hears from nobody else that
-/// the lead has moved.
-fn renew_belief(engine: &Arc<Engine>, group: &GroupName) {
+/// Queries the current leader in the background unless a recent observation exists.
+/// A node that does not watch the group and refuses all its callers would not learn of
+/// a leader change otherwise.
+fn refresh_leader(engine: &Arc<Engine>, group: &GroupName) {
     let newest = engine.directory.newest_observation(group);
-    let is_recent = newest.is_some_and(|newest| clock::now().millis_since(newest.asked) < BELIEF_MS);
+    let is_recent =
+        newest.is_some_and(|newest| clock::now().millis_since(newest.asked) < LEADER_REFRESH_AGE_MS);
     if is_recent {
         return;
     }
@@ -137,9 +138,9 @@
     tokio::spawn(async move { peers::observe_leader(&engine, &group).await });
 }
 
-/// Whether a leader may be used. A node that does not watch the group has no
-/// contact with it, and one that does not run statements there needs no permit:
-/// the owner that runs the statement judges.
+/// Returns whether statements may be sent to a leader. A node that does not watch the
+/// group has no health data, and a node that forwards statements needs no permit; in
+/// both cases the owner that runs the statement performs the check.
 fn is_usable(engine: &Engine, known: &Known, watches: bool) -> bool {
     let is_reached = !watches || known.contact.failing_since.is_none();
     let runs_here = engine.runs_statements_on(&known.record);
@@ -149,7 +150,7 @@
     is_reached && may_lead
 }
 
-fn unusable_leader(engine: &Engine, known: &Known, reason: Ineligible, operation: &Operation) -> Refusal {
+fn ineligible_leader(engine: &Engine, known: &Known, reason: Ineligible, operation: &Operation) -> Refusal {
     let detail = format!(
         "leader {} in zone {}, region {}: {}, allowed regions: {}",
         known.record.name,
@@ -161,12 +162,12 @@
     Refusal::new(LinkError::Ineligible(reason).kind(), detail)
 }
 
-/// A busy or changing instance is asked again after a moment.
-pub(super) async fn pause_after(error: &AttemptError) {
+/// Waits for the delay that applies to a failed attempt before it is retried.
+pub(super) async fn wait_before_retry(error: &AttemptError) {
     let pause = match error {
         AttemptError::BackEnd(error) if error.kind == BackEndErrorKind::ReadOnly => return,
-        AttemptError::Link(LinkError::InstanceFailing | LinkError::OwnerUnreachable) => LEADER_PAUSE,
-        _ => RETRY_PAUSE,
+        AttemptError::Link(LinkError::InstanceFailing | LinkError::OwnerUnreachable) => LEADER_RETRY_DELAY,
+        _ => RETRY_DELAY,
     };
     tokio::time::sleep(pause).await;
 }
