--- a/crates/millwind-engine/src/forward/doubt.rs
+++ b/crates/millwind-engine/src/forward/doubt.rs
@@ -1,9 +1,9 @@
-//! Whether links to owners can be trusted.
+//! Tracks whether links to owners must be probed before use.
 //!
-//! With many nodes most links rest for seconds between two statements, so that a
-//! cut would be found by one statement after another, each on a link of its own.
-//! One link that falls silent, or one node that gives no answer, is reason enough
-//! to ask on each resting link whether it works before a statement is sent.
+//! In a large cluster most links are idle for seconds between statements. After a
+//! network partition each link would lose a statement before its failure is detected.
+//! Therefore one silent link, or one node that fails to answer, makes all links
+//! suspect: an idle link is probed before a statement is sent over it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,30 +12,30 @@
 
 use crate::clock;
 
-/// Links are doubted for this time after the last sign of trouble, in
-/// milliseconds: longer than a resting link takes to be used again.
-const DOUBT_MS: u64 = 5_000;
+/// Time in milliseconds for which links stay suspect after the last failure. It exceeds
+/// the usual idle time of a link.
+const DOUBT_DURATION_MS: u64 = 5_000;
 
-/// The doubt that all links of a node share.
+/// Suspicion of network failure, shared by all links of a node.
 #[derive(Debug, Default)]
 pub struct LinkDoubt {
-    /// End of the doubt, in microseconds of the node's clock.
-    until: AtomicU64,
+    /// End of the suspicion, in microseconds of the node's clock.
+    ends_at: AtomicU64,
 }
 
 impl LinkDoubt {
-    /// A link is silent, or a node gave no answer.
+    /// Marks all links as suspect after a link became silent or a node failed to answer.
     pub fn raise(&self) {
-        let until = clock::now().plus_millis(DOUBT_MS);
+        let ends_at = clock::now().plus_millis(DOUBT_DURATION_MS);
         let was_raised = self.is_raised();
-        self.until.store(until.0, Ordering::Relaxed);
+        self.ends_at.store(ends_at.0, Ordering::Relaxed);
         if !was_raised {
-            info!("event=links_doubted for_ms={DOUBT_MS}");
+            info!("event=links_doubted for_ms={DOUBT_DURATION_MS}");
         }
     }
 
-    /// Whether links must prove themselves before a statement is sent.
+    /// Returns whether idle links must be probed before use.
     pub fn is_raised(&self) -> bool {
-        clock::now() < Instant(self.until.load(Ordering::Relaxed))
+        clock::now() < Instant(self.ends_at.load(Ordering::Relaxed))
     }
 }
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -1,4 +1,4 @@
-//! A connection of an owner, used by a session of this node.
+//! Leases of an owner's connection for a session on this node.
 
 use std::sync::Arc;
 
@@ -18,15 +18,14 @@
 use crate::node::Engine;
 use crate::statement::{Envelope, Reply, TransactionState};
 
-/// The owner is given this much less time than the session has, so that its
-/// answer arrives, in milliseconds: one way between regions (20 ms on the users'
-/// sites) and a busy machine's delay. Without its answer a write that was never
-/// sent to the instance would have an unknown outcome.
+/// Time in milliseconds by which the owner's time limit is shorter than the session's.
+/// It covers the transit of the answer between regions: without an answer, the outcome
+/// of a write that was never sent to the instance is unknown.
 const ANSWER_MARGIN_MS: u64 = 40;
 
-/// How a lease will start, with its first statement.
+/// Parameters of a lease that are sent with its first statement.
 #[derive(Debug)]
-struct Start {
+struct LeaseStart {
     user: ConnectionUser,
     priority: u8,
     aim: Instant,
@@ -34,22 +33,22 @@
     floor: ReadFloor,
 }
 
-/// A connection of an owner; given back when dropped.
+/// A connection leased from an owner. Dropping the lease ends it on the owner.
 #[derive(Debug)]
 pub struct Lease {
     link: Arc<OwnerLink>,
-    number: u64,
+    id: u64,
     record: Arc<InstanceRecord>,
-    /// None once the owner was told.
-    start: Option<Start>,
+    /// `None` once the first statement has been sent.
+    start: Option<LeaseStart>,
     transaction: TransactionState,
-    /// The last statement had no answer.
+    /// Whether the last statement has not been answered.
     is_broken: bool,
 }
 
 impl Lease {
-    /// A connection to `record` on behalf of `user`; the owner hears of it with the first
-    /// statement.
+    /// Creates a lease of a connection to `record` for `user`. Nothing is sent to the
+    /// owner before the first statement.
     pub fn new(
         link: Arc<OwnerLink>,
         record: Arc<InstanceRecord>,
@@ -58,10 +57,10 @@
         aim: Instant,
     ) -> Self {
         Lease {
-            number: link.next_number(),
+            id: link.next_id(),
             link,
             record,
-            start: Some(Start {
+            start: Some(LeaseStart {
                 user: user.clone(),
                 priority,
                 aim,
@@ -73,19 +72,19 @@
         }
     }
 
-    /// The instance.
+    /// Returns the instance that the connection is open to.
     pub fn record(&self) -> &Arc<InstanceRecord> {
         &self.record
     }
 
-    /// Where the connection stands.
+    /// Returns the transaction state of the connection.
     pub fn transaction(&self) -> TransactionState {
         self.transaction
     }
 
-    /// The first statement runs on a log that holds `floor`, unless a
-    /// transaction begins before it on terms of its own.
-    pub fn requires(&mut self, floor: ReadFloor) {
+    /// Sets the floor of the first statement. Has no effect if the lease begins a
+    /// transaction, which has its own floor, or has already started.
+    pub fn set_floor(&mut self, floor: ReadFloor) {
         if let Some(start) = &mut self.start
             && start.begin == ForwardedBegin::None
         {
@@ -93,9 +92,9 @@
         }
     }
 
-    /// A transaction is begun before the first statement.
-    pub fn begins(&mut self, read_only: bool, floor: ReadFloor) {
-        self.requires(floor);
+    /// Makes the owner begin a transaction before the first statement.
+    pub fn set_begin(&mut self, read_only: bool, floor: ReadFloor) {
+        self.set_floor(floor);
         if let Some(start) = &mut self.start {
             start.begin = if read_only {
                 ForwardedBegin::ReadOnly
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Runs a statement.
+    /// Runs a statement on the owner and waits for its answer until `deadline`.
     pub async fn run(
         &mut self,
         engine: &Arc<Engine>,
@@ -114,16 +113,16 @@
         proves_leader: bool,
         deadline: Instant,
     ) -> Result<Reply, AttemptError> {
-        let call = self.link.next_number();
-        let statement = self.statement(call, session, envelope, proves_leader, deadline);
+        let call = self.link.next_id();
+        let statement = self.forwarded_statement(call, session, envelope, proves_leader, deadline);
         let inquiry = Inquiry::new(&engine.directory, &self.record.name);
         self.is_broken = true;
-        let answered = self.link.call(call, ForwardRequest::Run(statement));
-        let answer = match tokio::time::timeout_at(clock::deadline(deadline), answered).await {
+        let response = self.link.call(call, ForwardRequest::Run(statement));
+        let answer = match tokio::time::timeout_at(clock::deadline(deadline), response).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) => return Err(AttemptError::Link(LinkError::Lost)),
             Err(_) => {
-                self.link.forget(call);
+                self.link.cancel(call);
                 engine.owners.avoid(self.link.address(), &self.record.name);
                 return Err(AttemptError::Link(LinkError::Silent));
             }
@@ -132,14 +131,14 @@
         self.transaction = read_state(answer.state);
         let report = answer.leader.first().cloned();
         let result = read_answer(answer);
-        self.note(engine, &result, &inquiry, proves_leader);
+        self.record_outcome(engine, &result, &inquiry, proves_leader);
         if let Some(report) = report {
             take_leader_report(engine, &self.record.group, &report, inquiry.asked);
         }
         result
     }
 
-    fn statement(
+    fn forwarded_statement(
         &mut self,
         call: u64,
         session: &SessionState,
@@ -160,7 +159,7 @@
         });
         ForwardedStatement {
             call,
-            lease: self.number,
+            lease: self.id,
             limit_ms: u32::try_from(limit_ms).unwrap_or(u32::MAX),
             start: start.into_iter().collect(),
             values: write_values(session),
@@ -171,8 +170,8 @@
         }
     }
 
-    /// Takes in what an answer tells of the instance and of the owner.
-    fn note(
+    /// Updates the health of the instance and of the owner from the result.
+    fn record_outcome(
         &self,
         engine: &Arc<Engine>,
         result: &Result<Reply, AttemptError>,
@@ -197,8 +196,8 @@
             Err(AttemptError::Link(error)) => {
                 inquiry.passed();
                 engine.directory.avoid(&self.record.name);
-                // Nodes that stand in for an owner which has too much to do would
-                // only send more to the same instance.
+                // Avoiding an overloaded owner would move its load to stand-ins
+                // that use the same instance.
                 if *error != LinkError::NoConnection {
                     engine.owners.avoid(self.link.address(), &self.record.name);
                 }
@@ -209,9 +208,9 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let is_held = self.transaction != TransactionState::Idle || self.is_broken;
-        if self.start.is_none() && is_held {
-            self.link.end(self.number);
+        let needs_release = self.transaction != TransactionState::Idle || self.is_broken;
+        if self.start.is_none() && needs_release {
+            self.link.end_lease(self.id);
         }
     }
 }
--- a/crates/millwind-engine/src/forward/link.rs
+++ b/crates/millwind-engine/src/forward/link.rs
@@ -1,5 +1,5 @@
-//! A link to an owner, as those who use it see it: many calls at a time, each with
-//! its answer. It ends with its last holder.
+//! Handle of a link to an owner. The link multiplexes concurrent calls and is closed
+//! when the last handle is dropped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,129 +17,131 @@
 use super::link_task::{self, LinkState};
 use crate::clock;
 
-/// A link to an owner.
+/// A multiplexed link to an owner.
 #[derive(Debug)]
 pub struct OwnerLink {
-    /// Dropped with the last holder, which ends the link's task.
+    /// Queue of the link's task, which ends when the last handle is dropped.
     outgoing: mpsc::UnboundedSender<ForwardRequest>,
-    numbers: AtomicU64,
+    ids: AtomicU64,
     state: Arc<LinkState>,
 }
 
-/// A question for a loan; forgotten when dropped, answered or not.
-struct AwaitedLoan<'a> {
+/// Removes a pending loan request when dropped.
+struct PendingLoanGuard<'a> {
     link: &'a OwnerLink,
     call: u64,
 }
 
-impl Drop for AwaitedLoan<'_> {
+impl Drop for PendingLoanGuard<'_> {
     fn drop(&mut self) {
-        self.link.state.loans().remove(&self.call);
+        self.link.state.pending_loans().remove(&self.call);
     }
 }
 
 impl OwnerLink {
-    /// Serves `stream` in the background; its silence is told to `doubt`.
+    /// Spawns the task of a link over `stream`, which raises `doubt` if the owner becomes
+    /// silent.
     pub fn start(address: SocketAddr, stream: TcpStream, doubt: Arc<LinkDoubt>) -> Arc<OwnerLink> {
         let (outgoing, requests) = mpsc::unbounded_channel();
         let state = Arc::new(LinkState::new(address, doubt));
         tokio::spawn(link_task::run(state.clone(), stream, requests));
         Arc::new(OwnerLink {
             outgoing,
-            numbers: AtomicU64::new(1),
+            ids: AtomicU64::new(1),
             state,
         })
     }
 
-    /// The owner's address.
+    /// Returns the owner's address.
     pub fn address(&self) -> SocketAddr {
         self.state.address
     }
 
-    /// Whether new leases may go over it.
+    /// Returns whether new leases may use the link.
     pub fn takes_leases(&self) -> bool {
-        self.state.is_open() && !self.state.is_unproven.load(Ordering::Relaxed)
+        self.state.is_open() && !self.state.has_failed_probe.load(Ordering::Relaxed)
     }
 
-    /// Whether the owner has told that it stops.
+    /// Returns whether the owner has announced its shutdown.
     pub fn is_leaving(&self) -> bool {
         self.state.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Whether the owner has said anything within the last `most_ms`.
-    pub fn was_heard_within(&self, most_ms: u64) -> bool {
-        clock::now().millis_since(*self.state.heard.borrow()) < most_ms
+    /// Returns whether a message from the owner arrived within the last `max_age_ms`.
+    pub fn heard_within(&self, max_age_ms: u64) -> bool {
+        clock::now().millis_since(*self.state.last_heard.borrow()) < max_age_ms
     }
 
-    /// Whether the owner answers within `limit`.
+    /// Pings the owner and returns whether a message arrives within `limit`.
     pub async fn answers(&self, limit: Duration) -> bool {
         let asked = clock::now();
-        let mut heard = self.state.heard.subscribe();
-        // On a lost link nobody answers.
+        let mut last_heard = self.state.last_heard.subscribe();
+        // On a lost link the send fails and the wait below times out.
         let _ = self.outgoing.send(ForwardRequest::Ping);
-        let answered = heard.wait_for(|heard| *heard > asked);
+        let answered = last_heard.wait_for(|last_heard| *last_heard > asked);
         tokio::time::timeout(limit, answered).await.is_ok()
     }
 
-    /// Asks the owner whether it lives. Without an answer within `limit` the link
-    /// takes no new leases; those that it has go on, since the owner may only have
-    /// been slow, and a transaction whose link is closed ends with an unknown
-    /// outcome.
+    /// Probes the owner and returns whether it answers within `limit`. After a failed
+    /// probe the link takes no new leases. Existing leases continue, because the owner
+    /// may only be slow and closing the link could leave the outcome of their transactions
+    /// unknown.
     pub async fn prove(&self, limit: Duration) -> bool {
-        let is_proven = self.answers(limit).await;
-        if !is_proven {
-            self.state.is_unproven.store(true, Ordering::Relaxed);
+        let is_alive = self.answers(limit).await;
+        if !is_alive {
+            self.state.has_failed_probe.store(true, Ordering::Relaxed);
             info!("event=owner_link_unproven owner={}", self.address());
         }
-        is_proven
+        is_alive
     }
 
-    /// Calls without an answer.
-    pub fn outstanding(&self) -> usize {
+    /// Returns the number of unanswered calls.
+    pub fn pending_calls(&self) -> usize {
         self.state.pending().len()
     }
 
-    /// A number for a call or a lease.
-    pub fn next_number(&self) -> u64 {
-        self.numbers.fetch_add(1, Ordering::Relaxed)
+    /// Returns a unique ID for a call or a lease on this link.
+    pub fn next_id(&self) -> u64 {
+        self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Sends a request; the receiver ends without an answer if the link is
-    /// lost.
-    pub fn call(&self, number: u64, request: ForwardRequest) -> oneshot::Receiver<ForwardedAnswer> {
+    /// Sends a request and returns the receiver of its answer. The receiver is closed
+    /// without an answer if the link is lost.
+    pub fn call(&self, id: u64, request: ForwardRequest) -> oneshot::Receiver<ForwardedAnswer> {
         let (sender, receiver) = oneshot::channel();
-        self.state.pending().insert(number, sender);
+        self.state.pending().insert(id, sender);
         let is_sent = self.outgoing.send(request).is_ok();
         if !is_sent || !self.state.is_open() {
-            self.state.pending().remove(&number);
+            self.state.pending().remove(&id);
         }
         receiver
     }
 
-    /// Asks for a loan of `wanted` of `subject`; none if the link is lost.
+    /// Requests a loan of `wanted` operations of `subject`. Returns `None` if the link is
+    /// lost.
     pub async fn ask_loan(&self, subject: ForwardedSubject, wanted: u32) -> Option<ForwardedLoan> {
-        let call = self.next_number();
+        let call = self.next_id();
         let (sender, receiver) = oneshot::channel();
-        self.state.loans().insert(call, sender);
+        self.state.pending_loans().insert(call, sender);
         let request = ForwardRequest::Borrow(ForwardedBorrowing {
             call,
             subject,
             wanted,
         });
-        let _awaited = AwaitedLoan { link: self, call };
+        let _guard = PendingLoanGuard { link: self, call };
         if self.outgoing.send(request).is_err() || !self.state.is_open() {
             return None;
         }
         receiver.await.ok()
     }
 
-    /// The answer to a call is no longer awaited.
-    pub fn forget(&self, number: u64) {
-        self.state.pending().remove(&number);
+    /// Stops waiting for the answer to a call.
+    pub fn cancel(&self, id: u64) {
+        self.state.pending().remove(&id);
     }
 
-    /// Ends a lease.
-    pub fn end(&self, lease: u64) {
+    /// Tells the owner to end a lease.
+    pub fn end_lease(&self, lease: u64) {
         // On a lost link the owner ends all leases itself.
         let _ = self.outgoing.send(ForwardRequest::End { lease });
     }
--- a/crates/millwind-engine/src/forward/link_task.rs
+++ b/crates/millwind-engine/src/forward/link_task.rs
@@ -1,5 +1,5 @@
-//! The task of a link to an owner: passes messages both ways, and a heartbeat while
-//! answers are outstanding.
+//! Background task of a link to an owner. It transfers messages in both directions and
+//! detects a silent owner while answers are pending.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,86 +20,85 @@
 use crate::clock;
 use crate::peers::frames;
 
-/// Between two looks at a link with outstanding answers.
-const TICK: Duration = Duration::from_millis(50);
-/// Silence after which the owner is asked whether it lives, in milliseconds: a
-/// statement's usual time.
-const PING_MS: u64 = 100;
-/// Silence after which other links are doubted too, in milliseconds: an owner
-/// that lives answers the question within a few round trips between regions.
-const DOUBT_MS: u64 = 250;
-/// Silence after which the link is given up, in milliseconds.
-const LOST_MS: u64 = 1_000;
-/// Messages written in one go at most.
-const BATCH: usize = 64;
-
-type Pending = HashMap<u64, oneshot::Sender<ForwardedAnswer>>;
-type PendingLoans = HashMap<u64, oneshot::Sender<ForwardedLoan>>;
-
-/// What a link's task shares with those who use the link.
+/// Interval between liveness checks while answers are pending.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Silence in milliseconds after which the owner is pinged.
+const PING_AFTER_MS: u64 = 100;
+/// Silence in milliseconds after which all links become suspect. The value exceeds a few
+/// round trips between regions, so a live owner has answered the ping by then.
+const DOUBT_AFTER_MS: u64 = 250;
+/// Silence in milliseconds after which the link is closed.
+const CLOSE_AFTER_MS: u64 = 1_000;
+/// Maximum number of messages per write.
+const MAX_BATCH: usize = 64;
+
+type AnswerSenders = HashMap<u64, oneshot::Sender<ForwardedAnswer>>;
+type LoanSenders = HashMap<u64, oneshot::Sender<ForwardedLoan>>;
+
+/// State shared between a link's task and its handles.
 #[derive(Debug)]
 pub(super) struct LinkState {
     /// The owner's address.
     pub(super) address: SocketAddr,
-    pending: Mutex<Pending>,
-    loans: Mutex<PendingLoans>,
+    pending: Mutex<AnswerSenders>,
+    pending_loans: Mutex<LoanSenders>,
     is_closed: AtomicBool,
-    /// The owner has told that it stops.
+    /// Whether the owner has announced its shutdown.
     pub(super) is_leaving: AtomicBool,
-    /// The owner gave no answer when it was asked whether it lives.
-    pub(super) is_unproven: AtomicBool,
-    /// When the owner last said anything; zero for never.
-    pub(super) heard: watch::Sender<Instant>,
+    /// Whether the owner failed to answer a probe.
+    pub(super) has_failed_probe: AtomicBool,
+    /// Time of the last message from the owner, zero before the first.
+    pub(super) last_heard: watch::Sender<Instant>,
     doubt: Arc<LinkDoubt>,
 }
 
 impl LinkState {
-    /// A link that is open.
+    /// Creates the state of an open link.
     pub(super) fn new(address: SocketAddr, doubt: Arc<LinkDoubt>) -> Self {
         LinkState {
             address,
             pending: Mutex::default(),
-            loans: Mutex::default(),
+            pending_loans: Mutex::default(),
             is_closed: AtomicBool::new(false),
             is_leaving: AtomicBool::new(false),
-            is_unproven: AtomicBool::new(false),
-            heard: watch::Sender::new(Instant::default()),
+            has_failed_probe: AtomicBool::new(false),
+            last_heard: watch::Sender::new(Instant::default()),
             doubt,
         }
     }
 
-    /// Calls that wait for their answers.
-    pub(super) fn pending(&self) -> MutexGuard<'_, Pending> {
+    /// Locks the map of unanswered calls.
+    pub(super) fn pending(&self) -> MutexGuard<'_, AnswerSenders> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Questions for loans that wait for their answers.
-    pub(super) fn loans(&self) -> MutexGuard<'_, PendingLoans> {
-        self.loans.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the map of unanswered loan requests.
+    pub(super) fn pending_loans(&self) -> MutexGuard<'_, LoanSenders> {
+        self.pending_loans.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_waiting(&self) -> bool {
-        !self.pending().is_empty() || !self.loans().is_empty()
+    fn has_pending(&self) -> bool {
+        !self.pending().is_empty() || !self.pending_loans().is_empty()
     }
 
-    /// Whether calls go through.
+    /// Returns whether the link is open.
     pub(super) fn is_open(&self) -> bool {
         !self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Takes in a message; false if it cannot be read.
-    fn take(&self, message: &[u8]) -> bool {
+    /// Dispatches a message from the owner. Returns false if it cannot be decoded.
+    fn handle_message(&self, message: &[u8]) -> bool {
         match decode_forward(message) {
             Ok(ForwardReply::Answer(answer)) => {
                 if let Some(sender) = self.pending().remove(&answer.call) {
-                    // The asking session may be gone.
+                    // The session that sent the call may have ended.
                     let _ = sender.send(answer);
                 }
                 true
             }
             Ok(ForwardReply::Loan(loan)) => {
-                if let Some(sender) = self.loans().remove(&loan.call) {
-                    // The asking task may have gone on without it.
+                if let Some(sender) = self.pending_loans().remove(&loan.call) {
+                    // The task that requested the loan may have stopped waiting.
                     let _ = sender.send(loan);
                 }
                 true
@@ -115,7 +114,7 @@
     }
 }
 
-/// Serves a link until it is lost, or nobody holds it any more.
+/// Runs a link until it is lost or its last handle is dropped.
 pub(super) async fn run(
     state: Arc<LinkState>,
     stream: TcpStream,
@@ -123,48 +122,52 @@
 ) {
     let transport = Framed::new(stream, frames());
     let mut task = LinkTask {
-        heard: clock::now(),
-        asked: clock::now(),
-        received_bytes: 0,
+        last_heard: clock::now(),
+        last_ping: clock::now(),
+        buffered_bytes: 0,
         state,
         transport,
     };
-    let reason = task.pass_messages(requests).await;
+    let reason = task.relay_messages(requests).await;
     let state = task.state;
     state.is_closed.store(true, Ordering::Relaxed);
-    let lost = std::mem::take(&mut *state.pending());
-    state.loans().clear();
+    let abandoned = std::mem::take(&mut *state.pending());
+    state.pending_loans().clear();
     info!(
         "event=owner_link_lost owner={} reason={reason} outstanding={}",
         state.address,
-        lost.len()
+        abandoned.len()
     );
 }
 
 struct LinkTask {
     state: Arc<LinkState>,
     transport: Transport,
-    /// When anything last arrived, or an answer was first awaited.
-    heard: Instant,
-    /// When the owner was last asked whether it lives.
-    asked: Instant,
-    /// Bytes of an unfinished message at the last look.
-    received_bytes: usize,
+    /// Start of the current silence: the last arrival, or the first request after an
+    /// idle period.
+    last_heard: Instant,
+    /// Time of the last ping.
+    last_ping: Instant,
+    /// Size of the partially received message at the last check.
+    buffered_bytes: usize,
 }
 
 impl LinkTask {
-    /// Passes messages both ways until the link is lost; returns why.
-    async fn pass_messages(&mut self, mut requests: mpsc::UnboundedReceiver<ForwardRequest>) -> &'static str {
+    /// Transfers messages in both directions until the link ends, and returns the reason.
+    async fn relay_messages(
+        &mut self,
+        mut requests: mpsc::UnboundedReceiver<ForwardRequest>,
+    ) -> &'static str {
         let mut batch = Vec::new();
         loop {
-            let is_waiting = self.state.is_waiting();
+            let has_pending = self.state.has_pending();
             tokio::select! {
-                count = requests.recv_many(&mut batch, BATCH) => {
+                count = requests.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return "unused";
                     }
-                    if !is_waiting {
-                        self.heard = clock::now();
+                    if !has_pending {
+                        self.last_heard = clock::now();
                     }
                     if write_all(&mut self.transport, &mut batch).await.is_none() {
                         return "write_failed";
@@ -172,14 +175,14 @@
                 }
                 message = self.transport.next() => {
                     let Some(Ok(message)) = message else { return "closed" };
-                    self.heard = clock::now();
-                    self.state.heard.send_replace(self.heard);
-                    if !self.state.take(&message) {
+                    self.last_heard = clock::now();
+                    self.state.last_heard.send_replace(self.last_heard);
+                    if !self.state.handle_message(&message) {
                         return "malformed";
                     }
                 }
-                () = tokio::time::sleep(TICK), if is_waiting => {
-                    if let Err(reason) = self.look().await {
+                () = tokio::time::sleep(CHECK_INTERVAL), if has_pending => {
+                    if let Err(reason) = self.check_liveness().await {
                         return reason;
                     }
                 }
@@ -187,25 +190,25 @@
         }
     }
 
-    /// Looks for silence while answers are awaited; fails with the reason why the
+    /// Handles silence of the owner while answers are pending. Fails with the reason if the
     /// link is lost.
-    async fn look(&mut self) -> Result<(), &'static str> {
+    async fn check_liveness(&mut self) -> Result<(), &'static str> {
         let now = clock::now();
-        // A long answer arrives in parts: an owner that sends one lives.
-        let received_before = self.received_bytes;
-        self.received_bytes = self.transport.read_buffer().len();
-        if self.received_bytes > received_before {
-            self.heard = now;
+        // A partially received message also proves that the owner is alive.
+        let buffered_before = self.buffered_bytes;
+        self.buffered_bytes = self.transport.read_buffer().len();
+        if self.buffered_bytes > buffered_before {
+            self.last_heard = now;
         }
-        let silent_ms = now.millis_since(self.heard);
-        if silent_ms > LOST_MS {
+        let silent_ms = now.millis_since(self.last_heard);
+        if silent_ms > CLOSE_AFTER_MS {
             return Err("silent");
         }
-        if silent_ms > DOUBT_MS {
+        if silent_ms > DOUBT_AFTER_MS {
             self.state.doubt.raise();
         }
-        if silent_ms > PING_MS && now.millis_since(self.asked) > PING_MS {
-            self.asked = now;
+        if silent_ms > PING_AFTER_MS && now.millis_since(self.last_ping) > PING_AFTER_MS {
+            self.last_ping = now;
             let written = write_all(&mut self.transport, &mut vec![ForwardRequest::Ping]).await;
             written.ok_or("write_failed")?;
         }
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -1,6 +1,6 @@
-//! Links to owners: opened in the background when first needed, and again
-//! after they are lost. A statement waits only while a link is being opened
-//! that was not found down before.
+//! Pool of links to owners. Links are opened in the background on first use and
+//! reopened after they are lost. A statement waits for a link that is being opened
+//! unless the previous attempt to open it failed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,48 +18,45 @@
 use super::link::OwnerLink;
 use crate::clock;
 
-/// A link opens within this time, or not.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Between the first two tries to open a link; the pause doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause between two tries.
-const MOST_PAUSE: Duration = Duration::from_millis(1_600);
-/// A link that nobody has wanted for this time is no longer tried, in
-/// milliseconds.
-const WANTED_MS: u64 = 5_000;
-/// A link on which the owner was heard within this time needs no proof, in
-/// milliseconds.
-const PROVEN_MS: u64 = 1_000;
-/// An owner that lives answers within this time: a few round trips between
-/// regions, on a busy machine.
-const PROOF_LIMIT: Duration = Duration::from_millis(150);
-/// Unacknowledged bytes break a link after this time.
+/// Timeout for opening a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before the first retry to open a link; doubles with each retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Upper bound of the delay between retries.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
+/// Time in milliseconds after the last request for a link at which retries stop.
+const RETRY_INTEREST_MS: u64 = 5_000;
+/// Age in milliseconds up to which a message from the owner makes a probe unnecessary.
+const RECENTLY_HEARD_MS: u64 = 1_000;
+/// Timeout of a liveness probe, which allows for a few round trips between regions.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
+/// TCP user timeout: a link breaks if sent bytes stay unacknowledged for this time.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 #[derive(Debug, Default)]
 struct Slot {
     link: Option<Arc<OwnerLink>>,
-    /// A task opens the link.
-    is_opening: bool,
-    /// The last try failed.
+    /// Whether a task is opening the link.
+    is_connecting: bool,
+    /// Whether the last attempt to open the link failed.
     is_down: bool,
-    /// When a statement last wanted the link.
-    wanted: Instant,
+    /// Time of the last request for the link.
+    last_requested: Instant,
 }
 
 impl Slot {
-    fn open_link(&self) -> Option<&Arc<OwnerLink>> {
+    fn usable_link(&self) -> Option<&Arc<OwnerLink>> {
         self.link.as_ref().filter(|link| link.takes_leases())
     }
 }
 
-/// Links by the owner's address.
+/// Links to owners, keyed by address.
 #[derive(Debug, Default)]
 pub(super) struct Links {
     slots: Mutex<HashMap<SocketAddr, Slot>>,
-    /// A link was opened, or not.
-    settled: Notify,
-    /// Whether links can be trusted.
+    /// Notified after each attempt to open a link.
+    attempt_finished: Notify,
+    /// Whether links must be probed before use.
     doubt: Arc<LinkDoubt>,
 }
 
@@ -68,28 +65,28 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The usable link with the fewest calls under way among `addresses`; the
-    /// first of equals. Links that are missing are opened in the background.
-    pub(super) fn best(self: &Arc<Self>, addresses: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
+    /// Returns the usable link among `addresses` with the fewest pending calls, the first
+    /// of several. Missing links are opened in the background.
+    pub(super) fn least_loaded(self: &Arc<Self>, addresses: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
         let mut missing = Vec::new();
         let mut best: Option<Arc<OwnerLink>> = None;
         {
             let mut slots = self.slots();
             for address in addresses {
                 let slot = slots.entry(*address).or_default();
-                slot.wanted = clock::now();
-                match slot.open_link() {
+                slot.last_requested = clock::now();
+                match slot.usable_link() {
                     Some(link) if link.is_leaving() => {}
                     Some(link) => {
-                        let is_better = best
+                        let is_less_loaded = best
                             .as_ref()
-                            .is_none_or(|best| link.outstanding() < best.outstanding());
-                        if is_better {
+                            .is_none_or(|best| link.pending_calls() < best.pending_calls());
+                        if is_less_loaded {
                             best = Some(link.clone());
                         }
                     }
-                    None if !slot.is_opening => {
-                        slot.is_opening = true;
+                    None if !slot.is_connecting => {
+                        slot.is_connecting = true;
                         missing.push(*address);
                     }
                     None => {}
@@ -97,41 +94,44 @@
             }
         }
         for address in missing {
-            tokio::spawn(self.clone().keep_opening(address));
+            tokio::spawn(self.clone().connect_with_retry(address));
         }
         best
     }
 
-    /// A node gave no answer: links may be cut.
-    pub(super) fn doubt(&self) {
+    /// Marks all links as suspect after a node failed to answer.
+    pub(super) fn raise_doubt(&self) {
         self.doubt.raise();
     }
 
-    /// As [`Links::best`]; while links are doubted, only one on which the owner
-    /// was heard lately or answers now.
-    pub(super) async fn best_proven(self: &Arc<Self>, addresses: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
-        let best = self.best(addresses)?;
-        if !self.doubt.is_raised() || best.was_heard_within(PROVEN_MS) {
+    /// Like [`Links::least_loaded`], but while links are suspect only returns one whose
+    /// owner has sent a message recently or answers a probe.
+    pub(super) async fn least_loaded_live(
+        self: &Arc<Self>,
+        addresses: &[SocketAddr],
+    ) -> Option<Arc<OwnerLink>> {
+        let best = self.least_loaded(addresses)?;
+        if !self.doubt.is_raised() || best.heard_within(RECENTLY_HEARD_MS) {
             return Some(best);
         }
-        let open = self.open_links(addresses);
-        let heard = open.iter().find(|link| link.was_heard_within(PROVEN_MS));
-        if let Some(heard) = heard {
-            return Some(heard.clone());
+        let usable = self.usable_links(addresses);
+        let recent = usable.iter().find(|link| link.heard_within(RECENTLY_HEARD_MS));
+        if let Some(recent) = recent {
+            return Some(recent.clone());
         }
-        let mut proofs: FuturesUnordered<_> = open.into_iter().map(|link| self.proven(link)).collect();
-        while let Some(proven) = proofs.next().await {
-            if proven.is_some() {
-                return proven;
+        let mut probes: FuturesUnordered<_> = usable.into_iter().map(|link| self.probe(link)).collect();
+        while let Some(live_link) = probes.next().await {
+            if live_link.is_some() {
+                return live_link;
             }
         }
         None
     }
 
-    /// The link if its owner proves that it lives; else it is given up here, and
-    /// ends with the last lease on it.
-    async fn proven(&self, link: Arc<OwnerLink>) -> Option<Arc<OwnerLink>> {
-        if link.prove(PROOF_LIMIT).await {
+    /// Returns the link if its owner answers a probe. Otherwise removes the link from the
+    /// pool; it closes with its last lease.
+    async fn probe(&self, link: Arc<OwnerLink>) -> Option<Arc<OwnerLink>> {
+        if link.prove(PROBE_TIMEOUT).await {
             return Some(link);
         }
         if let Some(slot) = self.slots().get_mut(&link.address()) {
@@ -140,57 +140,60 @@
         None
     }
 
-    /// The usable links among `addresses`.
-    fn open_links(&self, addresses: &[SocketAddr]) -> Vec<Arc<OwnerLink>> {
+    /// Returns the usable links among `addresses`.
+    fn usable_links(&self, addresses: &[SocketAddr]) -> Vec<Arc<OwnerLink>> {
         let slots = self.slots();
         let links = addresses
             .iter()
-            .filter_map(|address| slots.get(address)?.open_link());
+            .filter_map(|address| slots.get(address)?.usable_link());
         links.filter(|link| !link.is_leaving()).cloned().collect()
     }
 
-    /// As [`Links::best`], waiting while a link is opened that was not found
-    /// down.
-    pub(super) async fn await_best(self: &Arc<Self>, addresses: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
-        let deadline = tokio::time::Instant::now() + CONNECT_LIMIT;
+    /// Like [`Links::least_loaded`], but waits while a link is being opened whose previous
+    /// attempt did not fail.
+    pub(super) async fn await_least_loaded(
+        self: &Arc<Self>,
+        addresses: &[SocketAddr],
+    ) -> Option<Arc<OwnerLink>> {
+        let deadline = tokio::time::Instant::now() + CONNECT_TIMEOUT;
         loop {
-            let settled = self.settled.notified();
-            if let Some(link) = self.best(addresses) {
+            let attempt_finished = self.attempt_finished.notified();
+            if let Some(link) = self.least_loaded(addresses) {
                 return Some(link);
             }
-            if !self.is_any_opening(addresses) {
+            if !self.is_any_connecting(addresses) {
                 return None;
             }
-            tokio::time::timeout_at(deadline, settled).await.ok()?;
+            tokio::time::timeout_at(deadline, attempt_finished).await.ok()?;
         }
     }
 
-    fn is_any_opening(&self, addresses: &[SocketAddr]) -> bool {
+    fn is_any_connecting(&self, addresses: &[SocketAddr]) -> bool {
         let slots = self.slots();
         addresses.iter().any(|address| {
             slots
                 .get(address)
-                .is_some_and(|slot| slot.is_opening && !slot.is_down)
+                .is_some_and(|slot| slot.is_connecting && !slot.is_down)
         })
     }
 
-    /// Tries to open a link until it is open, or nobody wants it any more.
-    async fn keep_opening(self: Arc<Self>, address: SocketAddr) {
-        let mut pause = FIRST_PAUSE;
+    /// Retries opening a link until it succeeds or the link is no longer requested.
+    async fn connect_with_retry(self: Arc<Self>, address: SocketAddr) {
+        let mut delay = MIN_RETRY_DELAY;
         loop {
-            let link = open(address, self.doubt.clone()).await;
-            let is_done = self.settle(address, link);
-            self.settled.notify_waiters();
-            if is_done {
+            let link = connect(address, self.doubt.clone()).await;
+            let is_finished = self.record_attempt(address, link);
+            self.attempt_finished.notify_waiters();
+            if is_finished {
                 return;
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MOST_PAUSE);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Takes in how a try ended; true if there is nothing left to do.
-    fn settle(&self, address: SocketAddr, link: Option<Arc<OwnerLink>>) -> bool {
+    /// Records the result of an attempt to open a link. Returns whether to stop retrying.
+    fn record_attempt(&self, address: SocketAddr, link: Option<Arc<OwnerLink>>) -> bool {
         let mut slots = self.slots();
         let slot = slots.entry(address).or_default();
         if link.is_some() {
@@ -198,7 +201,7 @@
                 info!("event=owner_regained owner={address}");
             }
             slot.link = link;
-            slot.is_opening = false;
+            slot.is_connecting = false;
             slot.is_down = false;
             return true;
         }
@@ -206,19 +209,22 @@
             info!("event=owner_unreachable owner={address}");
         }
         slot.is_down = true;
-        let is_wanted = clock::now().millis_since(slot.wanted) < WANTED_MS;
-        if !is_wanted {
-            slot.is_opening = false;
+        let is_requested = clock::now().millis_since(slot.last_requested) < RETRY_INTEREST_MS;
+        if !is_requested {
+            slot.is_connecting = false;
             slot.is_down = false;
         }
-        !is_wanted
+        !is_requested
     }
 }
 
-async fn open(address: SocketAddr, doubt: Arc<LinkDoubt>) -> Option<Arc<OwnerLink>> {
+async fn connect(address: SocketAddr, doubt: Arc<LinkDoubt>) -> Option<Arc<OwnerLink>> {
     let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(CONNECT_LIMIT, connecting).await.ok()?.ok()?;
-    // Without it small messages wait for acknowledgements.
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
+        .await
+        .ok()?
+        .ok()?;
+    // Nagle's algorithm would delay small messages.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
     Some(OwnerLink::start(address, stream, doubt))
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -1,4 +1,4 @@
-//! Between the engine's terms and the messages of the forwarding protocol.
+//! Converts between engine types and messages of the forwarding protocol.
 
 use std::collections::BTreeMap;
 
@@ -20,8 +20,8 @@
 use crate::node::Engine;
 use crate::statement::{BackEndError, BackEndErrorKind, Command, Reply, TransactionState};
 
-/// Numbers of the kinds of back-end errors on the wire.
-const BACK_END_KINDS: [(u8, BackEndErrorKind); 9] = [
+/// Wire codes of back-end error kinds.
+const BACK_END_ERROR_CODES: [(u8, BackEndErrorKind); 9] = [
     (1, BackEndErrorKind::Busy),
     (2, BackEndErrorKind::Behind),
     (3, BackEndErrorKind::ReadOnly),
@@ -33,8 +33,8 @@
     (9, BackEndErrorKind::Other),
 ];
 
-/// Numbers of the failures of links on the wire.
-const LINK_ERRORS: [(u8, LinkError); 14] = [
+/// Wire codes of link errors.
+const LINK_ERROR_CODES: [(u8, LinkError); 14] = [
     (1, LinkError::Refused),
     (2, LinkError::ConnectTimeout),
     (3, LinkError::TurnedAway),
@@ -92,8 +92,8 @@
     }
 }
 
-/// Times that travel as ages are taken for later than they were, by the time
-/// on the way: that asks for a newer position, never for an older one.
+/// Decodes a floor. Times are sent as ages, so they shift later by the transit time.
+/// The shift can only make the floor stricter.
 pub(super) fn read_floor(floor: &ForwardedFloor) -> ReadFloor {
     match floor {
         ForwardedFloor::Any => ReadFloor::Any,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The tenant on whose behalf a lease is, at most one.
+/// Encodes the user of a lease as a list of at most one tenant.
 pub(super) fn write_user(user: &ConnectionUser) -> Vec<ForwardedTenant> {
     let tenant = |name: &TenantName| ForwardedTenant { name: name.0.clone() };
     user.tenant().map(tenant).into_iter().collect()
@@ -134,7 +134,8 @@
     session.values.iter().map(value).collect()
 }
 
-/// The asking session's values; its prepared statements travel as needed.
+/// Decodes the session's values. Prepared statements are sent with the statement that
+/// executes them.
 pub(super) fn read_session(values: &[ForwardedValue]) -> SessionState {
     let pair = |value: &ForwardedValue| (value.name.clone(), value.value.clone());
     SessionState {
@@ -143,7 +144,7 @@
     }
 }
 
-/// The caller's text, or the prepared statement that is executed instead.
+/// Encodes a command as its text, or as the execution of a prepared statement.
 pub(super) fn write_command(command: &Command<'_>) -> (String, Vec<ForwardedExecution>) {
     match command {
         Command::Execute { statement, arguments } => {
@@ -155,12 +156,13 @@
             (String::new(), vec![execution])
         }
         Command::Text(text) => ((*text).to_owned(), Vec::new()),
-        // The engine forwards callers' statements only.
+        // Only callers' statements are forwarded, which are one of the above.
         _ => (String::new(), Vec::new()),
     }
 }
 
-/// The prepared statement that a forwarded statement executes.
+/// Returns the prepared statement that a forwarded statement executes, and its
+/// arguments.
 pub(super) fn read_execution(statement: &ForwardedStatement) -> Option<(PreparedStatement, &str)> {
     let execution = statement.execution.first()?;
     let access = match execution.writes {
@@ -220,7 +222,7 @@
 }
 
 fn write_back_end_error(error: BackEndError) -> ForwardedOutcome {
-    let number = BACK_END_KINDS.iter().find(|(_, kind)| *kind == error.kind);
+    let number = BACK_END_ERROR_CODES.iter().find(|(_, kind)| *kind == error.kind);
     ForwardedOutcome::BackEnd {
         kind: number.map_or(0, |(number, _)| *number),
         code: error.code,
@@ -232,13 +234,13 @@
     if let LinkError::WarmingUp { retry_after_ms } = *error {
         return ForwardedOutcome::WarmingUp { retry_after_ms };
     }
-    let number = LINK_ERRORS.iter().find(|(_, kind)| kind == error);
+    let number = LINK_ERROR_CODES.iter().find(|(_, kind)| kind == error);
     ForwardedOutcome::Link {
         kind: number.map_or(0, |(number, _)| *number),
     }
 }
 
-/// What the owner answered, as if this node had asked the instance itself.
+/// Decodes an owner's answer to the result that a local connection would return.
 pub(super) fn read_answer(answer: ForwardedAnswer) -> Result<Reply, AttemptError> {
     match answer.outcome {
         ForwardedOutcome::Complete { signature } => Ok(Reply {
@@ -248,13 +250,13 @@
             position: answer.position.first().copied().map(read_position),
         }),
         ForwardedOutcome::BackEnd { kind, code, text } => {
-            let known = BACK_END_KINDS.iter().find(|(number, _)| *number == kind);
+            let known = BACK_END_ERROR_CODES.iter().find(|(number, _)| *number == kind);
             let kind = known.map_or(BackEndErrorKind::Other, |(_, kind)| *kind);
             Err(AttemptError::BackEnd(BackEndError { kind, code, text }))
         }
         ForwardedOutcome::Link { kind } => {
-            let known = LINK_ERRORS.iter().find(|(number, _)| *number == kind);
-            // A failure of unknown kind says nothing about what has run.
+            let known = LINK_ERROR_CODES.iter().find(|(number, _)| *number == kind);
+            // An unknown code does not tell whether the statement has run.
             let error = known.map_or(LinkError::Protocol, |(_, error)| error.clone());
             Err(AttemptError::Link(error))
         }
@@ -264,7 +266,8 @@
     }
 }
 
-/// What this node has seen of a group's leader.
+/// Returns this node's latest observation of a group's leader. Returns `None` without
+/// one, or if the observation is of a later term than the known leader's.
 pub(crate) fn leader_report(engine: &Engine, group: &GroupName) -> Option<LeaderReport> {
     let leader = engine.directory.leader(group)?;
     let newest = engine.directory.newest_observation(group)?;
@@ -277,16 +280,16 @@
     })
 }
 
-/// Takes in what another node has seen of a group's leader, in its answer to a
-/// question sent at `sent`: it had asked the leader no earlier than the age
-/// that it tells before that.
+/// Records another node's observation of a group's leader, received in the answer to a
+/// request sent at `sent`. The age of the observation is subtracted from `sent`, which
+/// gives a lower bound of the time when that node queried the leader.
 pub(crate) fn take_leader_report(engine: &Engine, group: &GroupName, report: &LeaderReport, sent: Instant) {
     let asked = Instant(sent.0.saturating_sub(report.asked_ago_us));
     let instance = InstanceName(report.instance.clone());
     let position = read_position(report.position);
     let directory = &engine.directory;
     if !directory.is_of_present_life(&instance, asked) {
-        // The peer has not heard yet that it began anew.
+        // The observation is of a previous incarnation of the instance.
         return;
     }
     directory.leads_term(group, &instance, Term(report.term));
--- a/crates/millwind-engine/src/forward/mod.rs
+++ b/crates/millwind-engine/src/forward/mod.rs
@@ -1,13 +1,13 @@
-//! Forwarding of statements to the nodes that own connections.
+//! Forwards statements to the nodes that own connections to an instance.
 //!
-//! An instance accepts few connections. While there are few nodes each holds
-//! its share of them. With many nodes, a few owners per instance hold them and
-//! run the statements of all others. Owners are chosen by rendezvous hashing,
-//! first among the nodes of the instance's own zone, so that a forwarded
-//! statement crosses zones no more often than one that is sent directly. Views
-//! of the set of nodes may differ for a while: every node runs what it is
-//! asked, within a limit of its own, so nothing but a few connections depends
-//! on agreement.
+//! An instance accepts a limited number of connections. In a small cluster every
+//! node holds a share of them. In a large cluster a few owners per instance hold
+//! the connections and run the statements of the other nodes. Owners are chosen
+//! by rendezvous hashing and preferably in the instance's zone, so that a
+//! forwarded statement crosses zones no more often than a direct one. Nodes may
+//! temporarily disagree on the membership: every node runs the statements that
+//! are forwarded to it, within its own connection limit, so a disagreement only
+//! affects the number of connections.
 
 use binrw::BinWrite;
 use bytes::Bytes;
@@ -33,10 +33,10 @@
 
 pub(crate) use messages::{leader_report, take_leader_report};
 
-/// A link between two nodes.
+/// A framed connection between two nodes.
 type Transport = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Writes all messages in one go; none if the link is lost.
+/// Writes and flushes all messages of the batch. Returns `None` if the link is lost.
 async fn write_all<T>(transport: &mut Transport, batch: &mut Vec<T>) -> Option<()>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -1,5 +1,5 @@
-//! Which nodes own the connections to an instance, and through which of them
-//! a statement goes.
+//! Determines which nodes own the connections to an instance, and routes
+//! statements to them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,109 +19,110 @@
 use crate::clock;
 use crate::registry::{OwnedPlace, Owner, OwnersOf, Registry};
 
-/// Nodes that own connections to an instance.
+/// Number of nodes that own connections to an instance.
 pub const OWNERS: usize = 3;
-/// Nodes that stand in while no owner is reached.
+/// Number of stand-ins, which are used while no owner is reachable.
 pub const STAND_INS: usize = 5;
-/// An owner that does not reach an instance is left alone for it for this
-/// long, in milliseconds.
-const AVOID_MS: u64 = 400;
-
-/// A node that reaches no owner for this time uses connections of its own, in
-/// milliseconds.
-const ALONE_MS: u64 = 1_000;
-/// After this time without a need for owners their absence is looked at anew, in
-/// milliseconds.
-const FORGET_MS: u64 = 3_000;
-
-/// What a node is to an instance.
+/// Time in milliseconds for which an owner that failed to reach an instance gets no
+/// statements for that instance.
+const AVOIDANCE_MS: u64 = 400;
+
+/// Time in milliseconds without a reachable owner after which a node uses its own
+/// connections.
+const DIRECT_FALLBACK_MS: u64 = 1_000;
+/// Time in milliseconds without a failed lookup after which a new period of
+/// unreachable owners starts.
+const UNREACHED_RESET_MS: u64 = 3_000;
+
+/// Role of this node for the connections to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It owns connections.
+    /// The node owns connections.
     Owner,
-    /// It stands in for owners.
+    /// The node serves while no owner is reachable.
     StandIn,
-    /// Neither.
+    /// The node forwards statements to owners.
     Other,
 }
 
-/// Which way a statement goes.
+/// How a statement reaches its instance.
 #[derive(Debug, Clone)]
 pub enum Route {
-    /// Over this node's own connections.
+    /// Over a connection of this node.
     Own,
     /// Through the node at the other end of the link.
     Through(Arc<OwnerLink>),
-    /// Every node that could run it has just failed to reach the instance.
+    /// No node that could run the statement is currently reachable or reaches the
+    /// instance.
     Unreachable,
 }
 
-/// The nodes that the text of a statement may travel to.
+/// Restricts the nodes that may receive the text of a statement.
 #[derive(Debug, Clone, Copy)]
 pub struct Carriers<'a> {
-    /// Regions that the statement's customer allows.
+    /// Regions that the customer allows.
     pub regions: &'a AllowedRegions,
-    /// Regions of the zones.
+    /// Maps zones to regions.
     pub topology: &'a Topology,
 }
 
 impl Carriers<'_> {
-    fn allow(&self, node: &Owner) -> bool {
+    fn permits(&self, node: &Owner) -> bool {
         OwnerCandidate::is_carrier(self.regions, self.topology, &node.zone)
     }
 }
 
-/// What a statement's way follows from.
+/// Inputs of a routing decision.
 #[derive(Debug, Clone, Copy)]
 pub struct Way<'a> {
-    /// The nodes.
+    /// The known nodes.
     pub registry: &'a Registry,
-    /// The instance.
+    /// The instance that the statement runs on.
     pub record: &'a InstanceRecord,
-    /// Nodes that it may pass.
+    /// Nodes that the statement may be forwarded to.
     pub carriers: Carriers<'a>,
-    /// This node uses its own connections where it owns some.
+    /// Whether this node uses its own connections if it is an owner.
     pub prefers_own: bool,
 }
 
-type Ranked = Arc<Vec<Owner>>;
+type RankedOwners = Arc<Vec<Owner>>;
 
-/// The ranking of one instance for statements that may pass all nodes.
+/// Ranked nodes of an instance for statements without region restrictions.
 #[derive(Debug, Clone)]
-struct PlainRanking {
-    /// Version of the registry that it follows from.
+struct UnrestrictedRanking {
+    /// Version of the registry that the ranking was computed from.
     version: u64,
-    /// Zone of the instance, which may come back under its name in another one.
+    /// Zone of the instance. A recreated instance may have the same name in another zone.
     zone: ZoneName,
-    /// Owners, and those that stand in for them.
+    /// Owners and stand-ins.
     nodes: Arc<OwnersOf>,
-    /// Both, first ones first.
-    ranked: Ranked,
+    /// Owners followed by stand-ins, in rank order.
+    ranked: RankedOwners,
 }
 
-/// What an instance's ranking follows from: a statement that may not pass all nodes has
-/// one of its own. Customers differ in few sets of regions.
+/// Cache key of the ranking for a set of allowed regions. Customers use few distinct
+/// sets, so the cache stays small.
 type RankingKey = (InstanceName, ZoneName, AllowedRegions);
 
-/// Owners of all instances.
+/// Ranks the owners of instances and routes statements to them.
 #[derive(Debug, Default)]
 pub struct Owners {
     links: Arc<Links>,
-    /// Regions of the zones.
+    /// Maps zones to regions.
     topology: Topology,
-    /// The ranking for statements that may pass all nodes, by instance.
-    plain: Mutex<HashMap<InstanceName, PlainRanking>>,
-    /// The ranking by what other statements may pass, with the version of the registry
-    /// that it follows from.
-    allowed: Mutex<HashMap<RankingKey, (u64, Arc<OwnersOf>)>>,
+    /// Cached rankings for unrestricted statements.
+    unrestricted: Mutex<HashMap<InstanceName, UnrestrictedRanking>>,
+    /// Cached rankings for restricted statements, with the version of the registry that
+    /// each was computed from.
+    restricted: Mutex<HashMap<RankingKey, (u64, Arc<OwnersOf>)>>,
     avoided: Mutex<HashMap<(SocketAddr, InstanceName), Instant>>,
-    /// Since when no owner of an instance is reached, and when that was last
-    /// found.
-    unreached: Mutex<HashMap<InstanceName, (Instant, Instant)>>,
+    /// Per instance, the start of the period without a reachable owner and the time of the
+    /// last failed lookup.
+    unreached_periods: Mutex<HashMap<InstanceName, (Instant, Instant)>>,
 }
 
 impl Owners {
-    /// Owners where the zones lie in these regions.
+    /// Creates a router for zones that are located as `topology` says.
     pub fn new(topology: Topology) -> Self {
         Owners {
             topology,
@@ -129,39 +130,40 @@
         }
     }
 
-    /// Owners of `record` and then those that stand in for them.
-    pub fn ranked(&self, registry: &Registry, record: &InstanceRecord) -> Ranked {
-        self.plain(registry, record).ranked
+    /// Returns the owners of `record` followed by the stand-ins.
+    pub fn ranked(&self, registry: &Registry, record: &InstanceRecord) -> RankedOwners {
+        self.unrestricted_ranking(registry, record).ranked
     }
 
-    /// Each forwarded statement asks for it: nothing is allocated while it holds.
-    fn plain(&self, registry: &Registry, record: &InstanceRecord) -> PlainRanking {
+    /// Returns the cached ranking, recomputed if the registry or the instance's zone has
+    /// changed. A cache hit does not copy the rankings, since every forwarded statement
+    /// calls this function.
+    fn unrestricted_ranking(&self, registry: &Registry, record: &InstanceRecord) -> UnrestrictedRanking {
         let version = registry.version();
-        let mut plain = self.plain.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(held) = plain.get(&record.name)
-            && held.version == version
-            && held.zone == record.zone
+        let mut unrestricted = self.unrestricted.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(cached) = unrestricted.get(&record.name)
+            && cached.version == version
+            && cached.zone == record.zone
         {
-            return held.clone();
+            return cached.clone();
         }
-        let nodes = self.find(registry, record, &AllowedRegions::Any);
+        let nodes = self.rank(registry, record, &AllowedRegions::Any);
         let ranked = nodes.owners.iter().chain(&nodes.stand_ins).cloned().collect();
-        let found = PlainRanking {
+        let found = UnrestrictedRanking {
             version,
             zone: record.zone.clone(),
             nodes: Arc::new(nodes),
             ranked: Arc::new(ranked),
         };
-        plain.insert(record.name.clone(), found.clone());
+        unrestricted.insert(record.name.clone(), found.clone());
         found
     }
 
-    /// Owners of `record`, and those that stand in for them, which the text of a
-    /// statement may travel to; this node among them wherever it stands, since the
-    /// statement is here already.
-    fn allowed(&self, way: &Way<'_>) -> Arc<OwnersOf> {
+    /// Returns the owners and stand-ins that may receive the text of the statement. This
+    /// node is always permitted, because it already has the text.
+    fn permitted_owners(&self, way: &Way<'_>) -> Arc<OwnersOf> {
         if way.carriers.regions.is_any() {
-            return self.plain(way.registry, way.record).nodes;
+            return self.unrestricted_ranking(way.registry, way.record).nodes;
         }
         let version = way.registry.version();
         let key = (
@@ -169,20 +171,20 @@
             way.record.zone.clone(),
             way.carriers.regions.clone(),
         );
-        let mut allowed = self.allowed.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((held, owners)) = allowed.get(&key)
-            && *held == version
+        let mut restricted = self.restricted.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((cached_version, owners)) = restricted.get(&key)
+            && *cached_version == version
         {
             return owners.clone();
         }
-        let owners = Arc::new(self.find(way.registry, way.record, way.carriers.regions));
-        // What other versions of the registry or of the terms left behind.
-        allowed.retain(|_, (held, _)| *held == version);
-        allowed.insert(key, (version, owners.clone()));
+        let owners = Arc::new(self.rank(way.registry, way.record, way.carriers.regions));
+        // Drops rankings of other registry versions.
+        restricted.retain(|_, (cached_version, _)| *cached_version == version);
+        restricted.insert(key, (version, owners.clone()));
         owners
     }
 
-    fn find(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> OwnersOf {
+    fn rank(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> OwnersOf {
         let place = OwnedPlace {
             instance: &record.name,
             zone: &record.zone,
@@ -196,8 +198,8 @@
         registry.owners(&place, sought)
     }
 
-    /// Whether this node owns connections to `record`. Few nodes are weighed for it: one
-    /// of another zone need not be told who does.
+    /// Returns whether this node owns connections to `record`. The full ranking is
+    /// only computed if the nodes of the instance's zone don't decide the answer.
     pub fn owns(&self, registry: &Registry, record: &InstanceRecord) -> bool {
         if !registry.is_listed() {
             return false;
@@ -206,8 +208,8 @@
         within.unwrap_or_else(|| self.standing(registry, record) == Standing::Owner)
     }
 
-    /// What this node is to `record`: nothing before it knows the other nodes,
-    /// since it would take itself for the owner of every instance.
+    /// Returns this node's role for `record`. The role is [`Standing::Other`] until the
+    /// other nodes are known, because the node would otherwise own every instance.
     pub fn standing(&self, registry: &Registry, record: &InstanceRecord) -> Standing {
         if !registry.is_listed() {
             return Standing::Other;
@@ -220,9 +222,9 @@
         }
     }
 
-    /// An owner did not reach `instance`.
+    /// Excludes an owner that failed to reach `instance` from routing for a while.
     pub fn avoid(&self, owner: SocketAddr, instance: &InstanceName) {
-        let until = clock::now().plus_millis(AVOID_MS);
+        let until = clock::now().plus_millis(AVOIDANCE_MS);
         let mut avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
         avoided.retain(|_, until| *until > clock::now());
         avoided.insert((owner, instance.clone()), until);
@@ -235,134 +237,141 @@
             .is_some_and(|until| *until > clock::now())
     }
 
-    /// A node gave no answer: links to owners may be cut.
+    /// Marks the links to owners as suspect after a node failed to answer.
     pub fn doubt_links(&self) {
-        self.links.doubt();
+        self.links.raise_doubt();
     }
 
-    /// A link to the node at `address`, opened if need be.
+    /// Returns a link to the node at `address`, connecting if necessary. Returns `None`
+    /// if the node is not reached.
     pub async fn link_to(&self, address: SocketAddr) -> Option<Arc<OwnerLink>> {
-        match self.links.best_proven(&[address]).await {
+        match self.links.least_loaded_live(&[address]).await {
             Some(link) => Some(link),
-            None => self.links.await_best(&[address]).await,
+            None => self.links.await_least_loaded(&[address]).await,
         }
     }
 
-    /// Whether the node at `address` has said anything over its link within `recent_ms`,
-    /// or answers within `limit`; false where no link is open.
+    /// Returns whether the node at `address` has sent a message within the last
+    /// `recent_ms`, or answers a ping within `limit`. Returns false if no link is open.
     pub async fn answers(&self, address: SocketAddr, recent_ms: u64, limit: Duration) -> bool {
-        match self.links.best(&[address]) {
-            Some(link) => link.was_heard_within(recent_ms) || link.answers(limit).await,
+        match self.links.least_loaded(&[address]) {
+            Some(link) => link.heard_within(recent_ms) || link.answers(limit).await,
             None => false,
         }
     }
 
-    /// The way of a statement to its instance. A node that reaches no owner uses
-    /// connections of its own.
+    /// Chooses the route of a statement. A node that has not reached any owner for a while
+    /// uses its own connections.
     pub async fn route(&self, way: &Way<'_>) -> Route {
         let record = way.record;
-        let allowed = self.allowed(way);
-        if way.prefers_own && allowed.owners.iter().any(|owner| owner.is_self) {
+        let permitted = self.permitted_owners(way);
+        if way.prefers_own && permitted.owners.iter().any(|owner| owner.is_self) {
             return Route::Own;
         }
-        if is_without_carriers(way, &allowed) {
+        if has_no_permitted_nodes(way, &permitted) {
             return Route::Own;
         }
         let mut was_avoided = false;
-        let owners = self.usable(&allowed.owners, way, &mut was_avoided);
-        let stand_ins = self.usable(&allowed.stand_ins, way, &mut was_avoided);
-        let found = match self.links.best_proven(&owners).await {
+        let owners = self.available_addresses(&permitted.owners, way, &mut was_avoided);
+        let stand_ins = self.available_addresses(&permitted.stand_ins, way, &mut was_avoided);
+        let found = match self.links.least_loaded_live(&owners).await {
             Some(link) => Some(link),
-            None => self.await_any(&owners, &stand_ins).await,
+            None => self.await_owner_or_stand_in(&owners, &stand_ins).await,
         };
         if let Some(link) = found {
-            self.unreached().remove(&record.name);
+            self.unreached_periods().remove(&record.name);
             return Route::Through(link);
         }
-        if was_avoided || !self.is_alone(&record.name) {
+        if was_avoided || !self.may_connect_directly(&record.name) {
             return Route::Unreachable;
         }
         Route::Own
     }
 
-    /// The way of a tenant's statement to `record`: through the owner that comes first
-    /// for the tenant, so that it finds the connection of the tenant's last statement
-    /// open. Only where that one is not reached another owner opens one of its own.
+    /// Chooses the route of a tenant's statement. The tenant's preferred owner comes
+    /// first, because it likely still has a connection of this tenant open; other owners
+    /// are used while the preferred one is unreachable.
     pub async fn route_of_tenant(&self, way: &Way<'_>, tenant: &TenantName) -> Route {
         let record = way.record;
-        let allowed = self.allowed(way);
-        let owners = &allowed.owners;
+        let permitted = self.permitted_owners(way);
+        let owners = &permitted.owners;
         let names: Vec<_> = owners.iter().map(|owner| owner.address.to_string()).collect();
         for index in affinity::order(tenant.as_str(), &names) {
             let owner = &owners[index];
             if owner.is_self && way.prefers_own {
                 return Route::Own;
             }
-            let is_unused = owner.is_self || !way.carriers.allow(owner);
+            let is_unused = owner.is_self || !way.carriers.permits(owner);
             if is_unused || self.is_avoided(owner.address, &record.name) {
                 continue;
             }
-            if let Some(link) = self.links.best_proven(&[owner.address]).await {
-                self.unreached().remove(&record.name);
+            if let Some(link) = self.links.least_loaded_live(&[owner.address]).await {
+                self.unreached_periods().remove(&record.name);
                 return Route::Through(link);
             }
         }
         self.route(way).await
     }
 
-    fn unreached(&self) -> MutexGuard<'_, HashMap<InstanceName, (Instant, Instant)>> {
-        self.unreached.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unreached_periods(&self) -> MutexGuard<'_, HashMap<InstanceName, (Instant, Instant)>> {
+        self.unreached_periods
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether no owner has been reached for a while: after a common start all
-    /// nodes would else take connections before the owners are up.
-    fn is_alone(&self, instance: &InstanceName) -> bool {
+    /// Returns whether no owner has been reached for long enough to use this node's own
+    /// connections. The delay keeps nodes that start together from opening connections
+    /// before the owners are up.
+    fn may_connect_directly(&self, instance: &InstanceName) -> bool {
         let now = clock::now();
-        let mut unreached = self.unreached();
-        let entry = unreached.entry(instance.clone()).or_insert((now, now));
-        if now.millis_since(entry.1) > FORGET_MS {
+        let mut unreached_periods = self.unreached_periods();
+        let entry = unreached_periods.entry(instance.clone()).or_insert((now, now));
+        if now.millis_since(entry.1) > UNREACHED_RESET_MS {
             entry.0 = now;
         }
         entry.1 = now;
-        now.millis_since(entry.0) >= ALONE_MS
+        now.millis_since(entry.0) >= DIRECT_FALLBACK_MS
     }
 
-    /// A link to an owner, else to one that stands in, which are opened at the
-    /// same time.
-    async fn await_any(&self, owners: &[SocketAddr], stand_ins: &[SocketAddr]) -> Option<Arc<OwnerLink>> {
-        let standing_in = self.links.best_proven(stand_ins).await;
-        match self.links.await_best(owners).await {
+    /// Waits for a link to an owner, or else to a stand-in. Links to both are opened
+    /// concurrently.
+    async fn await_owner_or_stand_in(
+        &self,
+        owners: &[SocketAddr],
+        stand_ins: &[SocketAddr],
+    ) -> Option<Arc<OwnerLink>> {
+        let stand_in = self.links.least_loaded_live(stand_ins).await;
+        match self.links.await_least_loaded(owners).await {
             Some(link) => Some(link),
-            None if standing_in.is_some() => standing_in,
-            None => self.links.await_best(stand_ins).await,
+            None if stand_in.is_some() => stand_in,
+            None => self.links.await_least_loaded(stand_ins).await,
         }
     }
 
-    /// Addresses of the other ones of `nodes` that may reach the instance, from
-    /// a random one on.
-    fn usable(&self, nodes: &[Owner], way: &Way<'_>, was_avoided: &mut bool) -> Vec<SocketAddr> {
-        let mut usable = Vec::new();
+    /// Returns the addresses of other nodes that are permitted and not avoided, rotated
+    /// by a random offset. Sets `was_avoided` if a node was skipped as avoided.
+    fn available_addresses(&self, nodes: &[Owner], way: &Way<'_>, was_avoided: &mut bool) -> Vec<SocketAddr> {
+        let mut addresses = Vec::new();
         let others = nodes.iter().filter(|node| !node.is_self);
-        for node in others.filter(|node| way.carriers.allow(node)) {
+        for node in others.filter(|node| way.carriers.permits(node)) {
             if self.is_avoided(node.address, &way.record.name) {
                 *was_avoided = true;
             } else {
-                usable.push(node.address);
+                addresses.push(node.address);
             }
         }
-        let offset = rand::rng().random_range(0..usable.len().max(1));
-        usable.rotate_left(offset);
-        usable
+        let offset = rand::rng().random_range(0..addresses.len().max(1));
+        addresses.rotate_left(offset);
+        addresses
     }
 }
 
-/// Whether no node that a restricted statement may pass is registered at all. Waiting
-/// for one would be in vain: this node uses a connection of its own at once. That makes
-/// no herd, since each node holds one such connection at most, and only once the list
-/// of nodes has been the same for a while: after a common start the nodes of the
-/// allowed regions may just not be listed yet.
-fn is_without_carriers(way: &Way<'_>, allowed: &OwnersOf) -> bool {
-    let mut nodes = allowed.owners.iter().chain(&allowed.stand_ins);
+/// Returns whether no other node is registered that a restricted statement may be
+/// forwarded to, so that this node must use its own connection. The list of nodes must
+/// have been stable for a while, since nodes of the allowed regions may be missing
+/// from the list right after a cluster start.
+fn has_no_permitted_nodes(way: &Way<'_>, permitted: &OwnersOf) -> bool {
+    let mut nodes = permitted.owners.iter().chain(&permitted.stand_ins);
     let is_restricted = !way.carriers.regions.is_any();
-    is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= ALONE_MS
+    is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= DIRECT_FALLBACK_MS
 }
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -1,4 +1,5 @@
-//! Runs the statements of other nodes on this node's connections.
+//! Server side of forwarding: runs the statements of other nodes on this node's
+//! connections.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -32,63 +33,63 @@
 use crate::node::{Engine, Phase};
 use crate::statement::{Command, Envelope, Reply, TransactionState};
 
-/// Between two looks at leases that rest.
-const RESTING_TICK: Duration = Duration::from_millis(500);
-/// The asking node ends a resting transaction itself; this one waits so much
-/// longer, in milliseconds.
-const RESTING_MARGIN_MS: u64 = 1_000;
-/// Answers written in one go at most.
-const BATCH: usize = 64;
+/// Interval between checks for idle leases.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time in milliseconds that is added to the transaction idle timeout for leases. The
+/// node that holds the session enforces the timeout itself.
+const IDLE_MARGIN_MS: u64 = 1_000;
+/// Maximum number of answers per write.
+const MAX_BATCH: usize = 64;
 
-/// A lease: its connection while no statement runs on it.
+/// A lease that another node holds. A running statement keeps `connection` locked.
 #[derive(Debug)]
-struct Held {
+struct HeldLease {
     connection: tokio::sync::Mutex<Option<PooledConnection>>,
-    used: Mutex<Instant>,
+    last_used: Mutex<Instant>,
     _count: LeaseCount,
 }
 
 /// Leases of one link.
 #[derive(Debug, Default)]
-struct Leases(Mutex<HashMap<u64, Arc<Held>>>);
+struct Leases(Mutex<HashMap<u64, Arc<HeldLease>>>);
 
 impl Leases {
-    fn map(&self) -> MutexGuard<'_, HashMap<u64, Arc<Held>>> {
+    fn map(&self) -> MutexGuard<'_, HashMap<u64, Arc<HeldLease>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn begin(&self, engine: &Arc<Engine>, lease: u64) -> Arc<Held> {
-        let held = Arc::new(Held {
+    fn begin(&self, engine: &Arc<Engine>, lease: u64) -> Arc<HeldLease> {
+        let held = Arc::new(HeldLease {
             connection: tokio::sync::Mutex::new(None),
-            used: Mutex::new(clock::now()),
+            last_used: Mutex::new(clock::now()),
             _count: LeaseCount::new(engine),
         });
         self.map().insert(lease, held.clone());
         held
     }
 
-    fn get(&self, lease: u64) -> Option<Arc<Held>> {
+    fn get(&self, lease: u64) -> Option<Arc<HeldLease>> {
         self.map().get(&lease).cloned()
     }
 
-    /// Ends a lease: its connection is given back, which rolls it back, at once
-    /// or when the statement that runs on it has ended.
+    /// Ends a lease. Its connection is released and rolled back, after the running
+    /// statement if there is one.
     fn end(&self, lease: u64) {
         let ended = self.map().remove(&lease);
         drop(ended);
     }
 
-    fn contains(&self, lease: u64, held: &Arc<Held>) -> bool {
+    fn contains(&self, lease: u64, held: &Arc<HeldLease>) -> bool {
         self.get(lease).is_some_and(|present| Arc::ptr_eq(&present, held))
     }
 
-    /// Ends leases that have rested for `rest_ms`.
-    fn end_resting(&self, rest_ms: u64) {
+    /// Ends leases that have been idle for more than `idle_limit_ms`.
+    fn end_idle(&self, idle_limit_ms: u64) {
         let now = clock::now();
         let mut ended = Vec::new();
         self.map().retain(|_, held| {
-            let used = *held.used.lock().unwrap_or_else(PoisonError::into_inner);
-            let is_kept = now.millis_since(used) <= rest_ms || held.connection.try_lock().is_err();
+            let last_used = *held.last_used.lock().unwrap_or_else(PoisonError::into_inner);
+            let is_kept = now.millis_since(last_used) <= idle_limit_ms || held.connection.try_lock().is_err();
             if !is_kept {
                 ended.push(held.clone());
             }
@@ -98,7 +99,7 @@
     }
 }
 
-/// Counts a lease until it is dropped.
+/// Counts a lease in [`Engine::forwarded_leases`] until dropped.
 struct LeaseCount(Arc<Engine>);
 
 impl std::fmt::Debug for LeaseCount {
@@ -123,7 +124,7 @@
 /// Serves a link whose first message is `first`.
 pub async fn serve(transport: Transport, first: BytesMut, engine: Arc<Engine>) {
     let (answers, outgoing) = mpsc::unbounded_channel();
-    let server = Server {
+    let server = LinkServer {
         engine,
         leases: Arc::default(),
         answers,
@@ -133,24 +134,24 @@
     server.leases.map().clear();
 }
 
-struct Server {
+struct LinkServer {
     engine: Arc<Engine>,
     leases: Arc<Leases>,
     answers: mpsc::UnboundedSender<ForwardReply>,
 }
 
-impl Server {
+impl LinkServer {
     async fn run(
         &self,
         mut transport: Transport,
         first: BytesMut,
         mut outgoing: mpsc::UnboundedReceiver<ForwardReply>,
     ) {
-        if !self.take(&first) {
+        if !self.handle_message(&first) {
             return;
         }
         let mut phase = self.engine.phase.subscribe();
-        let mut resting = tokio::time::interval(RESTING_TICK);
+        let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
         let mut batch = Vec::new();
         if *phase.borrow_and_update() != Phase::Running {
             batch.push(ForwardReply::Leaving);
@@ -160,29 +161,29 @@
                 return;
             }
             tokio::select! {
-                _ = outgoing.recv_many(&mut batch, BATCH) => {}
+                _ = outgoing.recv_many(&mut batch, MAX_BATCH) => {}
                 message = transport.next() => {
                     let Some(Ok(message)) = message else { return };
-                    if !self.take(&message) {
+                    if !self.handle_message(&message) {
                         return;
                     }
                 }
                 Ok(()) = phase.changed() => batch.push(ForwardReply::Leaving),
-                _ = resting.tick(), if !self.leases.map().is_empty() => {
+                _ = idle_check.tick(), if !self.leases.map().is_empty() => {
                     let idle_ms = self.engine.directory.config().map_or(0, |config| config.transaction_idle_ms);
-                    self.leases.end_resting(idle_ms + RESTING_MARGIN_MS);
+                    self.leases.end_idle(idle_ms + IDLE_MARGIN_MS);
                 }
             }
         }
     }
 
-    /// Takes a message; false if it is none of the protocol's.
-    fn take(&self, message: &[u8]) -> bool {
+    /// Dispatches a message. Returns false if it cannot be decoded.
+    fn handle_message(&self, message: &[u8]) -> bool {
         match decode_forward(message) {
-            Ok(ForwardRequest::Run(statement)) => self.start(statement),
+            Ok(ForwardRequest::Run(statement)) => self.spawn_statement(statement),
             Ok(ForwardRequest::End { lease }) => self.leases.end(lease),
             Ok(ForwardRequest::Ping) => drop(self.answers.send(ForwardReply::Pong)),
-            Ok(ForwardRequest::Borrow(borrowing)) => self.lend(borrowing),
+            Ok(ForwardRequest::Borrow(borrowing)) => self.spawn_loan(borrowing),
             Err(error) => {
                 debug!("event=forward_refused error={:?}", error.to_string());
                 return false;
@@ -191,11 +192,11 @@
         true
     }
 
-    fn lend(&self, borrowing: ForwardedBorrowing) {
+    fn spawn_loan(&self, borrowing: ForwardedBorrowing) {
         let engine = self.engine.clone();
         let answers = self.answers.clone();
         tokio::spawn(async move {
-            let loan = loan_of(&engine, &borrowing).await;
+            let loan = grant_loan(&engine, &borrowing).await;
             let answer = ForwardedLoan {
                 call: borrowing.call,
                 counts: u8::from(loan.is_some()),
@@ -207,7 +208,7 @@
         });
     }
 
-    fn start(&self, statement: ForwardedStatement) {
+    fn spawn_statement(&self, statement: ForwardedStatement) {
         let engine = self.engine.clone();
         let leases = self.leases.clone();
         let answers = self.answers.clone();
@@ -220,8 +221,8 @@
     }
 }
 
-/// What this node lends of a subject; none where it does not lend it.
-async fn loan_of(engine: &Arc<Engine>, borrowing: &ForwardedBorrowing) -> Option<Loan> {
+/// Grants a loan. Returns `None` if this node does not lend the subject.
+async fn grant_loan(engine: &Arc<Engine>, borrowing: &ForwardedBorrowing) -> Option<Loan> {
     match &borrowing.subject {
         ForwardedSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), borrowing.wanted),
         ForwardedSubject::Instance { name } => {
@@ -231,8 +232,8 @@
         ForwardedSubject::Word { instance, lender } => {
             let instance = InstanceName::from(instance.as_str());
             let lender = lender.parse().ok()?;
-            let is_given = engine.give_word(&instance, lender);
-            is_given.then_some(Loan {
+            let is_granted = engine.give_word(&instance, lender);
+            is_granted.then_some(Loan {
                 operations: 0,
                 retry_after_ms: 0,
             })
@@ -252,8 +253,13 @@
         None => leases.get(lease),
     };
     let Some(held) = held else {
-        let gone = Err(AttemptError::Link(LinkError::Retired));
-        return ForwardReply::Answer(write_answer(statement.call, gone, TransactionState::Failed, None));
+        let retired = Err(AttemptError::Link(LinkError::Retired));
+        return ForwardReply::Answer(write_answer(
+            statement.call,
+            retired,
+            TransactionState::Failed,
+            None,
+        ));
     };
     let mut connection = held.connection.lock().await;
     let mut since = None;
@@ -273,16 +279,16 @@
     }
     let (result, state, group) = match connection.as_mut() {
         Some(connection) => {
-            let result = run_on(engine, connection, statement, since, deadline).await;
+            let result = run_on_connection(engine, connection, statement, since, deadline).await;
             let group = connection.pool().record().group.clone();
             (result, connection.transaction(), Some(group))
         }
         None => {
-            let gone = Err(AttemptError::Link(LinkError::Retired));
-            (gone, TransactionState::Failed, None)
+            let retired = Err(AttemptError::Link(LinkError::Retired));
+            (retired, TransactionState::Failed, None)
         }
     };
-    *held.used.lock().unwrap_or_else(PoisonError::into_inner) = clock::now();
+    *held.last_used.lock().unwrap_or_else(PoisonError::into_inner) = clock::now();
     let is_broken = matches!(&result, Err(AttemptError::Link(_)));
     let is_kept = state != TransactionState::Idle && !is_broken;
     if !is_kept || !leases.contains(lease, &held) {
@@ -311,9 +317,8 @@
     Some(known.record.group.clone())
 }
 
-/// The instance of a lease, unless it is known to take nothing. One whose
-/// statements fail often serves no transaction that another could serve; a
-/// single read is soon tried again elsewhere.
+/// Returns the instance of a lease, unless it is ineligible or failing. With
+/// `avoids_outliers`, an instance with a high failure rate is rejected as well.
 fn usable_instance(
     engine: &Engine,
     name: &str,
@@ -326,7 +331,7 @@
         true => InstanceUse::Leader,
         false => InstanceUse::Replica,
     };
-    // The asking node knows what regions its caller allows.
+    // The forwarding node has already checked the allowed regions.
     engine
         .judge_instance(&known, usage, &AllowedRegions::Any)
         .map_err(|reason| match reason {
@@ -335,12 +340,12 @@
         })
         .map_err(AttemptError::Link)?;
     let contact = &known.contact;
-    let is_tried = clock::now() < contact.avoid_until || contact.statements.under_way() > 0;
-    if contact.failing_since.is_some() && is_tried {
+    let is_backing_off = clock::now() < contact.avoid_until || contact.statements.under_way() > 0;
+    if contact.failing_since.is_some() && is_backing_off {
         return Err(AttemptError::Link(LinkError::InstanceFailing));
     }
-    // Statements that hang keep their connections: more of them would leave
-    // none for others.
+    // Hanging statements occupy connections, so an instance that hangs must not
+    // exhaust the pool.
     let is_outlier = known.contact.statements.is_outlier(clock::now());
     if !known.contact.admits_statement() || (is_outlier && avoids_outliers) {
         return Err(AttemptError::Link(LinkError::InstanceFailing));
@@ -348,8 +353,8 @@
     Ok(known.record)
 }
 
-/// Gets a connection for a new lease and begins its transaction, if it has one;
-/// else the position goes with the statement.
+/// Acquires a connection for a new lease and begins its transaction, if requested.
+/// Without a transaction, also returns the log position that the statement requires.
 async fn begin(
     engine: &Arc<Engine>,
     start: &ForwardedStart,
@@ -405,7 +410,7 @@
         .map_err(|_| AttemptError::Link(LinkError::NoObservation))
 }
 
-async fn run_on(
+async fn run_on_connection(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
     statement: &ForwardedStatement,
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -110,7 +110,7 @@
 ) -> Result<SessionConnection, AttemptError> {
     let mut connection = connect(engine, record, operation, session).await?;
     match &mut connection {
-        SessionConnection::Leased(lease) => lease.begins(read_only, floor),
+        SessionConnection::Leased(lease) => lease.set_begin(read_only, floor),
         SessionConnection::Local(local) => {
             let deadline = operation.deadline;
             let since = floor.resolve(engine, &record.group, deadline).await;
@@ -140,7 +140,7 @@
     };
     let result = match connection {
         SessionConnection::Leased(lease) => {
-            lease.requires(floor);
+            lease.set_floor(floor);
             lease
                 .run(engine, session, &envelope, proves_leader, deadline)
                 .await
