--- a/crates/millwind-engine/src/forward/link.rs
+++ b/crates/millwind-engine/src/forward/link.rs
@@ -117,8 +117,7 @@
         receiver
     }
 
-    /// Requests a loan of `wanted` operations of `subject`. Returns `None` if the link is
-    /// lost.
+    /// Requests a loan of `wanted` units of `subject`. Returns `None` if the link is lost.
     pub async fn ask_loan(&self, subject: ForwardedSubject, wanted: u32) -> Option<ForwardedLoan> {
         let call = self.next_id();
         let (sender, receiver) = oneshot::channel();
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -25,7 +25,7 @@
 /// Upper bound of the delay between retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
 /// Time in milliseconds after the last request for a link at which retries stop.
-const RETRY_INTEREST_MS: u64 = 5_000;
+const RETRY_WINDOW_MS: u64 = 5_000;
 /// Age in milliseconds up to which a message from the owner makes a probe unnecessary.
 const RECENTLY_HEARD_MS: u64 = 1_000;
 /// Timeout of a liveness probe, which allows for a few round trips between regions.
@@ -209,7 +209,7 @@
             info!("event=owner_unreachable owner={address}");
         }
         slot.is_down = true;
-        let is_requested = clock::now().millis_since(slot.last_requested) < RETRY_INTEREST_MS;
+        let is_requested = clock::now().millis_since(slot.last_requested) < RETRY_WINDOW_MS;
         if !is_requested {
             slot.is_connecting = false;
             slot.is_down = false;
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -156,7 +156,7 @@
             (String::new(), vec![execution])
         }
         Command::Text(text) => ((*text).to_owned(), Vec::new()),
-        // Only callers' statements are forwarded, which are one of the above.
+        // Only statements of callers are forwarded.
         _ => (String::new(), Vec::new()),
     }
 }
@@ -266,8 +266,9 @@
     }
 }
 
-/// Returns this node's latest observation of a group's leader. Returns `None` without
-/// one, or if the observation is of a later term than the known leader's.
+/// Returns this node's latest observation of a group's leader. Returns `None` if the
+/// leader, its term or an observation is missing, or if the observation has a later term
+/// than the leader.
 pub(crate) fn leader_report(engine: &Engine, group: &GroupName) -> Option<LeaderReport> {
     let leader = engine.directory.leader(group)?;
     let newest = engine.directory.newest_observation(group)?;
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -85,7 +85,7 @@
     pub prefers_own: bool,
 }
 
-type RankedOwners = Arc<Vec<Owner>>;
+type RankedNodes = Arc<Vec<Owner>>;
 
 /// Ranked nodes of an instance for statements without region restrictions.
 #[derive(Debug, Clone)]
@@ -97,7 +97,7 @@
     /// Owners and stand-ins.
     nodes: Arc<OwnersOf>,
     /// Owners followed by stand-ins, in rank order.
-    ranked: RankedOwners,
+    ranked: RankedNodes,
 }
 
 /// Cache key of the ranking for a set of allowed regions. Customers use few distinct
@@ -122,7 +122,7 @@
 }
 
 impl Owners {
-    /// Creates a router for zones that are located as `topology` says.
+    /// Creates a router with the given mapping of zones to regions.
     pub fn new(topology: Topology) -> Self {
         Owners {
             topology,
@@ -131,7 +131,7 @@
     }
 
     /// Returns the owners of `record` followed by the stand-ins.
-    pub fn ranked(&self, registry: &Registry, record: &InstanceRecord) -> RankedOwners {
+    pub fn ranked(&self, registry: &Registry, record: &InstanceRecord) -> RankedNodes {
         self.unrestricted_ranking(registry, record).ranked
     }
 
