--- a/crates/millwind-store/src/etcd.rs
+++ b/crates/millwind-store/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The store as an etcd v3 client.
+//! Implementation of [`Store`] as an etcd v3 client.
 
 use std::time::{Duration, Instant};
 
@@ -21,38 +21,37 @@
     Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, Watch, WatchReport, Write, service,
 };
 
-/// Longest wait for the answer to one call.
+/// Longest wait for the response to one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A watch is asked for a sign of life this often.
+/// Interval between progress requests on a watch.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// A watch that gives no sign of life this long after it was asked is dropped.
-const SILENCE_LIMIT: Duration = Duration::from_secs(4);
+/// A watch ends if a progress request gets no response within this time.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A client of one etcd endpoint or several.
+/// A client of one or more etcd endpoints.
 #[derive(Debug, Clone)]
 pub struct EtcdStore {
     channel: Channel,
 }
 
 impl EtcdStore {
-    /// A client that connects when first used to `endpoints` (IP number and
-    /// port each).
+    /// Creates a client of `endpoints`, which connects on first use.
     pub fn new(endpoints: &[std::net::SocketAddr]) -> Result<Self, StoreError> {
-        let mut list = Vec::new();
+        let mut endpoint_list = Vec::new();
         for address in endpoints {
             let endpoint = Endpoint::from_shared(format!("http://{address}"))
                 .map_err(|error| StoreError::Refused(error.to_string()))?
                 .connect_timeout(CALL_TIMEOUT);
-            list.push(endpoint);
+            endpoint_list.push(endpoint);
         }
-        let channel = match list.len() {
-            1 => list.remove(0).connect_lazy(),
-            _ => Channel::balance_list(list.into_iter()),
+        let channel = match endpoint_list.len() {
+            1 => endpoint_list.remove(0).connect_lazy(),
+            _ => Channel::balance_list(endpoint_list.into_iter()),
         };
         Ok(EtcdStore { channel })
     }
 
-    /// A client whose channel takes a call; until then nothing was sent.
+    /// Returns a client that is ready to send. Nothing has been sent if this fails.
     async fn ready_client(&self) -> Result<Grpc<Channel>, StoreError> {
         let mut client = Grpc::new(self.channel.clone());
         client
@@ -85,13 +84,13 @@
         }
     }
 
-    /// Lists a prefix. This library does not show the parts of an answer, so a
-    /// long one has as much time as any call.
+    /// Lists the keys under `prefix`. The gRPC client does not report partial responses, so
+    /// the timeout covers the whole response.
     async fn range(
         &self,
         prefix: &str,
         serializable: bool,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<Listing, StoreError> {
         let request = RangeRequest {
             key: prefix.as_bytes().to_vec(),
@@ -100,16 +99,17 @@
             ..RangeRequest::default()
         };
         let response: RangeResponse = self
-            .unary(service::RANGE, request, silence.max(CALL_TIMEOUT))
+            .unary(service::RANGE, request, idle_timeout.max(CALL_TIMEOUT))
             .await?;
         Ok(Listing {
-            revision: revision_of(response.header),
-            entries: response.kvs.into_iter().map(entry).collect(),
+            revision: header_revision(response.header),
+            entries: response.kvs.into_iter().map(to_entry).collect(),
         })
     }
 }
 
-/// A call refused with these codes has not taken effect.
+/// Converts a gRPC status to an error. The listed codes mean that the call had no effect;
+/// after any other the outcome is unknown.
 fn status_error(status: Status) -> StoreError {
     let text = format!("{:?}: {}", status.code(), status.message());
     match status.code() {
@@ -120,32 +120,32 @@
     }
 }
 
-/// A revision of etcd, which does not tell of restores: all are of one era.
-fn plain(revision: i64) -> StoreRevision {
+/// Converts an etcd revision. etcd does not report restores, so the era is always zero.
+fn etcd_revision(revision: i64) -> StoreRevision {
     StoreRevision::new(0, revision as u64)
 }
 
-fn revision_of(header: Option<ResponseHeader>) -> StoreRevision {
-    plain(header.unwrap_or_default().revision)
+fn header_revision(header: Option<ResponseHeader>) -> StoreRevision {
+    etcd_revision(header.unwrap_or_default().revision)
 }
 
-fn entry(kv: KeyValue) -> Entry {
+fn to_entry(kv: KeyValue) -> Entry {
     Entry {
         key: String::from_utf8_lossy(&kv.key).into_owned(),
         value: Some(kv.value),
-        revision: plain(kv.mod_revision),
+        revision: etcd_revision(kv.mod_revision),
     }
 }
 
 impl Store for EtcdStore {
     type Watch = EtcdWatch;
 
-    async fn list(&self, prefix: &str, silence: Duration) -> Result<Listing, StoreError> {
-        self.range(prefix, false, silence).await
+    async fn list(&self, prefix: &str, idle_timeout: Duration) -> Result<Listing, StoreError> {
+        self.range(prefix, false, idle_timeout).await
     }
 
-    async fn list_serializable(&self, prefix: &str, silence: Duration) -> Result<Listing, StoreError> {
-        self.range(prefix, true, silence).await
+    async fn list_serializable(&self, prefix: &str, idle_timeout: Duration) -> Result<Listing, StoreError> {
+        self.range(prefix, true, idle_timeout).await
     }
 
     async fn watch(&self, prefix: &str, revision: StoreRevision) -> Result<EtcdWatch, StoreError> {
@@ -174,20 +174,20 @@
         Ok(EtcdWatch {
             requests,
             responses: response.into_inner(),
-            asked: None,
-            next_ask: Instant::now(),
+            progress_requested_at: None,
+            next_progress_request: Instant::now(),
         })
     }
 
     async fn swap(&self, conditions: &[Condition], writes: &[Write]) -> Result<Swap, StoreError> {
         let request = TxnRequest {
-            compare: conditions.iter().map(compare).collect(),
-            success: writes.iter().map(put).collect(),
-            failure: conditions.iter().map(get).collect(),
+            compare: conditions.iter().map(revision_equals).collect(),
+            success: writes.iter().map(put_op).collect(),
+            failure: conditions.iter().map(get_op).collect(),
         };
         let response: TxnResponse = self.unary(service::TXN, request, CALL_TIMEOUT).await?;
         if response.succeeded {
-            let revision = revision_of(response.header);
+            let revision = header_revision(response.header);
             return Ok(Swap::Done { revision });
         }
         let current = response.responses.into_iter().flat_map(range_entries).collect();
@@ -195,7 +195,7 @@
     }
 }
 
-fn compare(condition: &Condition) -> Compare {
+fn revision_equals(condition: &Condition) -> Compare {
     Compare {
         result: CompareResult::Equal as i32,
         target: CompareTarget::Mod as i32,
@@ -204,7 +204,7 @@
     }
 }
 
-fn put(write: &Write) -> RequestOp {
+fn put_op(write: &Write) -> RequestOp {
     RequestOp {
         request: Some(RequestOpKind::Put(PutRequest {
             key: write.key.as_bytes().to_vec(),
@@ -214,7 +214,7 @@
     }
 }
 
-fn get(condition: &Condition) -> RequestOp {
+fn get_op(condition: &Condition) -> RequestOp {
     RequestOp {
         request: Some(RequestOpKind::Range(RangeRequest {
             key: condition.key.as_bytes().to_vec(),
@@ -225,7 +225,7 @@
 
 fn range_entries(response: ResponseOp) -> Vec<Entry> {
     match response.response {
-        Some(ResponseOpKind::Range(range)) => range.kvs.into_iter().map(entry).collect(),
+        Some(ResponseOpKind::Range(range)) => range.kvs.into_iter().map(to_entry).collect(),
         _ => Vec::new(),
     }
 }
@@ -243,38 +243,38 @@
 pub struct EtcdWatch {
     requests: mpsc::Sender<WatchRequest>,
     responses: Streaming<WatchResponse>,
-    /// When the sign of life under way was asked for; at most one is.
-    asked: Option<Instant>,
-    next_ask: Instant,
+    /// When the outstanding progress request was sent; none if there is none.
+    progress_requested_at: Option<Instant>,
+    next_progress_request: Instant,
 }
 
 impl Watch for EtcdWatch {
     async fn next(&mut self) -> Result<WatchReport, StoreError> {
         loop {
-            let due = match self.asked {
-                Some(asked) => asked + SILENCE_LIMIT,
-                None => self.next_ask,
+            let deadline = match self.progress_requested_at {
+                Some(requested_at) => requested_at + PROGRESS_TIMEOUT,
+                None => self.next_progress_request,
             };
-            match timeout_at(due.into(), self.responses.message()).await {
-                // The creation notice vouches for nothing: events may follow it.
+            match timeout_at(deadline.into(), self.responses.message()).await {
+                // The creation notice is not a progress report: older events may follow it.
                 Ok(Ok(Some(response))) if response.created && response.events.is_empty() => {}
-                Ok(Ok(Some(response))) => return self.report(response),
+                Ok(Ok(Some(response))) => return self.build_report(response),
                 Ok(Ok(None)) => return Err(StoreError::WatchEnded("stream closed".into())),
                 Ok(Err(status)) => return Err(status_error(status)),
-                Err(_) if self.asked.is_some() => {
-                    return Err(StoreError::WatchEnded("silent for too long".into()));
+                Err(_) if self.progress_requested_at.is_some() => {
+                    return Err(StoreError::WatchEnded("no response to a progress request".into()));
                 }
-                Err(_) => self.ask().await?,
+                Err(_) => self.request_progress().await?,
             }
         }
     }
 }
 
 impl EtcdWatch {
-    async fn ask(&mut self) -> Result<(), StoreError> {
+    async fn request_progress(&mut self) -> Result<(), StoreError> {
         let now = Instant::now();
-        self.asked = Some(now);
-        self.next_ask = now + PROGRESS_INTERVAL;
+        self.progress_requested_at = Some(now);
+        self.next_progress_request = now + PROGRESS_INTERVAL;
         send(
             &self.requests,
             WatchRequestKind::Progress(WatchProgressRequest {}),
@@ -282,26 +282,30 @@
         .await
     }
 
-    fn report(&mut self, response: WatchResponse) -> Result<WatchReport, StoreError> {
+    fn build_report(&mut self, response: WatchResponse) -> Result<WatchReport, StoreError> {
         if response.canceled {
             return Err(StoreError::WatchEnded(response.cancel_reason));
         }
         let header = response.header.unwrap_or_default();
-        let changes: Vec<Entry> = response.events.into_iter().filter_map(change).collect();
-        // A response with events vouches for those only; an empty one answers
-        // the question under way and vouches for everything up to its revision.
+        let changes: Vec<Entry> = response.events.into_iter().filter_map(event_entry).collect();
+        // A response with events confirms only the changes up to its newest event. An empty
+        // one answers the progress request and confirms all changes up to its revision.
         let newest = changes.iter().map(|entry| entry.revision).max();
         Ok(WatchReport {
-            revision: newest.unwrap_or(plain(header.revision)),
-            asked: if newest.is_none() { self.asked.take() } else { None },
+            revision: newest.unwrap_or(etcd_revision(header.revision)),
+            asked: if newest.is_none() {
+                self.progress_requested_at.take()
+            } else {
+                None
+            },
             changes,
         })
     }
 }
 
-fn change(event: Event) -> Option<Entry> {
+fn event_entry(event: Event) -> Option<Entry> {
     let deleted = event.r#type == EventType::Delete as i32;
-    let mut entry = entry(event.kv?);
+    let mut entry = to_entry(event.kv?);
     if deleted {
         entry.value = None;
     }
--- a/crates/millwind-store/src/lib.rs
+++ b/crates/millwind-store/src/lib.rs
@@ -1,7 +1,7 @@
-//! Access to the platform's key-value service.
+//! Access to a key-value store that holds configuration and cluster state.
 //!
-//! [`Store`] is what the node needs of it; [`etcd::EtcdStore`] speaks the
-//! published etcd v3 gRPC interface. Another service is one more module.
+//! [`Store`] is the interface that a node uses. [`etcd::EtcdStore`] implements it with
+//! the etcd v3 gRPC API.
 
 pub mod etcd;
 pub mod messages;
@@ -13,44 +13,45 @@
 pub use millwind_wire::store_revision::StoreRevision;
 use thiserror::Error;
 
-/// One key with its value and the revision of its last change.
+/// A key with its value and the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value; none when the key was deleted.
     pub value: Option<Vec<u8>>,
-    /// Store revision of its last change; none when it never existed.
+    /// Store revision of the last change; [`StoreRevision::NONE`] if the key never existed.
     pub revision: StoreRevision,
 }
 
-/// All keys under a prefix at one store revision.
+/// The keys under a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// Revision at which the listing was read.
+    /// Every change up to this revision is included in the listing.
     pub revision: StoreRevision,
-    /// The keys.
+    /// The keys with their values.
     pub entries: Vec<Entry>,
 }
 
-/// What a watch reports: changes, or only that it is up to date.
+/// A report of a watch: changes, or confirmation that there are none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchReport {
     /// Every change up to this revision has been reported.
     pub revision: StoreRevision,
-    /// Changed keys, in order; empty for a sign of life.
+    /// Changed keys, in order; empty for a progress report.
     pub changes: Vec<Entry>,
-    /// When the store was asked for this sign of life; none for changes, which
-    /// may have been under way for any time.
+    /// When this progress report was requested; none for changes, which may have been
+    /// delayed for any time.
     pub asked: Option<std::time::Instant>,
 }
 
-/// A condition on a key's revision; none means that the key must not exist.
+/// A condition on a key's revision. [`StoreRevision::NONE`] requires that the key does not
+/// exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Revision of its last change.
+    /// Required revision of the key's last change.
     pub revision: StoreRevision,
 }
 
@@ -59,7 +60,7 @@
 pub struct Write {
     /// The key.
     pub key: String,
-    /// Its new value.
+    /// The new value.
     pub value: Vec<u8>,
 }
 
@@ -71,9 +72,9 @@
         /// Store revision of the writes.
         revision: StoreRevision,
     },
-    /// A condition failed and nothing was written; the keys as they are now.
+    /// A condition failed and nothing was written.
     Conflict {
-        /// Current state of the conditions' keys.
+        /// Current entries of the keys in the conditions.
         current: Vec<Entry>,
     },
 }
@@ -81,70 +82,68 @@
 /// Why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Refused before it could take effect, for example by the rate limit.
+    /// The call was rejected and had no effect, for example by the rate limit.
     #[error("store refused the call: {0}")]
     Refused(String),
-    /// No answer in time, or the link broke: it may have taken effect.
+    /// The call timed out or the connection failed; the call may have taken effect.
     #[error("store gave no answer: {0}")]
     NoAnswer(String),
-    /// A condition or a watch rests on what the store held before it was restored from an
-    /// older copy: nothing was done; list again.
-    #[error("the store was restored: era {known} is over, it is in {present}")]
+    /// The store was restored from a backup, so revisions in a condition, a listing or a
+    /// watch are no longer valid. The call had no effect; the caller must list again.
+    #[error("the store was restored from a backup: expected era {known}, found {present}")]
     Restored {
-        /// Era of what was known.
+        /// Era of the revisions that the caller used.
         known: u32,
-        /// The store's era.
+        /// Current era of the store.
         present: u32,
     },
-    /// The watch was ended by the store; list again.
+    /// The watch ended; the caller must list again.
     #[error("watch ended: {0}")]
     WatchEnded(String),
 }
 
 /// A running watch.
 pub trait Watch: Send {
-    /// The next report; asks for a sign of life when the watch is silent.
+    /// Waits for the next report. Requests a progress report when there are no changes.
     fn next(&mut self) -> impl Future<Output = Result<WatchReport, StoreError>> + Send;
 }
 
-/// Silence after which a listing is given up where nothing else is known of the
-/// store: a few answers of a slow one (0.4 s each, a hundred times the usual 4 ms).
+/// Default idle timeout of a listing.
 pub const USUAL_SILENCE: Duration = Duration::from_millis(2_000);
 
-/// What the node needs of the platform's store.
+/// A key-value store with revisions, watches and conditional writes.
 pub trait Store: Send + Sync {
     /// Type of a running watch.
     type Watch: Watch;
 
-    /// Lists all keys under `prefix`, with everything that the store has
-    /// acknowledged. Given up once the store has said nothing for `silence`; a long
-    /// answer may take longer than that while it arrives.
+    /// Lists all keys under `prefix`, including every write that the store has
+    /// acknowledged. Fails once nothing has arrived from the store for `idle_timeout`; a large
+    /// response may take longer in total.
     fn list(
         &self,
         prefix: &str,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Listing, StoreError>> + Send;
 
-    /// Lists all keys under `prefix` as some replica of the store held them a
-    /// moment ago (a serializable read): it loads the store less than
-    /// [`Store::list`]. Later changes are missing, and the revision of the
-    /// listing is one up to which nothing is missing.
+    /// Lists all keys under `prefix` from any replica of the store (a serializable read).
+    /// This costs less than [`Store::list`], but recent changes may be missing. Every
+    /// change up to the revision of the listing is included.
     fn list_serializable(
         &self,
         prefix: &str,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> impl Future<Output = Result<Listing, StoreError>> + Send {
-        self.list(prefix, silence)
+        self.list(prefix, idle_timeout)
     }
 
-    /// Watches `prefix` for changes after `revision`.
+    /// Starts a watch for changes under `prefix` after `revision`.
     fn watch(
         &self,
         prefix: &str,
         revision: StoreRevision,
     ) -> impl Future<Output = Result<Self::Watch, StoreError>> + Send;
 
-    /// Writes all of `writes` if all `conditions` hold, else nothing.
+    /// Atomically applies all `writes` if all `conditions` hold, else none of them.
     fn swap(
         &self,
         conditions: &[Condition],
--- a/crates/millwind-store/src/messages.rs
+++ b/crates/millwind-store/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages of the published etcd v3 interface that this project uses, with
-//! the field numbers of its protocol definition.
+//! The messages of the etcd v3 API that the client uses, with the field numbers of the
+//! published protocol definition.
 
 #![allow(missing_docs, reason = "fields carry the names of the published interface")]
 
@@ -186,7 +186,7 @@
     pub operand: Option<CompareOperand>,
 }
 
-/// What a `Compare` compares with.
+/// The value that a `Compare` is compared with.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum CompareOperand {
     #[prost(int64, tag = "4")]
@@ -282,7 +282,8 @@
     pub events: Vec<Event>,
 }
 
-/// The key after the last one that starts with `prefix`.
+/// Returns the end of the key range that holds all keys with `prefix`; a single zero byte
+/// if the range has no upper bound.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/millwind-store/src/service.rs
+++ b/crates/millwind-store/src/service.rs
@@ -1,4 +1,4 @@
-//! Paths of the gRPC methods, the client calls, and a server for stand-ins.
+//! Paths of the etcd gRPC methods, and a gRPC server for test implementations of them.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -31,7 +31,7 @@
 /// A stream of watch responses.
 pub type WatchStream = Pin<Box<dyn Stream<Item = Result<WatchResponse, Status>> + Send>>;
 
-/// What a stand-in of the service implements.
+/// The etcd methods that a test server implements.
 pub trait KeyValueService: Send + Sync + 'static {
     /// Answers `Range`.
     fn range(&self, request: RangeRequest) -> impl Future<Output = Result<RangeResponse, Status>> + Send;
@@ -58,7 +58,7 @@
 }
 
 impl<T> KeyValueServer<T> {
-    /// A server for `inner`.
+    /// Creates a server that calls `inner`.
     pub fn new(inner: Arc<T>) -> Self {
         KeyValueServer { inner }
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The same server under the name of the `Watch` service.
+/// Serves the methods of a [`KeyValueServer`] under the name of the `Watch` service.
 #[derive(Debug)]
 pub struct WatchServer<T>(pub KeyValueServer<T>);
 
@@ -175,7 +175,7 @@
                         .streaming(WatchMethod(inner), request)
                         .await
                 }
-                path => Status::unimplemented(format!("no method {path}")).into_http(),
+                path => Status::unimplemented(format!("unknown method {path}")).into_http(),
             };
             Ok(response)
         })
