--- a/crates/millwind-wire/src/compressed.rs
+++ b/crates/millwind-wire/src/compressed.rs
@@ -1,5 +1,4 @@
-//! Bytes that travel compressed (DEFLATE): large documents of text with many
-//! repetitions, such as a configuration.
+//! DEFLATE compression for large, repetitive documents such as configurations.
 
 use std::io::{Read, Write};
 
@@ -11,66 +10,68 @@
 
 use crate::text;
 
-/// Why compressed bytes cannot be read.
+/// Why compressed data cannot be decompressed.
 #[derive(Debug, Error)]
 pub enum DecompressError {
-    /// They are damaged.
-    #[error("damaged: {0}")]
-    Damaged(#[from] std::io::Error),
-    /// They are fewer or more than announced.
-    #[error("not the {announced} bytes that were announced")]
+    /// The compressed data is corrupt.
+    #[error("corrupt compressed data: {0}")]
+    Corrupt(#[from] std::io::Error),
+    /// The decompressed length differs from the declared length.
+    #[error("decompressed length is not the declared {declared} bytes")]
     WrongLength {
-        /// Bytes that were announced.
-        announced: u32,
+        /// Declared decompressed length in bytes.
+        declared: u32,
     },
-    /// More is announced than any message holds.
-    #[error("{announced} bytes are over the limit")]
+    /// The declared length exceeds the maximum frame size.
+    #[error("declared length of {declared} bytes exceeds the limit")]
     TooLong {
-        /// Bytes that were announced.
-        announced: u32,
+        /// Declared decompressed length in bytes.
+        declared: u32,
     },
 }
 
-/// Compressed bytes, and how many they are whole.
+/// Compressed data with its decompressed length.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Compressed {
-    whole_bytes: u32,
+    uncompressed_len: u32,
     #[br(parse_with = text::read_bytes)]
     #[bw(write_with = text::write_bytes)]
-    deflated: Vec<u8>,
+    compressed: Vec<u8>,
 }
 
 impl Compressed {
-    /// Compresses `whole`; the fast level, since a node compresses a version once
-    /// and has a small part of a core.
-    pub fn pack(whole: &[u8]) -> Result<Self, std::io::Error> {
+    /// Compresses `uncompressed` at the fast level, which limits CPU use.
+    pub fn pack(uncompressed: &[u8]) -> Result<Self, std::io::Error> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(whole)?;
+        encoder.write_all(uncompressed)?;
         Ok(Compressed {
-            whole_bytes: u32::try_from(whole.len()).map_err(std::io::Error::other)?,
-            deflated: encoder.finish()?,
+            uncompressed_len: u32::try_from(uncompressed.len()).map_err(std::io::Error::other)?,
+            compressed: encoder.finish()?,
         })
     }
 
-    /// The bytes; never more than were announced are held.
+    /// Decompresses the data. At most one byte more than the declared length is read, so
+    /// corrupt data cannot exhaust memory.
     pub fn unpack(&self) -> Result<Vec<u8>, DecompressError> {
-        let announced = self.whole_bytes;
-        if announced as usize > crate::MAXIMUM_FRAME_BYTES {
-            return Err(DecompressError::TooLong { announced });
+        let declared = self.uncompressed_len;
+        if declared as usize > crate::MAXIMUM_FRAME_BYTES {
+            return Err(DecompressError::TooLong { declared });
         }
-        let mut whole = Vec::new();
-        let decoder = DeflateDecoder::new(self.deflated.as_slice());
-        decoder.take(u64::from(announced) + 1).read_to_end(&mut whole)?;
-        match whole.len() == announced as usize {
-            true => Ok(whole),
-            false => Err(DecompressError::WrongLength { announced }),
+        let mut uncompressed = Vec::new();
+        let decoder = DeflateDecoder::new(self.compressed.as_slice());
+        decoder
+            .take(u64::from(declared) + 1)
+            .read_to_end(&mut uncompressed)?;
+        match uncompressed.len() == declared as usize {
+            true => Ok(uncompressed),
+            false => Err(DecompressError::WrongLength { declared }),
         }
     }
 
-    /// Bytes that travel.
+    /// Returns the length of the compressed data in bytes.
     pub fn travelling_bytes(&self) -> usize {
-        self.deflated.len()
+        self.compressed.len()
     }
 }
--- a/crates/millwind-wire/src/control.rs
+++ b/crates/millwind-wire/src/control.rs
@@ -1,4 +1,4 @@
-//! Messages of the control plane: membership and configuration.
+//! Control plane messages for membership and configuration.
 
 use binrw::binrw;
 
@@ -9,59 +9,61 @@
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Liveness {
-    /// Answers.
+    /// The member answers pings.
     Alive = 1,
-    /// Did not answer; may still refute.
+    /// The member did not answer and may still refute the suspicion.
     Suspect = 2,
-    /// Declared dead by its zone.
+    /// The member was declared dead by its zone.
     Dead = 3,
 }
 
-/// What is said of one member.
+/// The state of one member.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MemberRecord {
-    /// The node.
+    /// Name of the node.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub node: String,
-    /// IP number and port of its peer listener.
+    /// IP address and port of the node's peer listener.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub address: String,
-    /// Its zone.
+    /// Zone of the node.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub region: String,
-    /// Raised by the node itself; a higher one beats every older word.
+    /// Incarnation, increased only by the node itself; records with a higher incarnation
+    /// replace those with a lower one.
     pub incarnation: u64,
-    /// Whether it is believed alive.
+    /// Whether the node is believed to be alive.
     pub liveness: Liveness,
-    /// 1 when it takes no new work, else 0.
+    /// 1 if the node takes no new work, else 0.
     pub leaving: u8,
 }
 
-/// What a zone last reported of its contact with the platform.
+/// The latest report of a zone on its contact with the platform.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneReport {
-    /// The zone.
+    /// Name of the zone.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub zone: String,
-    /// Its region.
+    /// Region of the zone.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub region: String,
     /// Time since this report was made, in milliseconds.
     pub age_ms: u32,
-    /// Time since the zone last heard the platform when it reported.
+    /// Time between the zone's last contact with the platform and the report, in
+    /// milliseconds.
     pub platform_age_ms: u32,
 }
 
@@ -74,43 +76,43 @@
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub key: String,
-    /// Store revision of its last change.
+    /// Store revision of the document's last change.
     pub revision: u64,
-    /// 1 when deleted, else 0.
+    /// 1 if the document was deleted, else 0.
     pub deleted: u8,
-    /// Names the change, so that a lost answer can be recognised.
+    /// Id of the change, by which a client recognises its change if the reply was lost.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub change_id: String,
-    /// TOML text.
+    /// Content of the document as TOML.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub body: String,
 }
 
-/// What a node says of the configuration it has in force.
+/// Summary of the configuration that a node has applied.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Digest {
-    /// Newest revision in force on the sender.
+    /// Newest revision applied by the sender.
     pub revision: u64,
     /// Hash over all documents.
     pub hash: u64,
 }
 
-/// Revision in force on one node, as a relay last heard it.
+/// The revision applied by one node, as last reported to a relay.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeRevision {
-    /// The node.
+    /// Name of the node.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub node: String,
-    /// Revision it had in force.
+    /// Revision that the node had applied.
     pub revision: u64,
-    /// Time since it said so, in milliseconds.
+    /// Time since the node's report, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -119,112 +121,112 @@
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlMessage {
-    /// Are you alive? Carries news of members.
+    /// Checks that the receiver is alive, and carries membership updates.
     #[brw(magic = 1u8)]
     Ping {
-        /// Matches the acknowledgement.
+        /// Repeated in the acknowledgement.
         sequence: u64,
-        /// News of members.
+        /// Membership updates.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         updates: Vec<MemberRecord>,
     },
-    /// Answer to `Ping`.
+    /// Reply to `Ping`.
     #[brw(magic = 2u8)]
     Acknowledge {
         /// Sequence of the ping.
         sequence: u64,
-        /// News of members.
+        /// Membership updates.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         updates: Vec<MemberRecord>,
     },
-    /// Ping `target` for me; I could not reach it.
+    /// Asks the receiver to ping `target`, which the sender cannot reach.
     #[brw(magic = 3u8)]
     PingRequest {
-        /// Matches the acknowledgement.
+        /// Repeated in the acknowledgement.
         sequence: u64,
-        /// Node to ping.
+        /// Name of the node to ping.
         #[br(parse_with = read_text)]
         #[bw(write_with = write_text)]
         target: String,
     },
-    /// Let me in, and tell me the whole table.
+    /// Asks to join the cluster and for the whole member table.
     #[brw(magic = 4u8)]
     Join {
-        /// The newcomer.
+        /// Record of the joining node.
         record: MemberRecord,
     },
-    /// The whole table.
+    /// The whole member table.
     #[brw(magic = 5u8)]
     Table {
-        /// All members known.
+        /// All members known to the sender.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         members: Vec<MemberRecord>,
     },
-    /// My configuration and what I need to know that it is current.
+    /// Announces the sender's configuration and asks for a report on whether it is current.
     #[brw(magic = 6u8)]
     ConfigDigest {
-        /// Matches the report; ages in it count from when this was sent.
+        /// Repeated in the report; ages in the report are relative to the time of sending.
         sequence: u64,
-        /// What the sender has in force.
+        /// Summary of the sender's configuration.
         digest: Digest,
-        /// Hash over the sender's member table.
+        /// Hash of the sender's member table.
         members_hash: u64,
     },
-    /// Answer to `ConfigDigest`.
+    /// Reply to `ConfigDigest`.
     #[brw(magic = 7u8)]
     ConfigReport {
         /// Sequence of the digest.
         sequence: u64,
-        /// What the answering node has in force.
+        /// Summary of the responding node's configuration.
         digest: Digest,
-        /// Time since the answering node heard the platform, in milliseconds.
+        /// Time since the responding node's last contact with the platform, in milliseconds.
         platform_age_ms: u32,
-        /// What the zones last reported.
+        /// Latest reports of the zones.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         zones: Vec<ZoneReport>,
     },
-    /// Changes from one revision to another.
+    /// The configuration changes between two revisions.
     #[brw(magic = 8u8)]
     ConfigDelta {
-        /// Complete for receivers at this revision or above.
+        /// Lowest receiver revision for which the changes are complete.
         from: u64,
-        /// Revision reached by applying it.
+        /// Revision reached by applying the changes.
         to: u64,
         /// Changed documents.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         documents: Vec<WireDocument>,
     },
-    /// I have this revision in force.
+    /// Reports the revision that the sender has applied.
     #[brw(magic = 9u8)]
     Applied {
-        /// The revision.
+        /// Newest applied revision.
         revision: u64,
     },
-    /// Which revisions have your zone's nodes in force?
+    /// Asks for the revisions applied by the nodes in the receiver's zone.
     #[brw(magic = 10u8)]
     RevisionsRequest {
-        /// Matches the reply.
+        /// Repeated in the reply.
         sequence: u64,
     },
-    /// Answer to `RevisionsRequest`.
+    /// Reply to `RevisionsRequest`.
     #[brw(magic = 11u8)]
     Revisions {
         /// Sequence of the request.
         sequence: u64,
-        /// Nodes of the answering node's zone.
+        /// Revisions of the nodes in the responding node's zone.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         nodes: Vec<NodeRevision>,
     },
-    /// Send me what I lack beyond this revision.
+    /// Asks for the changes after a revision.
     #[brw(magic = 13u8)]
     ConfigPull {
-        /// Newest revision in force on the sender.
+        /// Newest revision applied by the sender.
         revision: u64,
     },
 }
--- a/crates/millwind-wire/src/exchange.rs
+++ b/crates/millwind-wire/src/exchange.rs
@@ -1,5 +1,5 @@
-//! What engine nodes ask each other: the catalog when the store is not heard,
-//! and whether a leader is reached.
+//! Requests and replies between engine nodes: catalog synchronization, group leaders and
+//! instance reachability.
 
 use std::io::Cursor;
 
@@ -11,44 +11,44 @@
 use crate::store_revision::StoreRevision;
 use crate::text;
 
-/// Version of this protocol; the first byte of every message.
+/// Version of the exchange protocol; the first byte of every message.
 pub const EXCHANGE_VERSION: u8 = 10;
 
-/// One document of the store.
+/// One document of the store, or its removal.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredDocument {
-    /// Its key.
+    /// Key of the document.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub key: String,
-    /// Store revision of its last change that matters.
+    /// Store revision of the document's last relevant change.
     pub revision: StoreRevision,
-    /// One if it was removed; its value is then empty.
+    /// 1 if the document was removed, and its value is empty; else 0.
     pub removed: u8,
-    /// Its value.
+    /// Content of the document.
     #[br(parse_with = text::read_bytes)]
     #[bw(write_with = text::write_bytes)]
     pub value: Vec<u8>,
 }
 
-/// Documents of one kind that travel together.
+/// A list of documents of one kind, partly compressed.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DocumentList {
-    /// Many of them, written one after the other and compressed: none or one part.
+    /// Compressed [`PackedDocuments`]; at most one element.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     packed: Vec<Compressed>,
-    /// Those that changed since that part was made.
+    /// Documents that changed after the compressed part was made.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     plain: Vec<StoredDocument>,
 }
 
-/// Documents in the order in which they are compressed.
+/// The content of the compressed part of a [`DocumentList`].
 #[binrw]
 #[brw(big)]
 struct PackedDocuments {
@@ -65,19 +65,19 @@
     Compressed::pack(bytes.get_ref())
 }
 
-/// Why a [`DocumentList`] cannot be read.
+/// Why a [`DocumentList`] cannot be decoded.
 #[derive(Debug, Error)]
 pub enum DocumentListError {
-    /// Its compressed part is damaged.
+    /// The compressed part is corrupt.
     #[error("compressed documents: {0}")]
     Compressed(#[from] DecompressError),
-    /// What was compressed are no documents.
-    #[error("documents: {0}")]
+    /// The decompressed part is malformed.
+    #[error("malformed documents: {0}")]
     Malformed(#[from] binrw::Error),
 }
 
 impl DocumentList {
-    /// Documents as they are, and before them `packed` ones.
+    /// Creates a list of the documents in `packed`, followed by `plain`.
     pub fn new(packed: Option<Compressed>, plain: Vec<StoredDocument>) -> Self {
         DocumentList {
             packed: packed.into_iter().collect(),
@@ -85,13 +85,14 @@
         }
     }
 
-    /// The same with `plain` documents after them.
+    /// Appends uncompressed documents.
     pub fn followed_by(mut self, plain: Vec<StoredDocument>) -> Self {
         self.plain.extend(plain);
         self
     }
 
-    /// The documents; a later one under the same key replaces an earlier one.
+    /// Returns the documents in order. A later document replaces an earlier one with the
+    /// same key. Fails if the compressed part is corrupt.
     pub fn into_documents(self) -> Result<Vec<StoredDocument>, DocumentListError> {
         let mut documents = Vec::new();
         for part in &self.packed {
@@ -108,12 +109,12 @@
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigDocument {
-    /// The version.
+    /// Version number of the configuration.
     pub version: u64,
-    /// Time since some node first read it from the store, in milliseconds; the
-    /// greatest value for longer than that.
+    /// Time since a node first read this version from the store, in milliseconds;
+    /// `u32::MAX` for any longer time.
     pub age_ms: u32,
-    /// Its document.
+    /// The compressed configuration document.
     pub document: Compressed,
 }
 
@@ -122,212 +123,214 @@
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuatedZone {
-    /// The zone.
+    /// Name of the zone.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub zone: String,
-    /// Time since when the request may have been made, in milliseconds; the greatest
-    /// value for longer than that.
+    /// Longest possible time since the request was made, in milliseconds; `u32::MAX` for
+    /// any longer time.
     pub age_ms: u32,
 }
 
-/// All requests to evacuate a zone that the store held at a revision.
+/// All zone evacuation requests in the store at a revision.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationListing {
-    /// The revision.
+    /// Store revision of the listing.
     pub revision: StoreRevision,
-    /// The requests.
+    /// The evacuation requests.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub zones: Vec<EvacuatedZone>,
 }
 
-/// A question of one node to another.
+/// A request from one node to another.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExchangeRequest {
-    /// Everything newer than what the asking node has.
+    /// Requests all catalog changes that the requesting node does not have.
     #[brw(magic = 1u8)]
     Catalog {
-        /// Version of its configuration, none where nothing is known.
+        /// Version of the requesting node's configuration; zero for none.
         config_version: u64,
-        /// Store revision up to which it knows the instances, none where nothing is known.
+        /// Store revision up to which the node knows the instances;
+        /// [`StoreRevision::NONE`] for none.
         instances_revision: StoreRevision,
-        /// Store revision up to which it knows the system's own keys, zero for
-        /// none.
+        /// Store revision up to which the node knows the proxy's own keys;
+        /// [`StoreRevision::NONE`] for none.
         own_revision: StoreRevision,
-        /// Store revision up to which it knows the requests to evacuate zones, zero
-        /// for none.
+        /// Store revision up to which the node knows the zone evacuation requests;
+        /// [`StoreRevision::NONE`] for none.
         evacuations_revision: StoreRevision,
-        /// One if the answering node is asked as a relay, which reads the
-        /// store on behalf of others.
+        /// 1 if the receiver is asked as a relay, which reads the store on behalf of other
+        /// nodes; else 0.
         as_relay: u8,
     },
-    /// Whether the node reaches an instance.
+    /// Asks whether the receiver can reach an instance.
     #[brw(magic = 2u8)]
     Reach {
-        /// The instance.
+        /// Name of the instance.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         instance: String,
     },
-    /// Who leads a group.
+    /// Asks for the leader of a group.
     #[brw(magic = 3u8)]
     Leader {
-        /// The group.
+        /// Name of the group.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         group: String,
     },
-    /// A group's term is closed: hand the permit for it back.
+    /// Reports that a group's term is closed, and asks the receiver to release its permit
+    /// for the term.
     #[brw(magic = 4u8)]
     CloseTerm(TermClosing),
-    /// What the asking node's callers need of a group's leader; nothing is asked.
+    /// Reports the sender's recent demand for a group's leader.
     #[brw(magic = 5u8)]
     LeaderDemand(DemandReport),
 }
 
-/// What a node's callers needed of a group's leader lately.
+/// The recent demand of one node's clients for the leader of a group.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandReport {
-    /// The group.
+    /// Name of the group.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub group: String,
-    /// The node.
+    /// Name of the reporting node.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub node: String,
-    /// The demand by the regions that it allows.
+    /// Demand by set of allowed regions.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub parts: Vec<DemandPart>,
 }
 
-/// Statements that allow the same regions.
+/// The demand of statements that allow the same regions.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandPart {
-    /// One if every region is allowed.
+    /// 1 if every region is allowed, else 0.
     pub is_any: u8,
-    /// Else the regions.
+    /// Allowed regions, if not every region is allowed.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub regions: Vec<RegionText>,
-    /// What they are worth.
+    /// Total weight of the statements.
     pub worth: u64,
 }
 
-/// Name of a region.
+/// A region name, as an element of a list.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegionText {
-    /// The name.
+    /// Name of the region.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub name: String,
 }
 
-/// A closed term, as the store holds it.
+/// A term of a group that was closed in the store.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TermClosing {
-    /// The group.
+    /// Name of the group.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub group: String,
-    /// The term.
+    /// The closed term.
     pub term: u64,
-    /// Its leader, empty where it is not known.
+    /// Leader of the term; empty if unknown.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub leader: String,
-    /// One if the answering node should tell the leader to step down, where it
-    /// reaches it; else statements under way may end first.
+    /// 1 if the receiver should tell the leader to step down when it can reach it; 0 if
+    /// running statements may finish first.
     pub steps_down: u8,
-    /// The record that closes the term.
+    /// The store document that closes the term.
     pub record: StoredDocument,
 }
 
-/// Whether a node reaches an instance.
+/// Whether a node can reach an instance.
 #[binrw]
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// It answered a moment ago.
+    /// The instance answered recently.
     Reached = 1,
-    /// It does not answer.
+    /// The instance does not answer.
     Failing = 2,
-    /// It was not asked lately.
+    /// The instance was not contacted recently.
     Unknown = 3,
 }
 
-/// The answer to a question.
+/// The reply to an [`ExchangeRequest`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExchangeReply {
-    /// Documents newer than what was asked for.
+    /// Catalog changes that the requesting node does not have.
     #[brw(magic = 1u8)]
     Catalog {
-        /// The configuration, if it is newer: at most one document.
+        /// The configuration if it is newer; at most one element.
         #[br(parse_with = text::read_list)]
         #[bw(write_with = text::write_list)]
         config: Vec<ConfigDocument>,
-        /// The requests to evacuate zones, if newer ones are known: at most one
-        /// listing.
+        /// The zone evacuation requests if a newer listing is known; at most one element.
         #[br(parse_with = text::read_list)]
         #[bw(write_with = text::write_list)]
         evacuations: Vec<EvacuationListing>,
-        /// Instances that changed since.
+        /// Instances that changed since the requested revision.
         instances: DocumentList,
-        /// Store revision up to which the answering node knows the instances.
+        /// Store revision up to which the replying node knows the instances.
         instances_revision: StoreRevision,
-        /// The system's own keys that changed since.
+        /// The proxy's own keys that changed since the requested revision.
         own: DocumentList,
-        /// Store revision up to which the answering node knows its own keys.
+        /// Store revision up to which the replying node knows the proxy's own keys.
         own_revision: StoreRevision,
-        /// One if the answering node knows all instances.
+        /// 1 if the replying node knows all instances, else 0.
         complete: u8,
-        /// Time since the answering node heard the store, itself or through
-        /// others, in milliseconds; the greatest value for never.
+        /// Time since the replying node last received data from the store, directly or
+        /// through other nodes, in milliseconds; `u32::MAX` for never.
         store_age_ms: u32,
-        /// Time since the answering node knew all of the system's own keys, in
-        /// milliseconds; the greatest value for never.
+        /// Time since the replying node last knew all of the proxy's own keys, in
+        /// milliseconds; `u32::MAX` for never.
         own_age_ms: u32,
     },
-    /// Whether the instance is reached.
+    /// Reply to `Reach`.
     #[brw(magic = 2u8)]
     Reach(Reach),
-    /// The leader as the node has seen it prove its lead, at most one.
+    /// Reply to `Leader`.
     #[brw(magic = 3u8)]
     Leader {
-        /// The leader.
+        /// The last leader that proved its leadership to the replying node; at most one
+        /// element.
         #[br(parse_with = text::read_list)]
         #[bw(write_with = text::write_list)]
         leader: Vec<LeaderReport>,
     },
-    /// The permit for a closed term is handed back.
+    /// Confirms that the permit for a closed term is released.
     #[brw(magic = 4u8)]
     TermClosed {
-        /// One if the old leader has told the answering node that it leads no
-        /// longer.
+        /// 1 if the previous leader confirmed to the replying node that it stepped down,
+        /// else 0.
         has_stepped_down: u8,
     },
-    /// A report was taken in.
+    /// Confirms that a demand report was received.
     #[brw(magic = 5u8)]
     Noted,
 }
 
-/// Writes a message with its version.
+/// Encodes a message with its version byte.
 pub fn encode_exchange<T>(message: &T) -> Result<Vec<u8>, binrw::Error>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
@@ -338,7 +341,7 @@
     Ok(output.into_inner())
 }
 
-/// Reads a message with its version.
+/// Decodes a message. Fails if the version differs or the content is malformed.
 pub fn decode_exchange<T>(bytes: &[u8]) -> Result<T, binrw::Error>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -1,9 +1,9 @@
-//! Statements that one engine node passes to another which holds connections
-//! to the instance, and the answers.
+//! Protocol for forwarding statements to the engine node that holds the connections to
+//! an instance.
 //!
-//! All messages of a link are independent but for the calls and leases that
-//! they name: a call is one statement and its answer, a lease one back-end
-//! connection that stays with the asking node while a transaction is open.
+//! Messages on a link are related only by call and lease numbers. A call is one
+//! statement and its answer. A lease is one backend connection that is reserved for the
+//! forwarding node while a transaction is open.
 
 use std::io::Cursor;
 
@@ -12,295 +12,296 @@
 use crate::exchange::EXCHANGE_VERSION;
 use crate::text;
 
-/// Version of this protocol; the first byte of every message. It differs from
-/// that of the exchange, so that both may arrive at one listener.
+/// Version of the forwarding protocol; the first byte of every message. It differs from
+/// [`EXCHANGE_VERSION`], so that both protocols can share one listener.
 pub const FORWARD_VERSION: u8 = 8;
 
-// A message that both protocols claim would be taken for the wrong one.
+// Equal versions would make messages of the two protocols indistinguishable.
 const _: () = assert!(FORWARD_VERSION != EXCHANGE_VERSION);
 
-/// A place in a group's log.
+/// A position in a group's log.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ForwardedPosition {
-    /// Term.
+    /// Term of the log entry.
     pub term: u64,
-    /// Position in that term's log.
+    /// Log position in the term.
     pub number: u64,
 }
 
-/// A commit of the asking session.
+/// A commit made by the forwarding session.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ForwardedCommit {
-    /// Its position.
+    /// Log position of the commit.
     pub position: ForwardedPosition,
-    /// Time since it was acknowledged, in microseconds.
+    /// Time since the commit was acknowledged, in microseconds.
     pub acknowledged_ago_us: u64,
 }
 
-/// What a read must see.
+/// Lowest log position that a read must observe.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardedFloor {
-    /// Nothing in particular.
+    /// No minimum position.
     #[brw(magic = 0u8)]
     Any,
-    /// The log must hold this position.
+    /// The instance's log must include this position.
     #[brw(magic = 1u8)]
     Position(ForwardedPosition),
-    /// The node that holds the connection works the position out.
+    /// The receiver derives the position from a staleness bound.
     #[brw(magic = 2u8)]
     Staleness {
         /// Time since the read arrived, in microseconds.
         arrived_ago_us: u64,
-        /// Staleness that it accepts, in milliseconds.
+        /// Maximum accepted staleness, in milliseconds.
         staleness_ms: u64,
-        /// The session's last commit, at most one.
+        /// The session's last commit; at most one element.
         #[br(parse_with = text::read_list)]
         #[bw(write_with = text::write_list)]
         written: Vec<ForwardedCommit>,
     },
 }
 
-/// Whether a transaction is begun before the statement.
+/// The transaction to begin before the statement.
 #[binrw]
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardedBegin {
-    /// None.
+    /// No transaction.
     None = 0,
-    /// One that may run on a replica.
+    /// A read-only transaction, which may run on a replica.
     ReadOnly = 1,
-    /// One that only a leader accepts.
+    /// A read-write transaction, which only a leader accepts.
     ReadWrite = 2,
 }
 
-/// A tenant.
+/// A tenant, as an element of a list.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedTenant {
-    /// Its name.
+    /// Name of the tenant.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub name: String,
 }
 
-/// How a lease starts.
+/// Parameters of a new lease.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedStart {
-    /// The instance.
+    /// Name of the instance.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub instance: String,
-    /// The tenant on whose behalf, at most one; none for callers that are not told
-    /// apart.
+    /// Tenant that the connection belongs to, at most one element; empty for clients
+    /// without a tenant.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub user: Vec<ForwardedTenant>,
-    /// Priority; zero is served first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Time left in which its caller should have the answer, in milliseconds; zero
-    /// where it is over.
+    /// Time left until the client's target latency, in milliseconds; zero if it has
+    /// passed.
     pub aim_ms: u32,
-    /// Transaction begun first.
+    /// Transaction to begin before the first statement.
     pub begin: ForwardedBegin,
-    /// What the read must see.
+    /// Lowest log position that the read must observe.
     pub floor: ForwardedFloor,
 }
 
-/// A session value.
+/// A session variable and its value.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedValue {
-    /// Its name.
+    /// Name of the variable.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub name: String,
-    /// The value.
+    /// Value of the variable.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub value: String,
 }
 
-/// A prepared statement with its arguments.
+/// The execution of a prepared statement.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedExecution {
-    /// One if it writes.
+    /// 1 if the statement writes, else 0.
     pub writes: u8,
-    /// Its text, without a name.
+    /// Text of the prepared statement, without its name.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub shape: String,
-    /// The arguments, unchanged.
+    /// Arguments, passed on unchanged.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub arguments: String,
 }
 
-/// One statement.
+/// A forwarded statement.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedStatement {
-    /// Number of the call on this link.
+    /// Number of the call, unique on the link.
     pub call: u64,
-    /// Number of the lease on this link.
+    /// Number of the lease, unique on the link.
     pub lease: u64,
-    /// Time for an answer, in milliseconds.
+    /// Longest time until the answer, in milliseconds.
     pub limit_ms: u32,
-    /// The start, with the first statement of a lease: at most one.
+    /// Parameters of the lease, with its first statement; at most one element.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub start: Vec<ForwardedStart>,
-    /// Values of the session.
+    /// Variables of the session.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub values: Vec<ForwardedValue>,
-    /// The caller's id.
+    /// The client's request id.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub id: String,
-    /// The caller's text; unused where a prepared statement is executed.
+    /// The client's statement text; unused if `execution` is present.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub text: String,
-    /// The prepared statement to execute, at most one.
+    /// The prepared statement to execute; at most one element.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub execution: Vec<ForwardedExecution>,
-    /// One if a success proves that the instance leads.
+    /// 1 if success proves that the instance is the leader, else 0.
     pub proves_leader: u8,
 }
 
-/// What is lent.
+/// The subject of a loan request.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardedSubject {
-    /// Operations of a tenant's quota.
+    /// Operations from a tenant's quota.
     #[brw(magic = 1u8)]
     Tenant {
-        /// The tenant.
+        /// Name of the tenant.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// Statements that may be sent to an instance which is cold.
+    /// Statements that may be sent to an instance that is warming up.
     #[brw(magic = 2u8)]
     Instance {
-        /// The instance.
+        /// Name of the instance.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// The node's word that it lets no other lend places at an instance for a while.
+    /// A promise to accept no other lender for an instance for a limited time.
     #[brw(magic = 3u8)]
     Word {
-        /// The instance.
+        /// Name of the instance.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         instance: String,
-        /// Address of the node that wants to lend.
+        /// Address of the node that requests to be the lender.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         lender: String,
     },
 }
 
-/// A question for a loan.
+/// A request for a loan, or for a promise to a lender.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedBorrowing {
-    /// Number of the call on this link.
+    /// Number of the call, unique on the link.
     pub call: u64,
-    /// What is to be lent.
+    /// Subject of the loan.
     pub subject: ForwardedSubject,
-    /// How much is wanted.
+    /// Requested number of operations or statements.
     pub wanted: u32,
 }
 
-/// The answer to such a question.
+/// The reply to a [`ForwardedBorrowing`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ForwardedLoan {
     /// Number of the call.
     pub call: u64,
-    /// One if the node lends this subject, or gives its word; else the rest says nothing.
+    /// 1 if the node is the lender of the subject or gives the promise; if 0, the other
+    /// fields have no meaning.
     pub counts: u8,
-    /// Operations or statements that may be admitted.
+    /// Number of operations or statements that may be admitted.
     pub operations: u32,
-    /// When refused callers may come back, in milliseconds.
+    /// Delay after which rejected clients may retry, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// What a node asks of one that holds connections.
+/// A message from the forwarding node.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardRequest {
-    /// Run a statement.
+    /// Runs a statement.
     #[brw(magic = 1u8)]
     Run(ForwardedStatement),
-    /// Roll a lease back and end it.
+    /// Rolls back a lease's transaction and ends the lease.
     #[brw(magic = 2u8)]
     End {
-        /// The lease.
+        /// Number of the lease.
         lease: u64,
     },
-    /// Tell that the node lives.
+    /// Checks that the receiver is alive.
     #[brw(magic = 3u8)]
     Ping,
-    /// Lend something.
+    /// Requests a loan.
     #[brw(magic = 4u8)]
     Borrow(ForwardedBorrowing),
 }
 
-/// A row of an answer.
+/// A result row.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedRow {
-    /// The row, unchanged.
+    /// Text of the row, passed on unchanged.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub row: String,
 }
 
-/// How a statement ended.
+/// Outcome of a statement.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardedOutcome {
-    /// It succeeded.
+    /// The statement succeeded.
     #[brw(magic = 1u8)]
     Complete {
-        /// The instance's signature.
+        /// The instance's signature of the result.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         signature: String,
     },
-    /// The instance answered with an error.
+    /// The instance returned an error.
     #[brw(magic = 2u8)]
     BackEnd {
-        /// Number of its kind.
+        /// Numeric error kind.
         kind: u8,
-        /// Its code in the back end's words.
+        /// Error code of the backend protocol.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         code: String,
-        /// Its text.
+        /// Error text.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
         text: String,
@@ -308,80 +309,80 @@
     /// The instance gave no answer.
     #[brw(magic = 3u8)]
     Link {
-        /// Number of the failure.
+        /// Numeric kind of the connection failure.
         kind: u8,
     },
-    /// The statement was not sent: the instance is cold and had no place for it.
+    /// The statement was not sent because the instance is warming up and at its limit.
     #[brw(magic = 4u8)]
     WarmingUp {
-        /// When the caller may come back, in milliseconds.
+        /// Delay after which the client may retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// What a node knows of a group's leader.
+/// A node's knowledge of a group's leader.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaderReport {
-    /// The instance that leads.
+    /// Name of the leader instance.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
     pub instance: String,
-    /// The term that it leads; its log may stand in an earlier one.
+    /// Term that the instance leads; its log may still end in an earlier term.
     pub term: u64,
-    /// Position in its last answer that proved the lead.
+    /// Log position in the leader's last answer that proved its leadership.
     pub position: ForwardedPosition,
-    /// Time since the question to that answer was sent, in microseconds.
+    /// Time since the request for that answer was sent, in microseconds.
     pub asked_ago_us: u64,
 }
 
-/// The answer to one statement.
+/// The answer to a forwarded statement.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardedAnswer {
     /// Number of the call.
     pub call: u64,
-    /// How it ended.
+    /// Outcome of the statement.
     pub outcome: ForwardedOutcome,
-    /// Rows.
+    /// Result rows.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub rows: Vec<ForwardedRow>,
-    /// Where the connection stands: 0 idle, 1 in a transaction, 2 in a failed
-    /// one.
+    /// Transaction state of the connection: 0 idle, 1 in a transaction, 2 in a failed
+    /// transaction.
     pub state: u8,
-    /// Position of the instance's log, at most one.
+    /// Position of the instance's log; at most one element.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub position: Vec<ForwardedPosition>,
-    /// Who leads the group, at most one.
+    /// The group's leader; at most one element.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
     pub leader: Vec<LeaderReport>,
 }
 
-/// What a node that holds connections tells.
+/// A message to the forwarding node.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardReply {
-    /// A statement ended.
+    /// The answer to a statement.
     #[brw(magic = 1u8)]
     Answer(ForwardedAnswer),
-    /// The node lives.
+    /// Reply to `Ping`.
     #[brw(magic = 2u8)]
     Pong,
-    /// The node stops: open leases may end, new ones go elsewhere.
+    /// The sender is shutting down: open leases may finish, and it accepts no new ones.
     #[brw(magic = 3u8)]
     Leaving,
-    /// The answer to a question for a loan.
+    /// Reply to `Borrow`.
     #[brw(magic = 4u8)]
     Loan(ForwardedLoan),
 }
 
-/// Writes a message with its version.
+/// Encodes a message with its version byte.
 pub fn encode_forward<T>(message: &T) -> Result<Vec<u8>, binrw::Error>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
@@ -392,12 +393,12 @@
     Ok(output.into_inner())
 }
 
-/// Whether a message is one of this protocol.
+/// Whether a message belongs to the forwarding protocol.
 pub fn is_forward(bytes: &[u8]) -> bool {
     bytes.first() == Some(&FORWARD_VERSION)
 }
 
-/// Reads a message with its version.
+/// Decodes a message. Fails if the version differs or the content is malformed.
 pub fn decode_forward<T>(bytes: &[u8]) -> Result<T, binrw::Error>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
--- a/crates/millwind-wire/src/lib.rs
+++ b/crates/millwind-wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between millwind processes and their binary codec.
 //!
 //! A frame is a length (written by the transport), a protocol version and one
-//! [`PeerMessage`]. Lengths are bounded before anything is allocated, so a
-//! damaged or hostile frame costs an error and no memory.
+//! [`PeerMessage`]. Lengths are checked before memory is allocated, so a corrupt or
+//! malicious frame cannot cause a large allocation.
 
 pub mod compressed;
 pub mod control;
@@ -28,7 +28,7 @@
 /// Longest frame in bytes, version byte included.
 pub const MAXIMUM_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Introduces the sender; first message on every link.
+/// Identifies the sender; the first message on every connection.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,56 +41,56 @@
     pub incarnation: u64,
 }
 
-/// Everything one node may say to another.
+/// A message from one node to another.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerMessage {
-    /// First message on a link.
+    /// Identifies the sender; the first message on a connection.
     #[brw(magic = 1u8)]
     Hello(Hello),
-    /// Membership and configuration.
+    /// A control plane message: membership or configuration.
     #[brw(magic = 2u8)]
     Control(ControlMessage),
-    /// Run a batch of statements on an instance.
+    /// Runs a batch of statements on an instance.
     #[brw(magic = 3u8)]
     Execute(ExecuteRequest),
-    /// Answer to `Execute`.
+    /// Reply to `Execute`.
     #[brw(magic = 4u8)]
     ExecuteReply(ExecuteReply),
-    /// Settle a request id whose outcome is unknown.
+    /// Resolves a request whose outcome is unknown.
     #[brw(magic = 5u8)]
     Resolve(ResolveRequest),
-    /// Answer to `Resolve`.
+    /// Reply to `Resolve`.
     #[brw(magic = 6u8)]
     ResolveReply(ResolveReply),
-    /// Ask for a group's primary, waiting for a change.
+    /// Asks for a group's primary, optionally waiting for a change.
     #[brw(magic = 7u8)]
     AwaitPrimary(AwaitPrimary),
-    /// Answer to `AwaitPrimary`.
+    /// Reply to `AwaitPrimary`.
     #[brw(magic = 8u8)]
     GroupStatus(GroupStatus),
-    /// Cancel a request, or roll back and free a pinned connection.
+    /// Cancels a request, or rolls back and releases a pinned connection.
     #[brw(magic = 9u8)]
     Cancel(CancelRequest),
-    /// Keeps a silent link known to be alive.
+    /// Shows that an idle connection is alive.
     #[brw(magic = 10u8)]
     KeepAlive,
 }
 
-/// Why a frame was not understood.
+/// Why a frame cannot be decoded.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The frame is empty or of another protocol version.
+    /// The frame is empty or has another protocol version.
     #[error("frame has protocol version {found:?}, this node speaks {PROTOCOL_VERSION}")]
     Version {
-        /// Version found, none for an empty frame.
+        /// Version of the frame; none if the frame is empty.
         found: Option<u8>,
     },
-    /// The frame's content is damaged.
+    /// The content of the frame is malformed.
     #[error("frame cannot be decoded: {0}")]
     Malformed(#[from] binrw::Error),
-    /// Bytes follow the message.
+    /// The frame has additional bytes after the message.
     #[error("frame has {0} bytes after its message")]
     TrailingBytes(usize),
 }
@@ -103,7 +103,8 @@
     Ok(cursor.into_inner())
 }
 
-/// Decodes a frame made by [`encode`].
+/// Decodes a frame. Fails if the version differs, the content is malformed or bytes
+/// follow the message.
 pub fn decode(frame: &[u8]) -> Result<PeerMessage, WireError> {
     match frame.first() {
         Some(&PROTOCOL_VERSION) => {}
@@ -116,9 +117,9 @@
     let mut cursor = Cursor::new(frame);
     cursor.set_position(1);
     let message = PeerMessage::read(&mut cursor)?;
-    let rest = frame.len() - cursor.position() as usize;
-    if rest > 0 {
-        return Err(WireError::TrailingBytes(rest));
+    let trailing = frame.len() - cursor.position() as usize;
+    if trailing > 0 {
+        return Err(WireError::TrailingBytes(trailing));
     }
     Ok(message)
 }
--- a/crates/millwind-wire/src/request.rs
+++ b/crates/millwind-wire/src/request.rs
@@ -1,63 +1,63 @@
-//! Messages of the request path, between the gateway that holds a caller and
-//! the owner of a back-end instance.
+//! Messages of the request path, between the gateway of a client connection and the
+//! node that owns a backend instance.
 
 use binrw::binrw;
 
 use crate::text::{read_bytes, read_list, read_text, write_bytes, write_list, write_text};
 
-/// A term and a log position; term zero means "none".
+/// A term and a log position; term zero means that there is no position.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WirePosition {
-    /// Term, zero for none.
+    /// The term; zero for no position.
     pub term: u64,
-    /// Log position in that term.
+    /// Log position in the term.
     pub log_position: u64,
 }
 
-/// Where a term branched off its predecessor.
+/// The log position at which a term starts.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WireTermStart {
     /// The term.
     pub term: u64,
-    /// Its first log position.
+    /// First log position of the term.
     pub start: u64,
 }
 
-/// What a batch is, which decides how the owner runs it.
+/// Kind of a batch, which decides how the owner runs it.
 #[binrw]
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Intent {
-    /// Changes nothing; may run on a replica that covers the token.
+    /// A read, which may run on a replica that has reached the session token.
     Read = 1,
-    /// Changes something, in one transaction of its own.
+    /// A write in a transaction of its own.
     Write = 2,
     /// Opens a transaction and pins a connection to it.
     Begin = 3,
-    /// Goes on in a pinned transaction.
+    /// Continues a pinned transaction.
     Continue = 4,
-    /// Only parses and describes; changes nothing.
+    /// Only parses and describes statements.
     Describe = 5,
-    /// Ends a pinned transaction by committing it.
+    /// Commits a pinned transaction.
     Commit = 6,
     /// Asks for the primary's confirmed position; the batch is empty.
     Floor = 7,
 }
 
-/// Run a batch of statements on an instance.
+/// A request to run a batch of statements on an instance.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecuteRequest {
-    /// Unique on the link; the reply carries it back.
+    /// Unique on the connection and repeated in the reply.
     pub request_id: u64,
-    /// What the batch is.
+    /// Kind of the batch.
     pub intent: Intent,
-    /// Tenant whose share it draws on.
+    /// Tenant whose resource share is charged.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub tenant: String,
@@ -65,25 +65,25 @@
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub group: String,
-    /// Instance of that group.
+    /// Instance of the group.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub instance: String,
-    /// Pinned connection for `Continue`, zero otherwise.
+    /// Pinned connection for `Continue`; zero otherwise.
     pub pin: u64,
-    /// Time left until the answer must be there, in milliseconds.
+    /// Time left until the reply is due, in milliseconds.
     pub window_ms: u32,
     /// Weight of the tenant in the queue.
     pub weight: u32,
-    /// What the request counts for.
+    /// Value of the request relative to others.
     pub value: u32,
-    /// Position the session must see.
+    /// Position that the session must observe.
     pub token: WirePosition,
-    /// How stale the data may be, in milliseconds.
+    /// Maximum staleness of the data, in milliseconds.
     pub staleness_ms: u64,
-    /// How long to wait for the instance to catch up, in milliseconds.
+    /// Longest wait for the instance to catch up, in milliseconds.
     pub wait_ms: u32,
-    /// The caller's request id, empty for none.
+    /// The client's request id; empty for none.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub request_key: String,
@@ -93,66 +93,66 @@
     pub batch: Vec<u8>,
 }
 
-/// What became of a batch.
+/// Result of a batch.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecuteResult {
-    /// The back end answered, and what must be confirmed was confirmed.
+    /// The backend answered, and any required confirmation succeeded.
     #[brw(magic = 1u8)]
     Answered {
         /// Position after a write, or before a read.
         position: WirePosition,
         /// Transaction status byte of the final `ReadyForQuery`.
         transaction_status: u8,
-        /// Pinned connection, zero when none is held.
+        /// Pinned connection; zero if none is held.
         pin: u64,
         /// Encoded backend messages without the final `ReadyForQuery`.
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         batch: Vec<u8>,
     },
-    /// The proxy refused or failed it.
+    /// The proxy rejected the batch or failed to run it.
     #[brw(magic = 2u8)]
     Failed {
         /// Code of the error kind.
         kind: u8,
-        /// How far it got: 0 not sent, 1 sent, 2 proven undone.
+        /// Progress of the batch: 0 not sent, 1 sent, 2 known to have had no effect.
         progress: u8,
-        /// Detail for people and logs.
+        /// Detail for error messages and logs.
         #[br(parse_with = read_text)]
         #[bw(write_with = write_text)]
         detail: String,
     },
 }
 
-/// Answer to [`ExecuteRequest`].
+/// Reply to [`ExecuteRequest`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecuteReply {
-    /// Number of the request.
+    /// Id of the request that this replies to.
     pub request_id: u64,
-    /// What became of it.
+    /// Result of the batch.
     pub result: ExecuteResult,
-    /// True when the instance led its group when it answered.
+    /// 1 if the instance was the primary of its group when it answered, else 0.
     pub primary: u8,
-    /// Position last heard from the instance.
+    /// Position last reported by the instance.
     pub held: WirePosition,
     /// Term starts known to the instance.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub history: Vec<WireTermStart>,
-    /// How far the instance is behind the primary, in milliseconds.
+    /// Replication lag of the instance, in milliseconds.
     pub lag_ms: u32,
 }
 
-/// Settle a request id whose outcome is unknown.
+/// A request to resolve the outcome of an earlier request.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolveRequest {
-    /// Unique on the link.
+    /// Unique on the connection.
     pub request_id: u64,
     /// Database group.
     #[br(parse_with = read_text)]
@@ -162,7 +162,7 @@
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub instance: String,
-    /// The caller's request id.
+    /// The client's request id.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub request_key: String,
@@ -170,105 +170,104 @@
     pub window_ms: u32,
 }
 
-/// What the ledger says of a request id.
+/// Outcome of a request id according to the ledger.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResolveResult {
-    /// It took effect; this was its answer.
+    /// The request took effect.
     #[brw(magic = 1u8)]
     Committed {
-        /// Position that covers the effect.
+        /// Position that includes the effect.
         position: WirePosition,
-        /// Encoded backend messages of the first answer.
+        /// Encoded backend messages of the original reply.
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         batch: Vec<u8>,
     },
-    /// It did not take effect and never will.
+    /// The request did not take effect and never will.
     #[brw(magic = 2u8)]
     Fenced,
-    /// It could not be settled now.
+    /// The outcome could not be determined now.
     #[brw(magic = 3u8)]
     Unsettled,
 }
 
-/// Answer to [`ResolveRequest`].
+/// Reply to [`ResolveRequest`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolveReply {
-    /// Number of the request.
+    /// Id of the request that this replies to.
     pub request_id: u64,
-    /// What was found.
+    /// Outcome of the earlier request.
     pub result: ResolveResult,
 }
 
-/// Ask for a group's primary, waiting for one that differs from the known.
+/// A request for a group's primary that waits for a term above the known one.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AwaitPrimary {
-    /// Unique on the link.
+    /// Unique on the connection.
     pub request_id: u64,
     /// Database group.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub group: String,
-    /// A primary of this term or a lower one is already known not to serve;
-    /// zero accepts any.
+    /// Highest term whose primary is known to be unavailable; zero accepts any primary.
     pub above_term: u64,
-    /// How long to wait, in milliseconds.
+    /// Longest wait, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What an owner knows of one instance.
+/// State of one instance as known to its owner.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The instance.
+    /// Name of the instance.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub instance: String,
-    /// 1 when it is the primary of the highest term, else 0.
+    /// 1 if the instance is the primary of the highest term, else 0.
     pub primary: u8,
-    /// Its position, term zero when unknown.
+    /// Position of the instance; term zero if unknown.
     pub position: WirePosition,
-    /// Time since it was heard, in milliseconds.
+    /// Time since the last report of the instance, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Answer to [`AwaitPrimary`].
+/// Reply to [`AwaitPrimary`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupStatus {
-    /// Number of the request.
+    /// Id of the request that this replies to.
     pub request_id: u64,
-    /// Highest term known.
+    /// Highest known term.
     pub term: u64,
-    /// The group's instances.
+    /// Instances of the group.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub members: Vec<MemberStatus>,
-    /// Term starts known.
+    /// Known term starts.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub history: Vec<WireTermStart>,
 }
 
-/// Cancel a request, or roll back and free a pinned connection.
+/// A request to cancel another request, or to roll back and release a pinned connection.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CancelRequest {
-    /// Request to cancel, zero for none.
+    /// Request to cancel; zero for none.
     pub request_id: u64,
-    /// Instance of the pinned connection, empty for none.
+    /// Instance of the pinned connection; empty for none.
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub instance: String,
-    /// Pinned connection to free, zero for none.
+    /// Pinned connection to release; zero for none.
     pub pin: u64,
 }
--- a/crates/millwind-wire/src/store_revision.rs
+++ b/crates/millwind-wire/src/store_revision.rs
@@ -1,50 +1,48 @@
-//! Places in the history of the store.
+//! Store revisions that stay ordered when the store is restored from a backup.
 
 use std::fmt;
 
 use binrw::binrw;
 
-/// A place in the store's history.
+/// A revision of the store, qualified by an era.
 ///
-/// A store that is restored from an older copy begins a new era: what was written since
-/// the copy is gone, and its revisions go back and are given out again. Revisions alone
-/// then tell nothing: a later one may stand for less. Pairs of era and revision are in the
-/// order in which things happened, since everything that a store holds in a later era was
-/// confirmed by the restore.
+/// Restoring the store from a backup starts a new era. Writes made after the backup are
+/// lost and their revision numbers are assigned again, so numbers of different eras
+/// cannot be compared. Pairs of era and number are ordered by time.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct StoreRevision {
-    /// How often the store had been restored; zero where it does not tell.
+    /// Number of times that the store was restored; zero if the store does not report it.
     pub era: u32,
-    /// The store's own revision, which rises with each change within an era.
+    /// The store's revision number, which increases with each change within an era.
     pub number: u64,
 }
 
-/// Bits of a fencing token that hold the revision's number: ten years at 3,200 writes a
-/// second, the most that a store of the users' platform takes. Up to 8,191 eras a token
-/// stays a whole number for readers that keep numbers in 64-bit floating point.
+/// Bits of a fencing token that hold the revision number. With at most 8,191 eras, tokens
+/// fit in 53 bits and are exact in readers that use 64-bit floating point.
 const TOKEN_NUMBER_BITS: u32 = 40;
 
 impl StoreRevision {
-    /// Before everything: of a key that does not exist, and of nothing known.
+    /// The revision before all others, used for a key that does not exist and for unknown
+    /// state.
     pub const NONE: StoreRevision = StoreRevision { era: 0, number: 0 };
 
-    /// A revision of an era.
+    /// Creates the revision `number` of `era`.
     pub const fn new(era: u32, number: u64) -> Self {
         StoreRevision { era, number }
     }
 
-    /// Whether it stands for nothing known.
+    /// Whether this is [`StoreRevision::NONE`].
     pub fn is_none(self) -> bool {
         self == StoreRevision::NONE
     }
 
-    /// The fencing token of what was written at this revision: it rises with the
-    /// revisions of an era, and across eras whatever the store's counter does.
+    /// Returns the fencing token for a write at this revision. Tokens increase with the
+    /// revision number within an era, and with the era.
     pub fn fencing_token(self) -> u64 {
-        let most = (1 << TOKEN_NUMBER_BITS) - 1;
-        (u64::from(self.era) << TOKEN_NUMBER_BITS) | self.number.min(most)
+        let max_number = (1 << TOKEN_NUMBER_BITS) - 1;
+        (u64::from(self.era) << TOKEN_NUMBER_BITS) | self.number.min(max_number)
     }
 }
 
--- a/crates/millwind-wire/tests/compressed.rs
+++ b/crates/millwind-wire/tests/compressed.rs
@@ -1,11 +1,11 @@
-//! Compressed documents come out as they went in, and damaged ones are refused.
+//! Compression round trips, and decompression of corrupt data.
 
 use millwind_wire::compressed::Compressed;
 use millwind_wire::exchange::{decode_exchange, encode_exchange};
 use proptest::prelude::*;
 
-/// A document like a configuration of many routes with names that look random.
-fn document(routes: u64) -> Vec<u8> {
+/// Generates a configuration with the given number of routes, whose names look random.
+fn config_document(routes: u64) -> Vec<u8> {
     let route = |number: u64| {
         let name = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 24;
         format!(
@@ -16,38 +16,38 @@
 }
 
 #[test]
-fn a_configuration_of_many_routes_travels_in_less_than_a_sixth() {
-    let whole = document(2_866);
-    let packed = Compressed::pack(&whole).unwrap();
-    let travelling = packed.travelling_bytes();
-    assert!(travelling * 6 < whole.len(), "{travelling} of {}", whole.len());
-    assert_eq!(packed.unpack().unwrap(), whole);
+fn large_configuration_compresses_to_less_than_a_sixth() {
+    let uncompressed = config_document(2_866);
+    let compressed = Compressed::pack(&uncompressed).unwrap();
+    let size = compressed.travelling_bytes();
+    assert!(size * 6 < uncompressed.len(), "{size} of {}", uncompressed.len());
+    assert_eq!(compressed.unpack().unwrap(), uncompressed);
 }
 
 proptest! {
     #[test]
-    fn any_bytes_come_out_as_they_went_in(whole in prop::collection::vec(any::<u8>(), 0..5_000)) {
-        let packed = Compressed::pack(&whole).unwrap();
-        let message = encode_exchange(&packed).unwrap();
-        let read: Compressed = decode_exchange(&message).unwrap();
-        prop_assert_eq!(read.unpack().unwrap(), whole);
+    fn compression_round_trips(uncompressed in prop::collection::vec(any::<u8>(), 0..5_000)) {
+        let compressed = Compressed::pack(&uncompressed).unwrap();
+        let message = encode_exchange(&compressed).unwrap();
+        let decoded: Compressed = decode_exchange(&message).unwrap();
+        prop_assert_eq!(decoded.unpack().unwrap(), uncompressed);
     }
 
     #[test]
-    fn damaged_bytes_never_come_out_longer_than_announced(
-        at in 0_usize..4_000,
+    fn corrupt_data_has_the_declared_length_or_fails(
+        offset in 0_usize..4_000,
         value in any::<u8>(),
     ) {
-        let whole = document(40);
-        let mut message = encode_exchange(&Compressed::pack(&whole).unwrap()).unwrap();
-        // Behind the version byte and the announced length.
-        let place = 5 + at % (message.len() - 5);
-        message[place] = value;
-        let Ok(read) = decode_exchange::<Compressed>(&message) else {
+        let uncompressed = config_document(40);
+        let mut message = encode_exchange(&Compressed::pack(&uncompressed).unwrap()).unwrap();
+        // Skips the version byte and the declared length.
+        let index = 5 + offset % (message.len() - 5);
+        message[index] = value;
+        let Ok(decoded) = decode_exchange::<Compressed>(&message) else {
             return Ok(());
         };
-        if let Ok(bytes) = read.unpack() {
-            prop_assert_eq!(bytes.len(), whole.len());
+        if let Ok(bytes) = decoded.unpack() {
+            prop_assert_eq!(bytes.len(), uncompressed.len());
         }
     }
 }
--- a/crates/millwind-wire/tests/frames.rs
+++ b/crates/millwind-wire/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Frames: what is encoded decodes to the same, and any bytes at all give an
-//! error or a message, never a panic or a large allocation.
+//! Frame round trips, and decoding of malformed frames, which must not panic or allocate
+//! much memory.
 
 use millwind_wire::control::{ControlMessage, Digest, Liveness, MemberRecord, WireDocument, ZoneReport};
 use millwind_wire::{
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-fn record() -> impl Strategy<Value = MemberRecord> {
+fn member_record() -> impl Strategy<Value = MemberRecord> {
     (".{0,12}", any::<u64>(), 0u8..2).prop_map(|(node, incarnation, leaving)| MemberRecord {
         node,
         address: "127.0.0.1:1".to_owned(),
@@ -20,9 +20,9 @@
     })
 }
 
-fn message() -> impl Strategy<Value = PeerMessage> {
+fn peer_message() -> impl Strategy<Value = PeerMessage> {
     let control = prop_oneof![
-        (any::<u64>(), proptest::collection::vec(record(), 0..6))
+        (any::<u64>(), proptest::collection::vec(member_record(), 0..6))
             .prop_map(|(sequence, updates)| ControlMessage::Ping { sequence, updates }),
         (any::<u64>(), any::<u64>()).prop_map(|(revision, hash)| ControlMessage::ConfigReport {
             sequence: 1,
@@ -90,22 +90,22 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn a_message_survives_the_wire(message in message()) {
-        let frame = encode(&message).expect("encodes");
-        prop_assert_eq!(decode(&frame).expect("decodes"), message);
+    fn message_round_trips(peer_message in peer_message()) {
+        let frame = encode(&peer_message).expect("encodes");
+        prop_assert_eq!(decode(&frame).expect("decodes"), peer_message);
     }
 
     #[test]
-    fn any_bytes_are_refused_or_understood(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
         let mut frame = vec![PROTOCOL_VERSION];
         frame.extend(bytes);
         let _ = decode(&frame);
     }
 
     #[test]
-    fn a_damaged_frame_is_refused_or_understood(message in message(), place in any::<prop::sample::Index>(), value in any::<u8>()) {
-        let mut frame = encode(&message).expect("encodes");
-        let index = place.index(frame.len());
+    fn corrupt_frame_does_not_panic_and_truncated_frame_fails(peer_message in peer_message(), position in any::<prop::sample::Index>(), value in any::<u8>()) {
+        let mut frame = encode(&peer_message).expect("encodes");
+        let index = position.index(frame.len());
         frame[index] = value;
         let _ = decode(&frame);
         frame.truncate(index);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_huge_length_allocates_nothing() {
+fn oversized_length_is_rejected() {
     let hello = encode(&PeerMessage::Hello(Hello {
         node: "n".to_owned(),
         incarnation: 1,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn another_version_is_named() {
+fn unsupported_version_is_reported() {
     let error = decode(&[9, 1]).expect_err("refused");
     assert_eq!(
         error.to_string(),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn trailing_bytes_are_refused() {
+fn trailing_bytes_are_rejected() {
     let mut frame = encode(&PeerMessage::KeepAlive).expect("encodes");
     frame.push(0);
     assert!(matches!(decode(&frame), Err(WireError::TrailingBytes(1))));
--- a/crates/millwind-wire/tests/store_revision.rs
+++ b/crates/millwind-wire/tests/store_revision.rs
@@ -1,26 +1,26 @@
-//! Places in the history of a store that may be restored.
+//! Ordering of store revisions and fencing tokens across restores of the store.
 
 use millwind_wire::store_revision::StoreRevision;
 use proptest::prelude::*;
 
 #[test]
-fn a_later_era_comes_after_every_revision_of_an_earlier_one() {
-    let lost = StoreRevision::new(1, 900);
-    let restored = StoreRevision::new(2, 100);
-    assert!(restored > lost);
-    assert!(restored.fencing_token() > lost.fencing_token());
+fn revisions_are_ordered_by_era_first() {
+    let before_restore = StoreRevision::new(1, 900);
+    let after_restore = StoreRevision::new(2, 100);
+    assert!(after_restore > before_restore);
+    assert!(after_restore.fencing_token() > before_restore.fencing_token());
     assert!(StoreRevision::NONE < StoreRevision::new(0, 1));
 }
 
 #[test]
-fn without_eras_a_token_is_the_revision() {
+fn token_in_era_zero_is_the_revision_number() {
     assert_eq!(StoreRevision::new(0, 4_711).fencing_token(), 4_711);
 }
 
 proptest! {
-    /// Tokens are in the order of what they stand for, and no two writes share one.
+    /// Fencing tokens are ordered like their revisions, and differ for different revisions.
     #[test]
-    fn tokens_rise_with_revisions(
+    fn tokens_are_ordered_like_revisions(
         left in (0_u32..8_000, 0_u64..1 << 40),
         right in (0_u32..8_000, 0_u64..1 << 40),
     ) {
