--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -123,7 +123,7 @@
     }
 
     /// Number of steps that prepare the connection for `session` and the statement `needed`.
-    pub fn steps_to(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
+    pub fn preparation_steps(&self, session: &SessionState, needed: Option<&PreparedStatement>) -> usize {
         self.session_state.preparation_steps(session, needed).len()
     }
 
--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -52,7 +52,7 @@
     Protocol,
     /// The statement may not use the instance or the route to it.
     #[error("instance not eligible: {}", .0.name())]
-    Ineligible(IneligibleReason),
+    IneligibleReason(IneligibleReason),
     /// The instance is warming up and accepts no further statements for now.
     #[error("the instance is warming up and accepts no further statements for now")]
     WarmingUp {
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -42,7 +42,7 @@
         /// Priority of the database; zero is the most urgent.
         priority: u8,
         /// Target time for the answer.
-        aim: Instant,
+        target_time: Instant,
     },
     /// A health check, which may use one connection beyond the pool's limit.
     Probe,
--- a/crates/millwind-engine/src/backend/pooled.rs
+++ b/crates/millwind-engine/src/backend/pooled.rs
@@ -48,7 +48,7 @@
     }
 
     /// Target time for the answer to the first statement; now for a health check.
-    pub fn aim(&self) -> Instant {
+    pub fn target_time(&self) -> Instant {
         match self.purpose {
             Purpose::Statement { target_time, .. } => target_time,
             Purpose::Probe => clock::now(),
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -114,7 +114,7 @@
     }
 
     /// Waits for a turn of `user`. A statement whose answer is expected after the target time
-    /// `aim` counts as late. Fails at `deadline`, or at once if the statement is not expected
+    /// `target_time` counts as late. Fails at `deadline`, or at once if the statement is not expected
     /// to be answered by then.
     pub async fn take_for(
         self: &Arc<Self>,
@@ -196,12 +196,12 @@
     }
 
     /// The urgency at which a statement is queued: its own, or late if it is expected to miss
-    /// `aim`. None if it is not expected to be answered by `deadline`. Statements of an open
+    /// `target_time`. None if it is not expected to be answered by `deadline`. Statements of an open
     /// transaction are always queued.
-    fn queued_urgency(&self, urgency: Urgency, aim: Instant, deadline: Instant) -> Option<Urgency> {
+    fn queued_urgency(&self, urgency: Urgency, target_time: Instant, deadline: Instant) -> Option<Urgency> {
         let now = clock::now();
         let expected = |urgency| Instant(now.0 + self.expected_completion_us(urgency));
-        if urgency == Urgency::InTransaction || expected(urgency) <= aim {
+        if urgency == Urgency::InTransaction || expected(urgency) <= target_time {
             return Some(urgency);
         }
         (expected(Urgency::Late) <= deadline).then_some(Urgency::Late)
--- a/crates/millwind-engine/src/directory/warm_up.rs
+++ b/crates/millwind-engine/src/directory/warm_up.rs
@@ -26,7 +26,7 @@
         false => previous
             .sight
             .record_reread(warm_up_left_ms, now)
-            .heard(record.heartbeat),
+            .heartbeat_received(record.heartbeat),
     }
 }
 
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -94,7 +94,9 @@
     pub(super) async fn replace(self: &Arc<Self>, replacement: &Replacement) {
         let group = &replacement.group;
         let rank = match &replacement.old_leader {
-            Some(leader) if replacement.reason.is_detected_by_statements() => self.connection_owner_rank(leader),
+            Some(leader) if replacement.reason.is_detected_by_statements() => {
+                self.connection_owner_rank(leader)
+            }
             _ => self.failover_rank(group),
         };
         info!(
@@ -476,7 +478,7 @@
                 servable_share: worth_in(known),
                 is_cold: known.warmth.is_cold(clock::now()),
                 is_named_in_order: previously_chosen.as_ref() == Some(&known.record.name),
-                is_near: known.record.zone.as_str() == engine.settings.zone,
+                is_in_own_zone: known.record.zone.as_str() == engine.settings.zone,
             })
             .collect();
         if replacement.reason == ReplaceReason::Evacuated {
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -84,7 +84,7 @@
 
     /// Sets the floor of the first statement. Has no effect if the lease begins a
     /// transaction, which has its own floor, or has already started.
-    pub fn set_floor(&mut self, floor: ReadFloor) {
+    pub fn set_floor(&mut self, floor: MinimumReadPosition) {
         if let Some(start) = &mut self.start
             && start.begin == ForwardedBegin::None
         {
@@ -93,7 +93,7 @@
     }
 
     /// Makes the owner begin a transaction before the first statement.
-    pub fn set_begin(&mut self, read_only: bool, floor: ReadFloor) {
+    pub fn set_begin(&mut self, read_only: bool, floor: MinimumReadPosition) {
         self.set_floor(floor);
         if let Some(start) = &mut self.start {
             start.begin = if read_only {
@@ -114,8 +114,8 @@
         deadline: Instant,
     ) -> Result<Reply, AttemptError> {
         let call = self.link.next_id();
-        let statement = self.forwarded_statement(call, session, envelope, proves_leader, deadline);
-        let inquiry = Inquiry::new(&engine.directory, &self.record.name);
+        let statement = self.forwarded_statement(call, session, envelope, confirms_leader, deadline);
+        let inquiry = RequestTracker::new(&engine.directory, &self.record.name);
         self.is_broken = true;
         let response = self.link.call(call, ForwardRequest::Run(statement));
         let answer = match tokio::time::timeout_at(clock::deadline(deadline), response).await {
@@ -131,7 +131,7 @@
         self.transaction = read_state(answer.state);
         let report = answer.leader.first().cloned();
         let result = read_answer(answer);
-        self.record_outcome(engine, &result, &inquiry, proves_leader);
+        self.record_outcome(engine, &result, &inquiry, confirms_leader);
         if let Some(report) = report {
             take_leader_report(engine, &self.record.group, &report, inquiry.asked);
         }
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -97,7 +97,7 @@
 
 /// Decodes a floor. Times are sent as ages, so they shift later by the transit time.
 /// The shift can only make the floor stricter.
-pub(super) fn read_floor(floor: &ForwardedFloor) -> ReadFloor {
+pub(super) fn read_floor(floor: &ForwardedFloor) -> MinimumReadPosition {
     match floor {
         ForwardedFloor::Any => MinimumReadPosition::Any,
         ForwardedFloor::Position(position) => MinimumReadPosition::Position(read_position(*position)),
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -68,7 +68,7 @@
 
 impl Carriers<'_> {
     fn permits(&self, node: &Owner) -> bool {
-        OwnerCandidate::is_carrier(self.regions, self.topology, &node.zone)
+        OwnerCandidate::may_forward(self.regions, self.topology, &node.zone)
     }
 }
 
@@ -95,7 +95,7 @@
     /// Zone of the instance. A recreated instance may have the same name in another zone.
     zone: ZoneName,
     /// Owners and stand-ins.
-    nodes: Arc<OwnersOf>,
+    nodes: Arc<InstanceOwners>,
     /// Owners followed by stand-ins, in rank order.
     ranked: RankedNodes,
 }
@@ -114,7 +114,7 @@
     unrestricted: Mutex<HashMap<InstanceName, UnrestrictedRanking>>,
     /// Cached rankings for restricted statements, with the version of the registry that
     /// each was computed from.
-    restricted: Mutex<HashMap<RankingKey, (u64, Arc<OwnersOf>)>>,
+    restricted: Mutex<HashMap<RankingKey, (u64, Arc<InstanceOwners>)>>,
     avoided: Mutex<HashMap<(SocketAddr, InstanceName), Instant>>,
     /// Per instance, the start of the period without a reachable owner and the time of the
     /// last failed lookup.
@@ -148,7 +148,7 @@
             return cached.clone();
         }
         let nodes = self.rank(registry, record, &AllowedRegions::Any);
-        let ranked = nodes.owners.iter().chain(&nodes.stand_ins).cloned().collect();
+        let ranked = nodes.owners.iter().chain(&nodes.backup_owners).cloned().collect();
         let found = UnrestrictedRanking {
             version,
             zone: record.zone.clone(),
@@ -161,7 +161,7 @@
 
     /// Returns the owners and stand-ins that may receive the text of the statement. This
     /// node is always permitted, because it already has the text.
-    fn permitted_owners(&self, way: &Way<'_>) -> Arc<OwnersOf> {
+    fn permitted_owners(&self, way: &Way<'_>) -> Arc<InstanceOwners> {
         if way.carriers.regions.is_any() {
             return self.unrestricted_ranking(way.registry, way.record).nodes;
         }
@@ -184,8 +184,8 @@
         owners
     }
 
-    fn rank(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> OwnersOf {
-        let place = OwnedPlace {
+    fn rank(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> InstanceOwners {
+        let place = OwnerQuery {
             instance: &record.name,
             zone: &record.zone,
             topology: &self.topology,
@@ -273,10 +273,10 @@
         }
         let mut was_avoided = false;
         let owners = self.available_addresses(&permitted.owners, way, &mut was_avoided);
-        let stand_ins = self.available_addresses(&permitted.stand_ins, way, &mut was_avoided);
+        let backup_owners = self.available_addresses(&permitted.backup_owners, way, &mut was_avoided);
         let found = match self.links.least_loaded_live(&owners).await {
             Some(link) => Some(link),
-            None => self.await_owner_or_stand_in(&owners, &stand_ins).await,
+            None => self.await_owner_or_stand_in(&owners, &backup_owners).await,
         };
         if let Some(link) = found {
             self.unreached_periods().remove(&record.name);
@@ -338,13 +338,13 @@
     async fn await_owner_or_stand_in(
         &self,
         owners: &[SocketAddr],
-        stand_ins: &[SocketAddr],
+        backup_owners: &[SocketAddr],
     ) -> Option<Arc<OwnerLink>> {
-        let stand_in = self.links.least_loaded_live(stand_ins).await;
+        let stand_in = self.links.least_loaded_live(backup_owners).await;
         match self.links.await_least_loaded(owners).await {
             Some(link) => Some(link),
             None if stand_in.is_some() => stand_in,
-            None => self.links.await_least_loaded(stand_ins).await,
+            None => self.links.await_least_loaded(backup_owners).await,
         }
     }
 
@@ -370,8 +370,8 @@
 /// forwarded to, so that this node must use its own connection. The list of nodes must
 /// have been stable for a while, since nodes of the allowed regions may be missing
 /// from the list right after a cluster start.
-fn has_no_permitted_nodes(way: &Way<'_>, permitted: &OwnersOf) -> bool {
-    let mut nodes = permitted.owners.iter().chain(&permitted.stand_ins);
+fn has_no_permitted_nodes(way: &Way<'_>, permitted: &InstanceOwners) -> bool {
+    let mut nodes = permitted.owners.iter().chain(&permitted.backup_owners);
     let is_restricted = !way.carriers.regions.is_any();
     is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= DIRECT_FALLBACK_MS
 }
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -232,7 +232,7 @@
         ForwardedSubject::Word { instance, lender } => {
             let instance = InstanceName::from(instance.as_str());
             let lender = lender.parse().ok()?;
-            let is_granted = engine.give_word(&instance, lender);
+            let is_granted = engine.vote_for_lender(&instance, lender);
             is_granted.then_some(Loan {
                 operations: 0,
                 retry_after_ms: 0,
@@ -340,7 +340,7 @@
         })
         .map_err(AttemptError::Link)?;
     let contact = &known.contact;
-    let is_backing_off = clock::now() < contact.avoid_until || contact.statements.under_way() > 0;
+    let is_backing_off = clock::now() < contact.avoid_until || contact.statements.in_flight() > 0;
     if contact.failing_since.is_some() && is_backing_off {
         return Err(AttemptError::Link(LinkError::InstanceFailing));
     }
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -73,7 +73,7 @@
     session: &SessionState,
 ) -> Result<SessionConnection, AttemptError> {
     let priority = operation.database.priority;
-    let aim = operation.target_time();
+    let target_time = operation.target_time();
     let connected = match engine.route(record, &operation.user, &operation.regions).await {
         Route::Own => {
             let wanted = ConnectionRequest {
@@ -148,7 +148,7 @@
         SessionConnection::Local(local) => {
             let since = floor.resolve(engine, operation.group(), deadline).await;
             envelope.since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
-            execution::run(engine, local, session, &envelope, proves_leader, deadline).await
+            execution::run(engine, local, session, &envelope, confirms_leader, deadline).await
         }
     };
     let outcome = result.as_ref().map_or_else(AttemptError::name, |_| "ok");
--- a/crates/millwind-engine/src/session/caller.rs
+++ b/crates/millwind-engine/src/session/caller.rs
@@ -127,7 +127,7 @@
         .tenant()
         .and_then(|tenant| tenants?.allowed_regions.get(tenant));
     match tenant_regions {
-        Some(tenant_regions) => database.allowed_regions.both(tenant_regions),
+        Some(tenant_regions) => database.allowed_regions.intersection(tenant_regions),
         None => database.allowed_regions.clone(),
     }
 }
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -119,7 +119,7 @@
     /// Returns the lowest log position that satisfies the consistency level, or
     /// the staleness terms from which an owner computes it. Fails if no leader
     /// position is observed before the deadline.
-    pub(super) async fn floor_for(&self, operation: &Operation) -> Result<ReadFloor, Refusal> {
+    pub(super) async fn floor_for(&self, operation: &Operation) -> Result<MinimumReadPosition, Refusal> {
         let written = match operation.database.consistency {
             Consistency::BoundedStaleness => None,
             _ => self.last_commit_in(operation.group()),
@@ -141,7 +141,7 @@
         let position =
             position.ok_or_else(|| Refusal::new(ErrorKind::NoPrimary, "no recent position of a leader"))?;
         operation.attempt_log.set_floor(position);
-        Ok(ReadFloor::Position(position))
+        Ok(MinimumReadPosition::Position(position))
     }
 }
 
@@ -155,8 +155,8 @@
     overloads: &mut OverloadCounter,
 ) -> Result<(), Failure> {
     let has_run = matches!(&error, AttemptError::BackEnd(error)
-        if !error.kind.is_not_run());
-    let is_futile = engine.is_in_vain(&error, operation.group(), &operation.regions);
+        if !error.kind.has_not_run());
+    let is_futile = engine.is_permanently_ineligible(&error, operation.group(), &operation.regions);
     let is_futile = is_futile || overloads.reaches_limit(&error);
     if has_run || clock::now() >= operation.deadline || is_futile {
         return Err(read_failure(error));
@@ -321,7 +321,7 @@
     session: &Arc<SessionState>,
     operation: &Arc<Operation>,
     record: Arc<InstanceRecord>,
-    floor: ReadFloor,
+    floor: MinimumReadPosition,
 ) -> AttemptFuture {
     let engine = engine.clone();
     let session = session.clone();
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -189,8 +189,8 @@
                 Err(FirstStatementError::Attempt(error)) => error,
             };
             open.connection = None;
-            let has_run = matches!(&error, AttemptError::BackEnd(error) if !error.kind.is_not_run());
-            let is_futile = engine.is_in_vain(&error, operation.group(), &operation.regions);
+            let has_run = matches!(&error, AttemptError::BackEnd(error) if !error.kind.has_not_run());
+            let is_futile = engine.is_permanently_ineligible(&error, operation.group(), &operation.regions);
             let is_futile = is_futile || overloads.reaches_limit(&error);
             if has_run || clock::now() >= operation.deadline || is_futile {
                 return Err(transaction_failure(error));
@@ -209,7 +209,15 @@
         let is_on_leader = open.is_on_leader();
         let mut connection = if is_on_leader {
             let record = await_usable_leader(&engine, operation).await?;
-            attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await?
+            attempt::begin(
+                &engine,
+                &record,
+                operation,
+                &state,
+                false,
+                MinimumReadPosition::Any,
+            )
+            .await?
         } else {
             let floor = self.floor_for(operation).await?;
             begin_read_only(&engine, &state, operation, floor).await?
@@ -287,7 +295,7 @@
         let Some(connection) = &mut open.connection else {
             return Err(AttemptError::Link(LinkError::Retired));
         };
-        retry_while_busy(&engine, connection, operation, &state, proves_leader).await
+        retry_while_busy(&engine, connection, operation, &state, confirms_leader).await
     }
 
     /// Commits a transaction without statements. The answer carries a signature that
@@ -298,13 +306,29 @@
         let state = self.state.clone();
         let mut connection = if open.is_on_leader() {
             let record = await_usable_leader(&engine, operation).await?;
-            attempt::begin(&engine, &record, operation, &state, false, ReadFloor::Any).await
+            attempt::begin(
+                &engine,
+                &record,
+                operation,
+                &state,
+                false,
+                MinimumReadPosition::Any,
+            )
+            .await
         } else {
             let floor = self.floor_for(operation).await?;
             begin_read_only(&engine, &state, operation, floor).await
         }
         .map_err(transaction_failure)?;
-        let reply = attempt::run(&engine, &mut connection, operation, &state, ReadFloor::Any, false).await;
+        let reply = attempt::run(
+            &engine,
+            &mut connection,
+            operation,
+            &state,
+            MinimumReadPosition::Any,
+            false,
+        )
+        .await;
         attempt::success(reply.map_err(transaction_failure)?)
     }
 }
@@ -377,7 +401,7 @@
 /// Converts the error of a statement that ran before the commit was sent. If the
 /// connection was lost, the instance rolls the transaction back.
 fn transaction_failure(error: AttemptError) -> Failure {
-    if error.is_not_run() {
+    if error.has_not_run() {
         return error.into_failure();
     }
     match error {
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -99,9 +99,11 @@
             Some(known) if is_usable(engine, &known, watches) => {
                 match engine.judge_instance(&known, InstanceUse::Leader, &operation.regions) {
                     Ok(()) => return Ok(known.record),
-                    Err(Ineligible::Leaving) => format!("leader {} is shutting down", known.record.name),
-                    Err(Ineligible::ZoneEvacuated)
-                        if engine.has_instance_elsewhere(group, &operation.regions) =>
+                    Err(IneligibleReason::Leaving) => {
+                        format!("leader {} is shutting down", known.record.name)
+                    }
+                    Err(IneligibleReason::ZoneEvacuated)
+                        if engine.has_eligible_instance(group, &operation.regions) =>
                     {
                         is_handover = true;
                         let record = &known.record;
@@ -158,7 +160,12 @@
     is_reached && may_lead
 }
 
-fn ineligible_leader(engine: &Engine, known: &Known, reason: Ineligible, operation: &Operation) -> Refusal {
+fn ineligible_leader(
+    engine: &Engine,
+    known: &Known,
+    reason: IneligibleReason,
+    operation: &Operation,
+) -> Refusal {
     let detail = format!(
         "leader {} in zone {}, region {}: {}, allowed regions: {}",
         known.record.name,
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -459,7 +459,9 @@
         }
         match (intent, error.progress) {
             // The write was not executed, so it is safe to retry on the new primary.
-            (_, RequestProgress::ConfirmedNotApplied) if error.kind == ErrorKind::NotPrimary => NextStep::Retry,
+            (_, RequestProgress::ConfirmedNotApplied) if error.kind == ErrorKind::NotPrimary => {
+                NextStep::Retry
+            }
             // A transaction that was only begun is rolled back when its connection closes.
             (Intent::Begin, RequestProgress::Sent) => NextStep::Retry,
             (Intent::Floor, _) => NextStep::Retry,
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -179,7 +179,7 @@
     #[bw(write_with = text::write_list)]
     pub execution: Vec<ForwardedExecution>,
     /// 1 if success proves that the instance is the leader, else 0.
-    pub proves_leader: u8,
+    pub confirms_leader: u8,
 }
 
 /// The subject of a loan request.
