--- a/crates/millwind-engine/src/answer.rs
+++ b/crates/millwind-engine/src/answer.rs
@@ -2,7 +2,7 @@
 
 use millwind_core::error_kind::ErrorKind;
 
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::statement::BackEndError;
 
 /// The engine's refusal of a statement, as reported to the caller.
@@ -28,7 +28,7 @@
     }
 
     /// Creates a refusal of `kind` caused by a failed exchange with an instance.
-    pub fn from_link_error(kind: ErrorKind, error: LinkError) -> Self {
+    pub fn from_link_error(kind: ErrorKind, error: ExchangeError) -> Self {
         Refusal {
             retry_after_ms: error.retry_after_ms(),
             ..Refusal::new(kind, error)
--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::link_error::LinkError;
+use super::link_error::ExchangeError;
 use super::pool::Permit;
 use super::user::ConnectionUser;
 use crate::catalog::InstanceRecord;
@@ -55,12 +55,14 @@
         user: ConnectionUser,
         permit: Permit,
         deadline: Instant,
-    ) -> Result<Connection, LinkError> {
+    ) -> Result<Connection, ExchangeError> {
         let connecting = TcpStream::connect(record.address);
         let stream = match tokio::time::timeout(clock::until(deadline), connecting).await {
-            Err(_) => return Err(LinkError::ConnectTimeout),
-            Ok(Err(error)) if error.kind() == IoErrorKind::TimedOut => return Err(LinkError::ConnectTimeout),
-            Ok(Err(_)) => return Err(LinkError::Refused),
+            Err(_) => return Err(ExchangeError::ConnectTimeout),
+            Ok(Err(error)) if error.kind() == IoErrorKind::TimedOut => {
+                return Err(ExchangeError::ConnectTimeout);
+            }
+            Ok(Err(_)) => return Err(ExchangeError::Refused),
             Ok(Ok(stream)) => stream,
         };
         set_socket_options(&stream);
@@ -80,18 +82,22 @@
         Ok(connection)
     }
 
-    async fn start_session(&mut self, record: &InstanceRecord, deadline: Instant) -> Result<(), LinkError> {
+    async fn start_session(
+        &mut self,
+        record: &InstanceRecord,
+        deadline: Instant,
+    ) -> Result<(), ExchangeError> {
         self.codec
             .encode_startup(&mut self.output, &record.group, &record.name, &self.user);
         self.pending_replies = 1;
         let reply = match self.finish_exchange(deadline).await {
             Ok(reply) => reply,
-            Err(LinkError::Silent) => return Err(LinkError::ConnectTimeout),
-            Err(_) => return Err(LinkError::TurnedAway),
+            Err(ExchangeError::ReplyTimeout) => return Err(ExchangeError::ConnectTimeout),
+            Err(_) => return Err(ExchangeError::ClosedDuringStartup),
         };
         match reply.result {
             Ok(_) => Ok(()),
-            Err(error) => Err(LinkError::StartupRefused(error)),
+            Err(error) => Err(ExchangeError::StartupRefused(error)),
         }
     }
 
@@ -128,7 +134,11 @@
     }
 
     /// Sends one command and waits until `deadline` for its complete reply.
-    pub async fn exchange(&mut self, envelope: &Envelope<'_>, deadline: Instant) -> Result<Reply, LinkError> {
+    pub async fn exchange(
+        &mut self,
+        envelope: &Envelope<'_>,
+        deadline: Instant,
+    ) -> Result<Reply, ExchangeError> {
         self.codec.encode(&mut self.output, envelope);
         self.pending_replies += 1;
         self.finish_exchange(deadline).await
@@ -141,7 +151,7 @@
         session: &SessionState,
         envelope: &Envelope<'_>,
         deadline: Instant,
-    ) -> Result<Reply, LinkError> {
+    ) -> Result<Reply, ExchangeError> {
         let needed = match envelope.command {
             Command::Execute { statement, .. } => Some(statement),
             _ => None,
@@ -158,7 +168,7 @@
             if reply.result.is_err() {
                 // The statement may have run in a wrong session state: its outcome is unknown.
                 // The replies left unread keep the connection from being reused.
-                return Err(LinkError::Protocol);
+                return Err(ExchangeError::Protocol);
             }
             self.session_state.apply(step);
         }
@@ -182,38 +192,38 @@
         self.pending_replies += 1;
     }
 
-    async fn finish_exchange(&mut self, deadline: Instant) -> Result<Reply, LinkError> {
+    async fn finish_exchange(&mut self, deadline: Instant) -> Result<Reply, ExchangeError> {
         self.flush(deadline).await?;
         self.read_reply(deadline).await
     }
 
-    async fn flush(&mut self, deadline: Instant) -> Result<(), LinkError> {
+    async fn flush(&mut self, deadline: Instant) -> Result<(), ExchangeError> {
         let writing = self.stream.write_all(&self.output);
         match tokio::time::timeout(clock::until(deadline), writing).await {
-            Err(_) => return Err(LinkError::Silent),
-            Ok(Err(_)) => return Err(LinkError::Lost),
+            Err(_) => return Err(ExchangeError::ReplyTimeout),
+            Ok(Err(_)) => return Err(ExchangeError::Lost),
             Ok(Ok(())) => {}
         }
         self.output.clear();
         Ok(())
     }
 
-    async fn read_reply(&mut self, deadline: Instant) -> Result<Reply, LinkError> {
+    async fn read_reply(&mut self, deadline: Instant) -> Result<Reply, ExchangeError> {
         let reading = self.read_reply_without_timeout();
         match tokio::time::timeout_at(clock::deadline(deadline), reading).await {
-            Err(_) => Err(LinkError::Silent),
+            Err(_) => Err(ExchangeError::ReplyTimeout),
             Ok(result) => result,
         }
     }
 
-    async fn read_reply_without_timeout(&mut self) -> Result<Reply, LinkError> {
+    async fn read_reply_without_timeout(&mut self) -> Result<Reply, ExchangeError> {
         let mut rows = Vec::new();
         let mut result = Ok(String::new());
         loop {
             while let Some(message) = self
                 .codec
                 .decode(&mut self.input)
-                .map_err(|_| LinkError::Protocol)?
+                .map_err(|_| ExchangeError::Protocol)?
             {
                 match message {
                     BackEndMessage::Row(row) => rows.push(row),
@@ -236,7 +246,7 @@
                 }
             }
             match self.stream.read_buf(&mut self.input).await {
-                Ok(0) | Err(_) => return Err(LinkError::Lost),
+                Ok(0) | Err(_) => return Err(ExchangeError::Lost),
                 Ok(_) => {}
             }
         }
--- a/crates/millwind-engine/src/backend/demand.rs
+++ b/crates/millwind-engine/src/backend/demand.rs
@@ -15,13 +15,13 @@
 
 impl PeakDemand {
     /// Records that `needed` connections are needed at `now`.
-    pub fn note(&mut self, now: Instant, needed: usize) {
+    pub fn record(&mut self, now: Instant, needed: usize) {
         self.advance_window(now);
         self.current = self.current.max(needed);
     }
 
     /// The highest recent number of connections needed at the same time.
-    pub fn lately(&mut self, now: Instant) -> usize {
+    pub fn recent_peak(&mut self, now: Instant) -> usize {
         self.advance_window(now);
         self.current.max(self.previous)
     }
--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -8,7 +8,7 @@
 
 /// Why an exchange with an instance failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum LinkError {
+pub enum ExchangeError {
     /// The TCP connection failed other than by a timeout: it was refused, reset, or the address
     /// is unreachable.
     #[error("connection to the instance refused")]
@@ -19,16 +19,16 @@
     /// The connection failed before the session was established. Instances that have reached
     /// their connection limit may close new connections.
     #[error("connection closed during session startup")]
-    TurnedAway,
+    ClosedDuringStartup,
     /// The instance rejected the session startup with an error.
     #[error("session startup rejected: {} {}", .0.code, .0.text)]
     StartupRefused(BackEndError),
     /// No connection or turn became free in time, or none was expected to.
     #[error("no connection or execution turn became free in time")]
-    NoConnection,
+    QueueTimeout,
     /// The pool of the instance was retired.
     #[error("instance is no longer used")]
-    Retired,
+    PoolRetired,
     /// None of the nodes that hold connections to the instance was reachable.
     #[error("no node with connections to the instance was reachable")]
     OwnerUnreachable,
@@ -43,7 +43,7 @@
     Lost,
     /// No reply arrived in time after bytes were sent.
     #[error("no reply from the instance in time")]
-    Silent,
+    ReplyTimeout,
     /// The reply came from an instance that may no longer be the leader.
     #[error("the instance that replied may no longer be the leader")]
     NoPermit,
@@ -61,25 +61,25 @@
     },
 }
 
-impl LinkError {
+impl ExchangeError {
     /// The error name used in logs.
     pub const fn name(&self) -> &'static str {
         match self {
-            LinkError::Refused => "refused",
-            LinkError::ConnectTimeout => "connect_timeout",
-            LinkError::TurnedAway => "turned_away",
-            LinkError::StartupRefused(error) => error.kind.name(),
-            LinkError::NoConnection => "no_connection",
-            LinkError::Retired => "retired",
-            LinkError::OwnerUnreachable => "owner_unreachable",
-            LinkError::InstanceFailing => "instance_failing",
-            LinkError::NoObservation => "no_observation",
-            LinkError::Lost => "lost",
-            LinkError::Silent => "silent",
-            LinkError::NoPermit => "no_permit",
-            LinkError::Protocol => "protocol",
-            LinkError::IneligibleReason(reason) => reason.name(),
-            LinkError::WarmingUp { .. } => "warming_up",
+            ExchangeError::Refused => "refused",
+            ExchangeError::ConnectTimeout => "connect_timeout",
+            ExchangeError::ClosedDuringStartup => "turned_away",
+            ExchangeError::StartupRefused(error) => error.kind.name(),
+            ExchangeError::QueueTimeout => "no_connection",
+            ExchangeError::PoolRetired => "retired",
+            ExchangeError::OwnerUnreachable => "owner_unreachable",
+            ExchangeError::InstanceFailing => "instance_failing",
+            ExchangeError::NoObservation => "no_observation",
+            ExchangeError::Lost => "lost",
+            ExchangeError::ReplyTimeout => "silent",
+            ExchangeError::NoPermit => "no_permit",
+            ExchangeError::Protocol => "protocol",
+            ExchangeError::IneligibleReason(reason) => reason.name(),
+            ExchangeError::WarmingUp { .. } => "warming_up",
         }
     }
 
@@ -87,15 +87,21 @@
     pub const fn may_have_run(&self) -> bool {
         matches!(
             self,
-            LinkError::Lost | LinkError::Silent | LinkError::NoPermit | LinkError::Protocol
+            ExchangeError::Lost
+                | ExchangeError::ReplyTimeout
+                | ExchangeError::NoPermit
+                | ExchangeError::Protocol
         )
     }
 
     /// Whether the error indicates a failure of the instance itself.
-    pub const fn is_evidence(&self) -> bool {
+    pub const fn indicates_instance_failure(&self) -> bool {
         matches!(
             self,
-            LinkError::Refused | LinkError::ConnectTimeout | LinkError::Lost | LinkError::Silent
+            ExchangeError::Refused
+                | ExchangeError::ConnectTimeout
+                | ExchangeError::Lost
+                | ExchangeError::ReplyTimeout
         )
     }
 
@@ -103,27 +109,27 @@
     /// limit.
     pub fn is_over_limit(&self) -> bool {
         match self {
-            LinkError::TurnedAway => true,
-            LinkError::StartupRefused(error) => error.kind == BackEndErrorKind::TooManyConnections,
+            ExchangeError::ClosedDuringStartup => true,
+            ExchangeError::StartupRefused(error) => error.kind == BackEndErrorKind::TooManyConnections,
             _ => false,
         }
     }
 
     /// Whether another instance now listens at the address.
     pub fn is_wrong_instance(&self) -> bool {
-        matches!(self, LinkError::StartupRefused(error) if error.kind == BackEndErrorKind::WrongInstance)
+        matches!(self, ExchangeError::StartupRefused(error) if error.kind == BackEndErrorKind::WrongInstance)
     }
 
     /// Whether the error suggests that the instance's process is gone and not just unresponsive.
-    pub fn is_refusing(&self) -> bool {
-        matches!(self, LinkError::Refused | LinkError::Lost) || self.is_wrong_instance()
+    pub fn indicates_process_exit(&self) -> bool {
+        matches!(self, ExchangeError::Refused | ExchangeError::Lost) || self.is_wrong_instance()
     }
 
     /// Delay after which the caller may retry, in milliseconds; none if the default of the
     /// error kind applies.
     pub const fn retry_after_ms(&self) -> Option<u32> {
         match self {
-            LinkError::WarmingUp { retry_after_ms } => Some(*retry_after_ms),
+            ExchangeError::WarmingUp { retry_after_ms } => Some(*retry_after_ms),
             _ => None,
         }
     }
@@ -131,11 +137,13 @@
     /// The error kind reported to the caller if the statement was not run.
     pub const fn kind(&self) -> ErrorKind {
         match self {
-            LinkError::NoConnection => ErrorKind::QueueFull,
-            LinkError::NoObservation => ErrorKind::NoPrimary,
-            LinkError::IneligibleReason(IneligibleReason::RegionNotAllowed) => ErrorKind::RegionNotAllowed,
-            LinkError::IneligibleReason(IneligibleReason::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
-            LinkError::WarmingUp { .. } => ErrorKind::WarmingUp,
+            ExchangeError::QueueTimeout => ErrorKind::QueueFull,
+            ExchangeError::NoObservation => ErrorKind::NoPrimary,
+            ExchangeError::IneligibleReason(IneligibleReason::RegionNotAllowed) => {
+                ErrorKind::RegionNotAllowed
+            }
+            ExchangeError::IneligibleReason(IneligibleReason::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
+            ExchangeError::WarmingUp { .. } => ErrorKind::WarmingUp,
             _ => ErrorKind::BackEndUnreachable,
         }
     }
--- a/crates/millwind-engine/src/backend/mod.rs
+++ b/crates/millwind-engine/src/backend/mod.rs
@@ -10,7 +10,7 @@
 mod user;
 
 pub use connection::Connection;
-pub use link_error::LinkError;
+pub use link_error::ExchangeError;
 pub use pool::{Pool, Purpose};
 pub use pooled::PooledConnection;
 pub use pools::Pools;
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -12,9 +12,9 @@
 
 use super::connection::Connection;
 use super::demand::PeakDemand;
-use super::link_error::LinkError;
+use super::link_error::ExchangeError;
 use super::pooled::PooledConnection;
-use super::turns::Turns;
+use super::turns::StatementAdmission;
 use super::user::ConnectionUser;
 use crate::catalog::InstanceRecord;
 use crate::clock;
@@ -124,7 +124,7 @@
     /// Records how many connections are needed now.
     fn record_demand(&mut self) {
         let needed = self.open - self.idle.len() + self.waiters.len();
-        self.demand.note(clock::now(), needed);
+        self.demand.record(clock::now(), needed);
     }
 
     /// Expected time until a request that is queued now at `rank` has finished using its
@@ -163,7 +163,7 @@
     record: InstanceRecord,
     codec: Arc<dyn BackEndCodec>,
     state: Mutex<PoolState>,
-    turns: Arc<Turns>,
+    turns: Arc<StatementAdmission>,
 }
 
 impl std::fmt::Debug for Pool {
@@ -180,7 +180,7 @@
             ..PoolState::default()
         };
         Arc::new(Pool {
-            turns: Turns::new(record.slots),
+            turns: StatementAdmission::new(record.slots),
             record,
             codec,
             state: Mutex::new(state),
@@ -197,7 +197,7 @@
     }
 
     /// The admission queue for this node's statements on the instance.
-    pub fn turns(&self) -> &Arc<Turns> {
+    pub fn turns(&self) -> &Arc<StatementAdmission> {
         &self.turns
     }
 
@@ -238,7 +238,7 @@
     pub fn trim(&self, spare: usize) {
         let unneeded = {
             let mut state = self.state();
-            let needed = state.demand.lately(clock::now()) + spare;
+            let needed = state.demand.recent_peak(clock::now()) + spare;
             let surplus = state.open.saturating_sub(needed).min(state.idle.len());
             state.idle.drain(..surplus).collect::<Vec<_>>()
         };
@@ -246,7 +246,7 @@
     }
 
     /// Closes all idle connections but `kept`.
-    pub fn close_resting(&self, kept: usize) {
+    pub fn close_idle(&self, kept: usize) {
         let unneeded = {
             let mut state = self.state();
             let surplus = state.idle.len().saturating_sub(kept);
@@ -277,7 +277,7 @@
         session: &SessionState,
         needed: Option<&PreparedStatement>,
         deadline: Instant,
-    ) -> Result<Option<PooledConnection>, LinkError> {
+    ) -> Result<Option<PooledConnection>, ExchangeError> {
         if let Some(connection) = self.take_idle(user, session, needed)? {
             self.state().record_demand();
             return Ok(Some(PooledConnection::new(self.clone(), connection, purpose)));
@@ -306,7 +306,7 @@
         session: &SessionState,
         needed: Option<&PreparedStatement>,
         deadline: Instant,
-    ) -> Result<PooledConnection, LinkError> {
+    ) -> Result<PooledConnection, ExchangeError> {
         loop {
             let at_once = self.acquire_at_once(purpose, user, session, needed, deadline);
             if let Some(connection) = at_once.await? {
@@ -316,7 +316,7 @@
             if let Some(connection) = self.take_idle(user, session, needed)? {
                 return Ok(PooledConnection::new(self.clone(), connection, purpose));
             }
-            let rank = self.rank(purpose, deadline).ok_or(LinkError::NoConnection)?;
+            let rank = self.rank(purpose, deadline).ok_or(ExchangeError::QueueTimeout)?;
             let limit = self.retry_deadline(deadline);
             match self.wait(rank, user, limit).await {
                 Ok(Grant::Idle(connection)) if connection.is_alive() => {
@@ -327,7 +327,7 @@
                     Err(error) if error.is_over_limit() && self.can_wait_for_open(deadline) => {}
                     opened => return opened,
                 },
-                Err(LinkError::NoConnection) if clock::now() < deadline => {}
+                Err(ExchangeError::QueueTimeout) if clock::now() < deadline => {}
                 Err(error) => return Err(error),
             }
         }
@@ -339,11 +339,11 @@
         purpose: Purpose,
         user: &ConnectionUser,
         deadline: Instant,
-    ) -> Result<PooledConnection, LinkError> {
+    ) -> Result<PooledConnection, ExchangeError> {
         let limit = clock::now().plus_millis(CONNECT_TIMEOUT_MS).min(deadline);
         let opened = Connection::open(&self.record, self.codec.clone(), user.clone(), permit, limit).await;
         let mut state = self.state();
-        if opened.as_ref().is_err_and(LinkError::is_over_limit) {
+        if opened.as_ref().is_err_and(ExchangeError::is_over_limit) {
             state.no_open_before = clock::now().plus_millis(REJECTION_PAUSE_MS);
         }
         drop(state);
@@ -362,12 +362,12 @@
         user: &ConnectionUser,
         session: &SessionState,
         needed: Option<&PreparedStatement>,
-    ) -> Result<Option<Connection>, LinkError> {
+    ) -> Result<Option<Connection>, ExchangeError> {
         let mut dead = Vec::new();
         let chosen = {
             let mut state = self.state();
             if state.is_retired {
-                return Err(LinkError::Retired);
+                return Err(ExchangeError::PoolRetired);
             }
             loop {
                 let best = state
@@ -394,12 +394,12 @@
 
     /// Whether the instance has closed all idle connections, as a terminating process does.
     /// Returns true once per occurrence.
-    pub fn has_lost_all(&self) -> bool {
+    pub fn take_all_lost(&self) -> bool {
         std::mem::take(&mut self.state().has_lost_all)
     }
 
     /// Whether an idle connection is still open at the instance.
-    pub fn has_live_connection(&self) -> bool {
+    pub fn has_live_idle_connection(&self) -> bool {
         self.state().idle.iter().any(Connection::is_alive)
     }
 
@@ -479,7 +479,7 @@
 
     /// Queues a request at `rank` until it is granted a connection or a permit. Fails if the
     /// pool is retired or at `deadline`.
-    async fn wait(&self, rank: u8, user: &ConnectionUser, deadline: Instant) -> Result<Grant, LinkError> {
+    async fn wait(&self, rank: u8, user: &ConnectionUser, deadline: Instant) -> Result<Grant, ExchangeError> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self.state();
@@ -495,8 +495,8 @@
         }
         match tokio::time::timeout_at(clock::deadline(deadline), receiver).await {
             Ok(Ok(grant)) => Ok(grant),
-            Ok(Err(_)) => Err(LinkError::Retired),
-            Err(_) => Err(LinkError::NoConnection),
+            Ok(Err(_)) => Err(ExchangeError::PoolRetired),
+            Err(_) => Err(ExchangeError::QueueTimeout),
         }
     }
 
--- a/crates/millwind-engine/src/backend/pooled.rs
+++ b/crates/millwind-engine/src/backend/pooled.rs
@@ -6,7 +6,7 @@
 
 use super::connection::Connection;
 use super::pool::{Pool, Purpose};
-use super::turns::{Turn, Urgency};
+use super::turns::{ExecutionSlot, Urgency};
 use crate::clock;
 use crate::statement::{Command, Envelope, TransactionState};
 
@@ -24,7 +24,7 @@
     /// Whether a statement has run since the connection was acquired.
     has_run: bool,
     /// The turn of the first statement, if it was taken before the connection was acquired.
-    turn: Option<Turn>,
+    turn: Option<ExecutionSlot>,
 }
 
 impl PooledConnection {
@@ -56,17 +56,17 @@
     }
 
     /// Stores the turn in which the connection was acquired, for its first statement.
-    pub fn keep_turn(&mut self, turn: Turn) {
+    pub fn store_turn(&mut self, turn: ExecutionSlot) {
         self.turn = Some(turn);
     }
 
     /// Takes the stored turn, if there is one.
-    pub fn take_turn(&mut self) -> Option<Turn> {
+    pub fn take_turn(&mut self) -> Option<ExecutionSlot> {
         self.turn.take()
     }
 
     /// Records that a statement has run on the connection.
-    pub fn note_run(&mut self) {
+    pub fn record_run(&mut self) {
         self.has_run = true;
     }
 
--- a/crates/millwind-engine/src/backend/pools.rs
+++ b/crates/millwind-engine/src/backend/pools.rs
@@ -73,7 +73,7 @@
     /// Replaces the pool of a restarted instance, if there is one, by an empty pool without
     /// load statistics. Lookups with the previous record return the new pool if the address
     /// is the same.
-    pub fn begin_life(&self, record: &InstanceRecord, version: u64, share: usize) {
+    pub fn replace_restarted(&self, record: &InstanceRecord, version: u64, share: usize) {
         let former = {
             let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(entry) = pools.get_mut(&record.name) else {
@@ -120,7 +120,7 @@
     }
 
     /// Opens up to `count` connections of a pool in the background, unless as many are open.
-    pub fn open_ahead(&self, pool: Arc<Pool>, count: usize) {
+    pub fn prewarm(&self, pool: Arc<Pool>, count: usize) {
         if pool.open_connections() < count {
             tokio::spawn(prewarm(pool, count, PREWARM_PAUSE));
         }
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -9,7 +9,7 @@
 use millwind_core::connection_queue::{WaitingRequest, select_next};
 use tokio::sync::oneshot;
 
-use super::link_error::LinkError;
+use super::link_error::ExchangeError;
 use super::user::ConnectionUser;
 use crate::clock;
 
@@ -45,7 +45,7 @@
     user: ConnectionUser,
     /// Number of later statements that were served first.
     passed_over: u8,
-    turn: oneshot::Sender<Turn>,
+    turn: oneshot::Sender<ExecutionSlot>,
 }
 
 struct State {
@@ -57,40 +57,40 @@
 }
 
 /// Admission queue for the statements on one instance.
-pub struct Turns(Mutex<State>);
+pub struct StatementAdmission(Mutex<State>);
 
-impl std::fmt::Debug for Turns {
+impl std::fmt::Debug for StatementAdmission {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("Turns")
+        formatter.write_str("StatementAdmission")
     }
 }
 
 /// The right to run one statement on the instance; released when dropped.
 #[derive(Debug)]
-pub struct Turn {
-    turns: Arc<Turns>,
+pub struct ExecutionSlot {
+    turns: Arc<StatementAdmission>,
     user: ConnectionUser,
     began: Instant,
     end: ExecutionEnd,
 }
 
-impl Turn {
+impl ExecutionSlot {
     /// Releases the turn and reports how the statement ended.
     pub fn end(mut self, end: ExecutionEnd) {
         self.end = end;
     }
 }
 
-impl Drop for Turn {
+impl Drop for ExecutionSlot {
     fn drop(&mut self) {
         self.turns.release(self.began, self.end, &self.user);
     }
 }
 
-impl Turns {
+impl StatementAdmission {
     /// Creates the queue for an instance with `slots` execution slots.
-    pub fn new(slots: u32) -> Arc<Turns> {
-        Arc::new(Turns(Mutex::new(State {
+    pub fn new(slots: u32) -> Arc<StatementAdmission> {
+        Arc::new(StatementAdmission(Mutex::new(State {
             limit: ConcurrencyLimit::new(slots),
             running: 0,
             waiters: VecDeque::new(),
@@ -103,26 +103,26 @@
     }
 
     /// Like [`Turns::take_for`], for the system user.
-    pub async fn take(
+    pub async fn acquire(
         self: &Arc<Self>,
         urgency: Urgency,
         target_time: Instant,
         deadline: Instant,
-    ) -> Result<Turn, LinkError> {
-        self.take_for(&ConnectionUser::System, urgency, target_time, deadline)
+    ) -> Result<ExecutionSlot, ExchangeError> {
+        self.acquire_for(&ConnectionUser::System, urgency, target_time, deadline)
             .await
     }
 
     /// Waits for a turn of `user`. A statement whose answer is expected after the target time
     /// `target_time` counts as late. Fails at `deadline`, or at once if the statement is not expected
     /// to be answered by then.
-    pub async fn take_for(
+    pub async fn acquire_for(
         self: &Arc<Self>,
         user: &ConnectionUser,
         urgency: Urgency,
         target_time: Instant,
         deadline: Instant,
-    ) -> Result<Turn, LinkError> {
+    ) -> Result<ExecutionSlot, ExchangeError> {
         let waiting = {
             let mut state = self.state();
             if state.running < state.limit.allowed() {
@@ -131,18 +131,18 @@
             }
             let queued_urgency = state
                 .queued_urgency(urgency, target_time, deadline)
-                .ok_or(LinkError::NoConnection)?;
+                .ok_or(ExchangeError::QueueTimeout)?;
             state.enqueue(queued_urgency, user.clone())
         };
         match tokio::time::timeout_at(clock::deadline(deadline), waiting).await {
             Ok(Ok(turn)) => Ok(turn),
-            Ok(Err(_)) => Err(LinkError::Retired),
-            Err(_) => Err(LinkError::NoConnection),
+            Ok(Err(_)) => Err(ExchangeError::PoolRetired),
+            Err(_) => Err(ExchangeError::QueueTimeout),
         }
     }
 
-    fn begin(self: &Arc<Self>, user: ConnectionUser) -> Turn {
-        Turn {
+    fn begin(self: &Arc<Self>, user: ConnectionUser) -> ExecutionSlot {
+        ExecutionSlot {
             turns: self.clone(),
             user,
             began: clock::now(),
@@ -207,7 +207,7 @@
         (expected(Urgency::Late) <= deadline).then_some(Urgency::Late)
     }
 
-    fn enqueue(&mut self, urgency: Urgency, user: ConnectionUser) -> oneshot::Receiver<Turn> {
+    fn enqueue(&mut self, urgency: Urgency, user: ConnectionUser) -> oneshot::Receiver<ExecutionSlot> {
         let (turn, receiver) = oneshot::channel();
         let index = self.waiters.partition_point(|other| other.urgency <= urgency);
         let waiter = Waiter {
--- a/crates/millwind-engine/src/catalog_cache.rs
+++ b/crates/millwind-engine/src/catalog_cache.rs
@@ -11,7 +11,7 @@
 use millwind_wire::exchange::{ConfigDocument, ExchangeReply, StoredDocument};
 
 use crate::clock;
-use crate::kept_documents::DocumentCache;
+use crate::document_cache::DocumentCache;
 use crate::node::Engine;
 
 /// The cached document of the configuration.
@@ -35,7 +35,7 @@
     /// compression fails.
     fn wire_document(&mut self) -> Option<ConfigDocument> {
         if let CachedDocument::Plain(plain) = &self.document {
-            match Compressed::pack(plain) {
+            match Compressed::compress(plain) {
                 Ok(compressed) => self.document = CachedDocument::Compressed(compressed),
                 Err(error) => {
                     let version = self.version;
@@ -178,7 +178,7 @@
             own_revision: engine.own_keys.known_revision(),
             complete: u8::from(engine.directory.is_complete()),
             store_age_ms,
-            own_age_ms: encode_age_ms(engine.directory.terms_age_ms()),
+            own_age_ms: encode_age_ms(engine.directory.closed_terms_age_ms()),
         }
     }
 }
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -12,8 +12,8 @@
 use crate::clock;
 use crate::connection_shares::AMPLE_CONNECTION_SHARE;
 use crate::node::Engine;
-use crate::passed_over::truncate_for_log;
 use crate::ports::{CatalogCodec, CatalogError};
+use crate::unreadable_documents::truncate_for_log;
 
 /// Number of connections opened in advance to a new instance.
 const ADVANCE_CONNECTIONS: usize = 1;
@@ -54,7 +54,7 @@
 impl Engine {
     /// Records that this node has current instance data from the store.
     pub fn record_store_contact(&self) {
-        self.directory.store_heard();
+        self.directory.record_store_contact();
         self.relays.instances_heard();
     }
 
@@ -98,7 +98,7 @@
             return;
         }
         if self.connection_share(record) >= AMPLE_CONNECTION_SHARE {
-            self.pools.open_ahead(self.pool(record), ADVANCE_CONNECTIONS);
+            self.pools.prewarm(self.pool(record), ADVANCE_CONNECTIONS);
         }
     }
 
@@ -178,7 +178,7 @@
         present: &HashSet<InstanceName>,
         revision: StoreRevision,
     ) {
-        for missing in self.directory.listing_applied(present) {
+        for missing in self.directory.apply_listing(present) {
             let key = format!("{}{missing}", codec.instances_prefix());
             // Rejects older records of the instance that a peer may still send.
             self.catalog_cache.mark_applied(&key, revision);
@@ -216,8 +216,8 @@
             return;
         };
         let has_changed_state = match document {
-            Some(_) => self.directory.disown(&name),
-            None => self.directory.remove_record(&name),
+            Some(_) => self.directory.mark_undecodable(&name),
+            None => self.directory.mark_removed(&name),
         };
         if has_changed_state {
             self.catalog_cache.store_instance(key, document, revision);
@@ -227,13 +227,13 @@
     /// Applies an instance's record; returns whether anything except the heartbeat changed.
     fn apply_record(&self, record: InstanceRecord) -> bool {
         let change = self.directory.apply_record(record.clone());
-        if change.has_begun_anew {
+        if change.has_restarted {
             self.handle_restart(&record);
         }
-        if change.is_new || change.has_begun_anew {
+        if change.is_new || change.has_restarted {
             self.open_ahead(&record);
         }
-        change.has_changed || change.has_begun_anew
+        change.has_changed || change.has_restarted
     }
 
     /// Handles a restart of an instance: discards the connections to the old process, with
@@ -242,7 +242,7 @@
     fn handle_restart(&self, record: &InstanceRecord) {
         self.metrics.instance_restarts.inc();
         self.pools
-            .begin_life(record, self.registry.version(), self.connection_share(record));
+            .replace_restarted(record, self.registry.version(), self.connection_share(record));
         self.expedite_instance_batch();
         self.wake_monitor();
     }
--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -11,7 +11,7 @@
 use crate::backend::ConnectionUser;
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::forward::{Carriers, OWNERS, Route, Standing, Way};
+use crate::forward::{ForwardingPolicy, OWNER_COUNT, OwnershipRole, Route, RouteRequest};
 use crate::node::Engine;
 
 /// Even share of connections per node at which every node holds its own share.
@@ -46,7 +46,7 @@
     /// check connection for each watcher of the group.
     pub(crate) fn owner_share(&self, group: &GroupName) -> usize {
         let limit = self.connection_limit(group);
-        limit.saturating_sub(OWNERS + WATCHERS) / OWNERS
+        limit.saturating_sub(OWNER_COUNT + WATCHERS) / OWNER_COUNT
     }
 
     /// Returns the number of connections to an instance that this node may hold; at least
@@ -56,10 +56,10 @@
             return self.even_share(&record.group);
         }
         let limit = self.connection_limit(&record.group);
-        let share = match self.owners.standing(&self.registry, record) {
-            Standing::Owner => self.owner_share(&record.group),
-            Standing::StandIn => limit * STAND_IN_PERCENT / 100,
-            Standing::Other => 1,
+        let share = match self.owners.ownership_role(&self.registry, record) {
+            OwnershipRole::Owner => self.owner_share(&record.group),
+            OwnershipRole::StandIn => limit * STAND_IN_PERCENT / 100,
+            OwnershipRole::Other => 1,
         };
         share.max(1)
     }
@@ -73,26 +73,26 @@
         regions: &AllowedRegions,
     ) -> Route {
         if self.has_ample_connections(&record.group) {
-            return Route::Own;
+            return Route::Local;
         }
         let is_reachable = self
             .directory
             .instance(&record.name)
             .is_none_or(|known| known.contact.failing_since.is_none());
-        let way = Way {
+        let way = RouteRequest {
             registry: &self.registry,
             record,
-            carriers: Carriers {
+            forwarding_policy: ForwardingPolicy {
                 regions,
                 topology: &self.settings.topology,
             },
-            prefers_own: is_reachable,
+            prefers_local: is_reachable,
         };
         let route = match user.tenant() {
-            Some(tenant) => self.owners.route_of_tenant(&way, tenant).await,
+            Some(tenant) => self.owners.route_for_tenant(&way, tenant).await,
             None => self.owners.route(&way).await,
         };
-        if matches!(route, Route::Own) && !self.runs_statements_on(record) {
+        if matches!(route, Route::Local) && !self.runs_statements_on(record) {
             self.record_direct_use(record);
         }
         route
@@ -107,7 +107,7 @@
                 record.group, record.name
             );
         }
-        self.directory.used_directly(&record.group);
+        self.directory.record_direct_use(&record.group);
     }
 
     /// Returns whether this node runs statements on an instance itself, so that it can
@@ -121,7 +121,7 @@
         let mut watchers = self.registry.top_nodes_for(group.as_str(), WATCHERS);
         for record in self.watched_instances(group) {
             let ranked = self.owners.ranked(&self.registry, &record);
-            watchers.extend(ranked.iter().take(OWNERS).cloned());
+            watchers.extend(ranked.iter().take(OWNER_COUNT).cloned());
         }
         let others = watchers.iter().filter(|watcher| !watcher.is_self);
         let mut addresses: Vec<SocketAddr> = others.map(|watcher| watcher.address).collect();
--- a/crates/millwind-engine/src/directory/changes.rs
+++ b/crates/millwind-engine/src/directory/changes.rs
@@ -42,7 +42,7 @@
     fn has_lead_claim(&self, group: &GroupName) -> bool {
         let members = self.members.get(group).into_iter().flatten();
         let mut known = members.filter_map(|name| self.instances.get(name));
-        known.any(|known| known.record.claims_lead && !known.is_gone)
+        known.any(|known| known.record.claims_lead && !known.is_removed)
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether every configured group has a known instance that claims leadership.
-    pub fn knows_claimed_leaders(&self) -> bool {
+    pub fn has_claimed_leader_for_every_group(&self) -> bool {
         self.state().knows_claimed_leaders()
     }
 
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -9,7 +9,7 @@
 use super::Directory;
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::peers::Testimony;
+use crate::peers::PeerReachability;
 
 /// A new sample enters the moving averages of latency with weight `1 / LATENCY_WEIGHT`.
 const LATENCY_WEIGHT: u64 = 8;
@@ -25,7 +25,7 @@
 
 /// Health of an instance as observed by this node.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Contact {
+pub struct InstanceHealth {
     /// Time of the last response of any kind.
     pub last_success: Option<Instant>,
     /// When the first request of the current run of failures was sent; none while the
@@ -40,14 +40,14 @@
     pub check_us: Option<u64>,
     /// Whether a peer has reported doubts about the instance since its last response or
     /// health check.
-    pub is_doubted: bool,
+    pub has_peer_doubt: bool,
     /// Outcomes of recent statements, independent of health checks.
     pub statements: StatementHealth,
     /// Reads avoid the instance until this time.
     pub avoid_until: Instant,
 }
 
-impl Contact {
+impl InstanceHealth {
     /// Since when the instance has answered none of its pending statements, once that time
     /// exceeds the limit for its usual latency.
     pub fn unresponsive_since(&self) -> Option<Instant> {
@@ -60,21 +60,21 @@
     }
 
     /// Whether statements on the instance hang or fail, so that another should be preferred.
-    pub fn is_sick(&self) -> bool {
+    pub fn is_unhealthy(&self) -> bool {
         self.unresponsive_since().is_some() || self.statements.is_outlier(clock::now())
     }
 }
 
 impl Directory {
     /// Records what peers reported about an instance.
-    pub fn heard_of(&self, instance: &InstanceName, testimony: Testimony) {
+    pub fn record_peer_reachability(&self, instance: &InstanceName, testimony: PeerReachability) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.testimony = Some((clock::now(), testimony));
         }
     }
 
     /// What peers reported about an instance within the last `most_ms`.
-    pub fn testimony(&self, instance: &InstanceName, most_ms: u64) -> Option<Testimony> {
+    pub fn testimony(&self, instance: &InstanceName, most_ms: u64) -> Option<PeerReachability> {
         let state = self.state();
         let (heard, testimony) = state.instances.get(instance)?.testimony?;
         (clock::now().millis_since(heard) <= most_ms).then_some(testimony)
@@ -109,14 +109,14 @@
     }
 
     /// Records that a statement was sent to `instance`.
-    pub fn asked(&self, instance: &InstanceName) {
+    pub fn record_statement_sent(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.statements.record_sent(clock::now());
         }
     }
 
     /// Records a response of `instance`; `latency_us` is set if it answers a statement.
-    pub fn answered(&self, instance: &InstanceName, latency_us: Option<u64>) {
+    pub fn record_response(&self, instance: &InstanceName, latency_us: Option<u64>) {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
             return;
@@ -127,7 +127,7 @@
             info!("event=instance_regained instance={instance}");
         }
         contact.is_refusing = false;
-        contact.is_doubted = false;
+        contact.has_peer_doubt = false;
         if let Some(sample) = latency_us {
             contact.statements.record_response(clock::now());
             contact.latency_us = (contact.latency_us * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
@@ -135,14 +135,14 @@
     }
 
     /// Records that a health check of `instance` starts.
-    pub fn checking(&self, instance: &InstanceName) {
+    pub fn record_check_started(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.is_doubted = false;
+            known.contact.has_peer_doubt = false;
         }
     }
 
     /// Records that a health check of `instance` took `micros`.
-    pub fn checked(&self, instance: &InstanceName, micros: u64) {
+    pub fn record_check_latency(&self, instance: &InstanceName, micros: u64) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             let mean = known.contact.check_us.unwrap_or(micros);
             known.contact.check_us = Some((mean * (LATENCY_WEIGHT - 1) + micros) / LATENCY_WEIGHT);
@@ -150,14 +150,14 @@
     }
 
     /// Records that a peer has doubts about `instance`.
-    pub fn doubt(&self, instance: &InstanceName) {
+    pub fn record_peer_doubt(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.is_doubted = true;
+            known.contact.has_peer_doubt = true;
         }
     }
 
     /// Records that a statement on `instance` is no longer pending.
-    pub fn settled(&self, instance: &InstanceName, was_answered: bool) {
+    pub fn record_statement_finished(&self, instance: &InstanceName, was_answered: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.statements.record_end(was_answered);
         }
@@ -165,7 +165,7 @@
 
     /// Records the outcome of a statement on `instance`: a success, or a failure that counts
     /// against the instance.
-    pub fn statement_ended(&self, instance: &InstanceName, succeeded: bool) {
+    pub fn record_outcome(&self, instance: &InstanceName, succeeded: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             let statements = &mut known.contact.statements;
             if succeeded {
@@ -178,7 +178,7 @@
 
     /// Restarts the measurement of silence for all instances after this process was
     /// suspended.
-    pub fn forgive_silence(&self) {
+    pub fn reset_silence(&self) {
         let now = clock::now();
         for known in self.state().instances.values_mut() {
             known.contact.statements.record_response(now);
@@ -187,7 +187,7 @@
 
     /// Records that a request sent to `instance` at `asked` failed. A response that arrived
     /// after `asked` outweighs the failure.
-    pub fn failed(&self, instance: &InstanceName, asked: Instant, is_refusing: bool) {
+    pub fn record_failure(&self, instance: &InstanceName, asked: Instant, is_refusing: bool) {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
             return;
@@ -208,16 +208,16 @@
     }
 
     /// Makes reads avoid `instance`, which lagged behind the position that a read requires.
-    pub fn behind(&self, instance: &InstanceName) {
+    pub fn avoid_lagging(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.contact.avoid_until = clock::now().plus_millis(LAGGING_AVOID_MS);
         }
     }
 
     /// The initial health of the instance of `record`, before any request was sent.
-    pub(super) fn initial_contact(&self, record: &InstanceRecord) -> Contact {
+    pub(super) fn initial_contact(&self, record: &InstanceRecord) -> InstanceHealth {
         let is_same_zone = record.zone.as_str() == self.zone;
-        Contact {
+        InstanceHealth {
             last_success: None,
             failing_since: None,
             is_refusing: false,
@@ -227,7 +227,7 @@
                 OTHER_ZONE_LATENCY_US
             },
             check_us: None,
-            is_doubted: false,
+            has_peer_doubt: false,
             statements: StatementHealth::default(),
             avoid_until: Instant::default(),
         }
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -69,7 +69,7 @@
 
     /// When this node learnt that the evacuation of a zone was cancelled. The instances of the
     /// zone count as cold from that time on.
-    pub fn returned_from_evacuation_at(&self, zone: &ZoneName) -> Option<Instant> {
+    pub fn evacuation_cancelled_at(&self, zone: &ZoneName) -> Option<Instant> {
         self.state().evacuations.withdrawn_at(zone)
     }
 
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -7,7 +7,7 @@
 use millwind_core::incarnation::RestartEvidence;
 use millwind_core::position::{Position, Term};
 
-use super::{Directory, Group, Known, State};
+use super::{Directory, Group, KnownInstance, State};
 use crate::catalog::InstanceRecord;
 use crate::clock;
 
@@ -91,7 +91,7 @@
 /// state of the instance itself and closes its connections.
 pub(super) fn start_incarnation(
     state: &mut State,
-    previous: &Known,
+    previous: &KnownInstance,
     record: &InstanceRecord,
     evidence: RestartEvidence,
 ) {
@@ -102,7 +102,7 @@
         evidence.name(),
         incarnation_label(&previous.record),
         incarnation_label(record),
-        clock::now().millis_since(previous.heard),
+        clock::now().millis_since(previous.last_seen),
         record.claims_lead
     );
     if previous.record.group != record.group
@@ -127,7 +127,7 @@
     pub(super) fn is_of_present_life(&self, instance: &InstanceName, asked: Instant) -> bool {
         let known = self.instances.get(instance);
         known
-            .and_then(|known| known.life_began)
+            .and_then(|known| known.incarnation_seen_at)
             .is_none_or(|began| asked > began)
     }
 
@@ -135,7 +135,7 @@
     pub(super) fn has_other_member(&self, group: &GroupName, instance: &InstanceName) -> bool {
         let members = self.members.get(group).into_iter().flatten();
         let mut others = members.filter(|name| *name != instance);
-        others.any(|name| self.instances.get(name).is_some_and(|known| !known.is_gone))
+        others.any(|name| self.instances.get(name).is_some_and(|known| !known.is_removed))
     }
 
     /// Discards the announced term and the step-down of `instance`, whose process may have
@@ -154,13 +154,13 @@
 impl Directory {
     /// Whether the response to a request sent to `instance` at `asked` comes from the current
     /// incarnation.
-    pub fn is_of_present_life(&self, instance: &InstanceName, asked: Instant) -> bool {
+    pub fn is_from_current_incarnation(&self, instance: &InstanceName, asked: Instant) -> bool {
         self.state().is_of_present_life(instance, asked)
     }
 
     /// When this node first saw the current incarnation of an instance; none for the first
     /// incarnation that this node has seen.
     pub fn life_began(&self, instance: &InstanceName) -> Option<Instant> {
-        self.state().instances.get(instance)?.life_began
+        self.state().instances.get(instance)?.incarnation_seen_at
     }
 }
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -28,11 +28,11 @@
 use crate::catalog_intake::ConfigOrigin;
 use crate::clock;
 use crate::logging::LineLimit;
-use crate::peers::Testimony;
+use crate::peers::PeerReachability;
 
 use warm_up::observe_warm_up;
 
-pub use contact::Contact;
+pub use contact::InstanceHealth;
 use lives::{PreviousLog, SteppedDown, start_incarnation};
 
 /// Most log lines per second about the records of single instances. A starting node reads
@@ -41,38 +41,38 @@
 
 /// What this node knows about one instance.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownInstance {
     /// The instance's record, as last read.
     pub record: Arc<InstanceRecord>,
     /// When this node last received the record.
-    pub heard: Instant,
+    pub last_seen: Instant,
     /// When this node learnt that the instance is leaving or that its record was removed.
     pub leaving_since: Option<Instant>,
     /// Whether the record was removed from the store.
-    pub is_gone: bool,
+    pub is_removed: bool,
     /// Whether the value under the instance's key could not be decoded.
     pub is_undecodable: bool,
     /// Whether the instance gets no new work: it announced its shutdown, its record cannot
     /// be decoded, or the record has been absent for longer than the grace period.
     pub is_leaving: bool,
     /// How the instance has responded to this node.
-    pub contact: Contact,
+    pub contact: InstanceHealth,
     /// What peers last reported about the instance, and when.
-    pub testimony: Option<(Instant, Testimony)>,
+    pub testimony: Option<(Instant, PeerReachability)>,
     /// Observations of the current incarnation from which `warmth` is computed.
     sight: WarmUpObservation,
     /// Whether the instance is warm.
     pub warmth: WarmUpStatus,
     /// When this node first saw the current incarnation; none for the first incarnation
     /// that this node has seen.
-    pub life_began: Option<Instant>,
+    pub incarnation_seen_at: Option<Instant>,
 }
 
-impl Known {
+impl KnownInstance {
     /// Whether `record` differs from the known record at most in its heartbeat.
     fn differs_only_in_heartbeat(&self, record: &InstanceRecord) -> bool {
         let is_same_incarnation = restart_evidence(&self.record.life_signs(), &record.life_signs()).is_none();
-        let is_usable = !self.is_gone && !self.is_undecodable;
+        let is_usable = !self.is_removed && !self.is_undecodable;
         is_usable && is_same_incarnation && self.record.equals_except_heartbeat(record)
     }
 }
@@ -85,7 +85,7 @@
     /// The instance was unknown, or its record had been removed.
     pub is_new: bool,
     /// The instance restarted under the same name.
-    pub has_begun_anew: bool,
+    pub has_restarted: bool,
 }
 
 /// The presumed leader of a group.
@@ -99,7 +99,7 @@
 
 /// The last commit of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Written {
+pub struct SessionCommit {
     /// Log position of the commit.
     pub position: Position,
     /// A time at or after the acknowledgement of the commit.
@@ -131,7 +131,7 @@
 #[derive(Debug, Default)]
 struct State {
     config: Option<Arc<ConfigSnapshot>>,
-    instances: BTreeMap<InstanceName, Known>,
+    instances: BTreeMap<InstanceName, KnownInstance>,
     /// Index of `instances` by group; read for every statement.
     members: HashMap<GroupName, BTreeSet<InstanceName>>,
     /// Groups that changed since the last call of `take_changed_groups`.
@@ -155,7 +155,7 @@
 }
 
 impl State {
-    fn insert(&mut self, known: Known) {
+    fn insert(&mut self, known: KnownInstance) {
         let name = known.record.name.clone();
         self.remove(&name);
         let members = self.members.entry(known.record.group.clone()).or_default();
@@ -291,15 +291,15 @@
         {
             known.sight = observe_warm_up(Some(known), false, &record, now);
             known.record = Arc::new(record);
-            known.heard = now;
+            known.last_seen = now;
             return RecordChange::default();
         }
         let previous = state.instances.get(&record.name).cloned();
         let previous = previous.as_ref();
         let began =
             previous.and_then(|known| restart_evidence(&known.record.life_signs(), &record.life_signs()));
-        let claimed_before = previous.is_some_and(|known| known.record.claims_lead && !known.is_gone);
-        let is_new = previous.is_none_or(|known| known.is_gone);
+        let claimed_before = previous.is_some_and(|known| known.record.claims_lead && !known.is_removed);
+        let is_new = previous.is_none_or(|known| known.is_removed);
         let has_changed =
             is_new || previous.is_some_and(|known| !known.record.equals_except_heartbeat(&record));
         if has_changed {
@@ -326,17 +326,17 @@
             start_incarnation(&mut state, former, &record, evidence);
             self.leaders_changed.notify_waiters();
         }
-        let known = Known {
+        let known = KnownInstance {
             contact: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.contact),
             testimony: same_incarnation.and_then(|known| known.testimony),
-            life_began: match began {
+            incarnation_seen_at: match began {
                 Some(_) => Some(now),
-                None => previous.and_then(|known| known.life_began),
+                None => previous.and_then(|known| known.incarnation_seen_at),
             },
             record: Arc::new(record),
-            heard: now,
+            last_seen: now,
             leaving_since,
-            is_gone: false,
+            is_removed: false,
             is_undecodable: false,
             is_leaving: false,
             sight,
@@ -353,7 +353,7 @@
         RecordChange {
             has_changed,
             is_new,
-            has_begun_anew: began.is_some(),
+            has_restarted: began.is_some(),
         }
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// Records that the store answered a request about instances.
-    pub fn store_heard(&self) {
+    pub fn record_store_contact(&self) {
         self.state().last_store_contact = Some(clock::now());
     }
 
@@ -390,13 +390,13 @@
     }
 
     /// Records that a peer has sent the complete list of instances.
-    pub fn listing_known(&self) {
+    pub fn mark_listing_complete(&self) {
         self.state().has_instance_listing = true;
         self.completed.notify_waiters();
     }
 
     /// What is known about `instance`; none if the instance is unknown.
-    pub fn instance(&self, instance: &InstanceName) -> Option<Known> {
+    pub fn instance(&self, instance: &InstanceName) -> Option<KnownInstance> {
         let state = self.state();
         state
             .instances
@@ -405,19 +405,19 @@
     }
 
     /// Returns a copy of `known` with the fields that depend on the current time computed.
-    fn evaluated_now(&self, state: &State, known: &Known) -> Known {
+    fn evaluated_now(&self, state: &State, known: &KnownInstance) -> KnownInstance {
         let now = clock::now();
         let is_announced = known.record.is_leaving || known.is_undecodable;
         let is_over = |since: Instant| now.millis_since(since) >= self.gone_grace_ms;
-        Known {
-            is_leaving: is_announced || (known.is_gone && known.leaving_since.is_some_and(is_over)),
+        KnownInstance {
+            is_leaving: is_announced || (known.is_removed && known.leaving_since.is_some_and(is_over)),
             warmth: known.sight.warmth(state.warm_up_terms(known), now),
             ..known.clone()
         }
     }
 
     /// All known instances of a group.
-    pub fn instances_of(&self, group: &GroupName) -> Vec<Known> {
+    pub fn instances_of(&self, group: &GroupName) -> Vec<KnownInstance> {
         let state = self.state();
         let members = state.members.get(group).into_iter().flatten();
         members
@@ -427,7 +427,7 @@
     }
 
     /// All known instances.
-    pub fn instances(&self) -> Vec<Known> {
+    pub fn instances(&self) -> Vec<KnownInstance> {
         let state = self.state();
         state
             .instances
@@ -452,7 +452,7 @@
     /// for the term, the instance restarted without its previous log and the group has other
     /// instances, or, where promotions don't fence, the answer comes from an earlier
     /// incarnation.
-    pub fn leader_proved(
+    pub fn record_leader_proof(
         &self,
         group: &GroupName,
         instance: &InstanceName,
@@ -513,7 +513,7 @@
     }
 
     /// Clears the presumed leader of `group` if that is `instance`, which has denied leadership.
-    pub fn leader_denied(&self, group: &GroupName, instance: &InstanceName) {
+    pub fn record_leader_denial(&self, group: &GroupName, instance: &InstanceName) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
         let is_presumed_leader = entry
@@ -521,7 +521,7 @@
             .as_ref()
             .is_some_and(|leader| leader.instance == *instance);
         if is_presumed_leader {
-            info!("event=leader_denied group={group} instance={instance}");
+            info!("event=record_leader_denial group={group} instance={instance}");
             entry.leader = None;
             state.mark_group_changed(group);
         }
--- a/crates/millwind-engine/src/directory/permits.rs
+++ b/crates/millwind-engine/src/directory/permits.rs
@@ -18,7 +18,7 @@
     }
 
     /// Sets when this node was registered; none if it is not registered.
-    pub fn registered(&self, since: Option<Instant>) {
+    pub fn set_registered_since(&self, since: Option<Instant>) {
         self.state().registered_since = since;
     }
 
@@ -37,7 +37,7 @@
     /// Records that this node knows all closed terms that the store held at `asked`. This
     /// gives permits only if the node was registered by then: a promoter does not revoke
     /// permits from unregistered nodes.
-    pub fn confirm_terms(&self, asked: Instant) {
+    pub fn confirm_closed_terms(&self, asked: Instant) {
         let mut state = self.state();
         let was_registered = state.registered_since.is_some_and(|since| asked >= since);
         if state.is_shutting_down || !was_registered {
@@ -48,7 +48,7 @@
 
     /// Age of this node's knowledge of the closed terms, in milliseconds; none if the closed
     /// terms are not known.
-    pub fn terms_age_ms(&self) -> Option<u64> {
+    pub fn closed_terms_age_ms(&self) -> Option<u64> {
         let confirmed = self.state().closed_terms_confirmed?;
         Some(clock::now().millis_since(confirmed))
     }
@@ -83,7 +83,7 @@
     }
 
     /// Gives up the permits for `term` of a group and for all earlier terms.
-    pub fn hand_back(&self, group: &GroupName, term: Term) {
+    pub fn release_permits(&self, group: &GroupName, term: Term) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
         entry.closed_terms.hand_back(term);
@@ -91,7 +91,7 @@
 
     /// Records that `instance` announced that it leads `term`. While the instance answers as
     /// leader, its term is this one or a later one.
-    pub fn leads_term(&self, group: &GroupName, instance: &InstanceName, term: Term) {
+    pub fn record_announced_term(&self, group: &GroupName, instance: &InstanceName, term: Term) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
         let announced = entry.announced_terms.entry(instance.clone()).or_default();
@@ -100,7 +100,7 @@
 
     /// Records that `instance`, the leader of `term`, has confirmed its step-down to this
     /// node. A restart of the instance discards the step-down.
-    pub fn has_stepped_down(&self, group: &GroupName, instance: &InstanceName, term: Term) {
+    pub fn record_step_down(&self, group: &GroupName, instance: &InstanceName, term: Term) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
         if entry.stepped_down.as_ref().is_none_or(|held| held.term <= term) {
@@ -113,14 +113,14 @@
 
     /// The newest term whose leader has confirmed its step-down to this node; zero if there
     /// is none.
-    pub fn stepped_down(&self, group: &GroupName) -> Term {
+    pub fn stepped_down_term(&self, group: &GroupName) -> Term {
         let state = self.state();
         state.groups.get(group).map_or(Term(0), Group::stepped_down_term)
     }
 
     /// The leader of the term that was closed last; none once an instance has proved that it
     /// leads a later term.
-    pub fn retired(&self, group: &GroupName) -> Option<InstanceName> {
+    pub fn last_closed_leader(&self, group: &GroupName) -> Option<InstanceName> {
         self.state().groups.get(group)?.retired.clone()
     }
 
--- a/crates/millwind-engine/src/directory/removals.rs
+++ b/crates/millwind-engine/src/directory/removals.rs
@@ -11,15 +11,15 @@
 impl Directory {
     /// Marks an instance whose record was removed from the store. Returns false if the
     /// instance is unknown or was marked before.
-    pub fn remove_record(&self, instance: &InstanceName) -> bool {
+    pub fn mark_removed(&self, instance: &InstanceName) -> bool {
         let mut state = self.state();
         let Some(known) = state.instances.get_mut(instance) else {
             return false;
         };
-        if known.is_gone {
+        if known.is_removed {
             return false;
         }
-        known.is_gone = true;
+        known.is_removed = true;
         known.leaving_since.get_or_insert(clock::now());
         let group = known.record.group.clone();
         info!("event=instance_gone instance={instance} group={group}");
@@ -30,8 +30,8 @@
     /// Marks an instance whose record can no longer be decoded. The instance counts as
     /// removed, without the grace period for missed heartbeats. Returns false if the instance
     /// is unknown or its record was already absent.
-    pub fn disown(&self, instance: &InstanceName) -> bool {
-        let is_newly_removed = self.remove_record(instance);
+    pub fn mark_undecodable(&self, instance: &InstanceName) -> bool {
+        let is_newly_removed = self.mark_removed(instance);
         if let Some(known) = self.state().instances.get_mut(instance) {
             known.is_undecodable = true;
         }
@@ -40,19 +40,19 @@
 
     /// Applies a complete listing of instances: marks all that are not in `present` as removed
     /// and returns them.
-    pub fn listing_applied(&self, present: &HashSet<InstanceName>) -> Vec<InstanceName> {
+    pub fn apply_listing(&self, present: &HashSet<InstanceName>) -> Vec<InstanceName> {
         let missing: Vec<InstanceName> = {
             let mut state = self.state();
             state.has_instance_listing = true;
             state
                 .instances
                 .values()
-                .filter(|known| !known.is_gone && !present.contains(&known.record.name))
+                .filter(|known| !known.is_removed && !present.contains(&known.record.name))
                 .map(|known| known.record.name.clone())
                 .collect()
         };
         for instance in &missing {
-            self.remove_record(instance);
+            self.mark_removed(instance);
         }
         self.completed.notify_waiters();
         missing
@@ -60,13 +60,13 @@
 
     /// Drops instances that have been leaving or removed for more than `bound_ms` and whose
     /// record is absent. Returns their names.
-    pub fn forget_gone(&self, bound_ms: u64) -> Vec<InstanceName> {
+    pub fn drop_removed(&self, bound_ms: u64) -> Vec<InstanceName> {
         let now = clock::now();
         let mut state = self.state();
         let forgotten: Vec<_> = state
             .instances
             .values()
-            .filter(|known| known.is_gone)
+            .filter(|known| known.is_removed)
             .filter(|known| {
                 known
                     .leaving_since
--- a/crates/millwind-engine/src/directory/usage.rs
+++ b/crates/millwind-engine/src/directory/usage.rs
@@ -4,7 +4,7 @@
 use millwind_core::ids::GroupName;
 use millwind_core::position::Position;
 
-use super::{Directory, Group, Written};
+use super::{Directory, Group, SessionCommit};
 use crate::clock;
 
 impl Directory {
@@ -16,7 +16,7 @@
         group: &GroupName,
         arrived: Instant,
         staleness_ms: u64,
-        written: Option<Written>,
+        written: Option<SessionCommit>,
     ) -> Option<Position> {
         let not_before = clock::minus_millis(arrived, staleness_ms);
         let state = self.state();
@@ -34,7 +34,7 @@
         group: &GroupName,
         arrived: Instant,
         staleness_ms: u64,
-        written: Option<Written>,
+        written: Option<SessionCommit>,
         deadline: Instant,
     ) -> Option<Position> {
         loop {
@@ -49,7 +49,7 @@
     }
 
     /// Records the use of a group by a database with the allowed staleness `staleness_ms`.
-    pub fn used(&self, group: &GroupName, staleness_ms: Option<u64>) {
+    pub fn record_use(&self, group: &GroupName, staleness_ms: Option<u64>) {
         let mut state = self.state();
         if !state.groups.contains_key(group) {
             state.groups.insert(group.clone(), Group::default());
@@ -64,7 +64,7 @@
     }
 
     /// Records the use of a group through this node's own connections.
-    pub fn used_directly(&self, group: &GroupName) {
+    pub fn record_direct_use(&self, group: &GroupName) {
         let mut state = self.state();
         if let Some(entry) = state.groups.get_mut(group) {
             entry.last_direct_use = Some(clock::now());
--- a/crates/millwind-engine/src/directory/warm_up.rs
+++ b/crates/millwind-engine/src/directory/warm_up.rs
@@ -5,14 +5,14 @@
 use millwind_core::ids::{InstanceName, ZoneName};
 use millwind_core::warm_up::{WarmUpLimits, WarmUpObservation};
 
-use super::{Directory, Known, State};
+use super::{Directory, KnownInstance, State};
 use crate::catalog::InstanceRecord;
 use crate::clock;
 
 /// The warm-up observations of an instance after its record was read, based on those of
 /// `previous`.
 pub(super) fn observe_warm_up(
-    previous: Option<&Known>,
+    previous: Option<&KnownInstance>,
     has_begun_anew: bool,
     record: &InstanceRecord,
     now: Instant,
@@ -44,7 +44,7 @@
     }
 
     /// The warm-up settings of the instance's group; none if the group has none.
-    pub(super) fn warm_up_terms(&self, known: &Known) -> Option<WarmUpLimits> {
+    pub(super) fn warm_up_terms(&self, known: &KnownInstance) -> Option<WarmUpLimits> {
         let config = self.config.as_ref()?;
         config.groups.get(&known.record.group)?.warm_up
     }
@@ -54,7 +54,7 @@
     /// Records that the process of `instance` may have ended, as shown by a request sent at
     /// `asked`: all connections to it are lost, or none can be opened. A new process may answer
     /// next, so the instance counts as cold unless its records show that the process survived.
-    pub fn doubt_process(&self, instance: &InstanceName, asked: Instant) {
+    pub fn record_possible_restart(&self, instance: &InstanceName, asked: Instant) {
         let mut state = self.state();
         if !state.is_of_present_life(instance, asked) {
             return;
@@ -65,7 +65,7 @@
         if !known.sight.is_termination_suspected() {
             info!(
                 "event=instance_process_doubted instance={instance} heard_ms_ago={}",
-                clock::now().millis_since(known.heard)
+                clock::now().millis_since(known.last_seen)
             );
         }
         known.sight = known
@@ -75,7 +75,7 @@
 
     /// The warm-up limits for statements sent to an instance; none if the instance is warm or
     /// unknown.
-    pub fn cold_terms(&self, instance: &InstanceName) -> Option<WarmUpLimits> {
+    pub fn warm_up_limits(&self, instance: &InstanceName) -> Option<WarmUpLimits> {
         let state = self.state();
         let known = state.instances.get(instance)?;
         let terms = state.warm_up_terms(known)?;
--- a/crates/millwind-engine/src/kept_documents.rs
+++ b/crates/millwind-engine/src/document_cache.rs
@@ -119,7 +119,7 @@
         if let Some(set) = &self.complete_set
             && changed.len() * 100 < count * RECOMPRESS_PERCENT
         {
-            return set.documents.clone().followed_by(changed);
+            return set.documents.clone().append_plain(changed);
         }
         let documents = compressed_list(self.changed_after(StoreRevision::NONE));
         self.complete_set = Some(CompressedSet {
--- a/crates/millwind-engine/src/eligibility.rs
+++ b/crates/millwind-engine/src/eligibility.rs
@@ -4,7 +4,7 @@
 use millwind_core::eligibility::{IneligibleReason, InstanceFacts, check_instance};
 use millwind_core::ids::GroupName;
 
-use crate::directory::Known;
+use crate::directory::KnownInstance;
 use crate::execution::AttemptError;
 use crate::node::Engine;
 
@@ -23,7 +23,7 @@
     /// the reason if not.
     pub fn judge_instance(
         &self,
-        known: &Known,
+        known: &KnownInstance,
         usage: InstanceUse,
         regions: &AllowedRegions,
     ) -> Result<(), IneligibleReason> {
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether the evacuation of the instance's zone forbids this use.
-    fn is_evacuated_for(&self, known: &Known, usage: InstanceUse) -> bool {
+    fn is_evacuated_for(&self, known: &KnownInstance, usage: InstanceUse) -> bool {
         let Some(since) = self.directory.evacuated_since(&known.record.zone) else {
             return false;
         };
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -14,11 +14,11 @@
 use millwind_store::{Entry, Listing, StoreRevision};
 use millwind_wire::exchange::{EvacuatedZone, EvacuationListing};
 
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::catalog::InstanceRecord;
 use crate::catalog_cache::encode_age_ms;
 use crate::clock;
-use crate::directory::Known;
+use crate::directory::KnownInstance;
 use crate::eligibility::InstanceUse;
 use crate::execution::AttemptError;
 use crate::node::Engine;
@@ -130,7 +130,7 @@
                 false => 0,
             };
             if !self.is_believed_leader(record) || self.is_closed_by_evacuation(record) {
-                pool.close_resting(kept);
+                pool.close_idle(kept);
             }
             in_use += i64::from(pool.connections_in_use() > 0);
         }
@@ -188,7 +188,7 @@
             return Ok(());
         };
         match begins_on_replica || self.is_evacuation_due(since) {
-            true => Err(AttemptError::Link(LinkError::IneligibleReason(
+            true => Err(AttemptError::Link(ExchangeError::IneligibleReason(
                 IneligibleReason::ZoneEvacuated,
             ))),
             false => Ok(()),
@@ -219,8 +219,8 @@
     /// restricted to `regions`. Such an instance may become leader soon if the zone of the
     /// present leader is being evacuated.
     pub fn has_eligible_instance(&self, group: &GroupName, regions: &AllowedRegions) -> bool {
-        let is_usable = |known: &Known| {
-            !known.is_gone
+        let is_usable = |known: &KnownInstance| {
+            !known.is_removed
                 && known.contact.failing_since.is_none()
                 && self.judge_instance(known, InstanceUse::Replica, regions).is_ok()
         };
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -13,20 +13,20 @@
 
 use crate::answer::{Failure, Refusal};
 use crate::backend::PooledConnection;
-use crate::backend::turns::Turn;
-use crate::backend::{ConnectionUser, LinkError, Pool, Purpose, Urgency};
+use crate::backend::turns::ExecutionSlot;
+use crate::backend::{ConnectionUser, ExchangeError, Pool, Purpose, Urgency};
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::cold_places::{CreditWait, CreditWaitPolicy};
 use crate::directory::Directory;
 use crate::node::Engine;
 use crate::statement::{BackEndError, BackEndErrorKind, Command, Envelope, Reply, TransactionState};
+use crate::warm_up_credits::{CreditWait, CreditWaitPolicy};
 
 /// Why an attempt to run a statement did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptError {
     /// The connection or the exchange on it failed.
-    Link(LinkError),
+    Link(ExchangeError),
     /// The instance answered with an error.
     BackEnd(BackEndError),
 }
@@ -45,7 +45,7 @@
     pub fn is_overload(&self) -> bool {
         matches!(
             self,
-            AttemptError::Link(LinkError::NoConnection | LinkError::WarmingUp { .. })
+            AttemptError::Link(ExchangeError::QueueTimeout | ExchangeError::WarmingUp { .. })
         )
     }
 
@@ -53,7 +53,7 @@
     /// attempt failed for that reason.
     pub const fn ineligible(&self) -> Option<IneligibleReason> {
         match self {
-            AttemptError::Link(LinkError::IneligibleReason(reason)) => Some(*reason),
+            AttemptError::Link(ExchangeError::IneligibleReason(reason)) => Some(*reason),
             _ => None,
         }
     }
@@ -88,7 +88,7 @@
 impl RequestTracker {
     /// Starts tracking a request that is sent now.
     pub fn new(directory: &Arc<Directory>, instance: &InstanceName) -> Self {
-        directory.asked(instance);
+        directory.record_statement_sent(instance);
         RequestTracker {
             directory: directory.clone(),
             instance: instance.clone(),
@@ -101,13 +101,13 @@
     pub fn answered(&self) {
         let elapsed = clock::now().0 - self.asked.0;
         self.was_answered.set(true);
-        self.directory.answered(&self.instance, Some(elapsed));
+        self.directory.record_response(&self.instance, Some(elapsed));
     }
 
     /// Records an answer whose response time is not representative of statements.
     pub fn answered_without_sample(&self) {
         self.was_answered.set(true);
-        self.directory.answered(&self.instance, None);
+        self.directory.record_response(&self.instance, None);
     }
 
     /// Records an answer given by another node on behalf of the instance, which is no
@@ -117,13 +117,13 @@
     }
 
     /// Records a failed exchange.
-    pub fn failed(&self, error: &LinkError) {
+    pub fn failed(&self, error: &ExchangeError) {
         match error {
             // A slow statement is no evidence of a fault; a timed-out health check is.
-            LinkError::Silent | LinkError::Protocol => self.directory.avoid(&self.instance),
-            _ if error.is_evidence() => {
+            ExchangeError::ReplyTimeout | ExchangeError::Protocol => self.directory.avoid(&self.instance),
+            _ if error.indicates_instance_failure() => {
                 self.directory
-                    .failed(&self.instance, self.asked, error.is_refusing());
+                    .record_failure(&self.instance, self.asked, error.indicates_process_exit());
             }
             _ => {}
         }
@@ -132,7 +132,8 @@
 
 impl Drop for RequestTracker {
     fn drop(&mut self) {
-        self.directory.settled(&self.instance, self.was_answered.get());
+        self.directory
+            .record_statement_finished(&self.instance, self.was_answered.get());
     }
 }
 
@@ -148,7 +149,7 @@
     /// Session state that will be set on the connection.
     pub session: &'a SessionState,
     /// Prepared statement that the connection will execute.
-    pub needed: Option<&'a PreparedStatement>,
+    pub prepared_statement: Option<&'a PreparedStatement>,
     /// Time at which waiting for a connection ends.
     pub deadline: Instant,
 }
@@ -172,7 +173,7 @@
                 purpose,
                 wanted.user,
                 wanted.session,
-                wanted.needed,
+                wanted.prepared_statement,
                 wanted.deadline,
             )
             .await
@@ -184,7 +185,7 @@
         record_process_end(engine, &pool, asked, &error);
         record_connect_error(engine, record, asked, &error);
         match error {
-            LinkError::StartupRefused(error) => AttemptError::BackEnd(error),
+            ExchangeError::StartupRefused(error) => AttemptError::BackEnd(error),
             error => AttemptError::Link(error),
         }
     })
@@ -197,22 +198,22 @@
     pool: &Arc<Pool>,
     purpose: Purpose,
     wanted: ConnectionRequest<'_>,
-) -> Result<PooledConnection, LinkError> {
+) -> Result<PooledConnection, ExchangeError> {
     let ConnectionRequest {
         user,
         session,
-        needed,
+        prepared_statement: needed,
         deadline,
         ..
     } = wanted;
     let urgency = Urgency::Priority(wanted.priority);
     let turn = pool
         .turns()
-        .take_for(user, urgency, wanted.target_time, deadline)
+        .acquire_for(user, urgency, wanted.target_time, deadline)
         .await?;
     let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
     if let Some(mut connection) = immediate.await? {
-        connection.keep_turn(turn);
+        connection.store_turn(turn);
         return Ok(connection);
     }
     // Idle transactions hold all connections: release the turn while waiting for one.
@@ -223,24 +224,33 @@
 /// Marks the instance's process as possibly restarted if the instance has closed all idle
 /// connections of `pool`.
 pub fn record_closed_connections(engine: &Engine, pool: &Pool, asked: Instant) {
-    if pool.has_lost_all() {
-        engine.directory.doubt_process(&pool.record().name, asked);
+    if pool.take_all_lost() {
+        engine
+            .directory
+            .record_possible_restart(&pool.record().name, asked);
     }
 }
 
 /// Marks the instance's process as possibly restarted if the failure of a request sent at
 /// `asked` suggests that the process is gone and no connection of `pool` is alive. A single
 /// broken connection is no evidence while others are alive.
-pub fn record_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &LinkError) {
-    if error.is_refusing() && !pool.has_live_connection() {
-        engine.directory.doubt_process(&pool.record().name, asked);
+pub fn record_process_end(engine: &Engine, pool: &Pool, asked: Instant, error: &ExchangeError) {
+    if error.indicates_process_exit() && !pool.has_live_idle_connection() {
+        engine
+            .directory
+            .record_possible_restart(&pool.record().name, asked);
     }
 }
 
-fn record_connect_error(engine: &Arc<Engine>, record: &InstanceRecord, asked: Instant, error: &LinkError) {
-    if error.is_evidence() || error.is_wrong_instance() {
+fn record_connect_error(
+    engine: &Arc<Engine>,
+    record: &InstanceRecord,
+    asked: Instant,
+    error: &ExchangeError,
+) {
+    if error.indicates_instance_failure() || error.is_wrong_instance() {
         let directory = &engine.directory;
-        directory.failed(&record.name, asked, error.is_refusing());
+        directory.record_failure(&record.name, asked, error.indicates_process_exit());
     } else {
         engine.directory.avoid(&record.name);
     }
@@ -278,7 +288,7 @@
         return Err(AttemptError::BackEnd(error));
     }
     if !read_only && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
-        return Err(AttemptError::Link(LinkError::NoPermit));
+        return Err(AttemptError::Link(ExchangeError::NoPermit));
     }
     Ok(())
 }
@@ -307,28 +317,28 @@
     let inquiry = RequestTracker::new(&engine.directory, &record.name);
     let outcome = connection.run(session, envelope, deadline).await;
     turn.end(classify_turn_end(&outcome));
-    connection.note_run();
+    connection.record_run();
     let reply = match outcome {
         Ok(reply) => reply,
         Err(error) => {
             inquiry.failed(&error);
             record_process_end(engine, &pool, inquiry.asked, &error);
-            if error != LinkError::Silent {
-                engine.directory.statement_ended(&record.name, false);
+            if error != ExchangeError::ReplyTimeout {
+                engine.directory.record_outcome(&record.name, false);
             }
             return Err(AttemptError::Link(error));
         }
     };
     inquiry.answered();
     if let Some(succeeded) = health_outcome(&reply) {
-        engine.directory.statement_ended(&record.name, succeeded);
+        engine.directory.record_outcome(&record.name, succeeded);
     }
     if let Err(error) = &reply.result {
         record_instance_error(engine, record, error);
         return Err(AttemptError::BackEnd(error.clone()));
     }
     if confirms_leader && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
-        return Err(AttemptError::Link(LinkError::NoPermit));
+        return Err(AttemptError::Link(ExchangeError::NoPermit));
     }
     Ok(reply)
 }
@@ -341,7 +351,7 @@
     connection: &mut PooledConnection,
     wait_policy: CreditWaitPolicy,
     deadline: Instant,
-) -> Result<Turn, AttemptError> {
+) -> Result<ExecutionSlot, AttemptError> {
     let pool = connection.pool().clone();
     let mut wait = CreditWait::new(engine, pool.record(), wait_policy, connection.urgency());
     let until = match wait_policy {
@@ -360,7 +370,7 @@
         if !wait.pause(until).await {
             engine.record_credit_refusal(pool.record(), refused);
             let retry_after_ms = refused.retry_after_ms;
-            return Err(AttemptError::Link(LinkError::WarmingUp { retry_after_ms }));
+            return Err(AttemptError::Link(ExchangeError::WarmingUp { retry_after_ms }));
         }
     }
 }
@@ -369,14 +379,17 @@
     pool: &Arc<Pool>,
     connection: &PooledConnection,
     deadline: Instant,
-) -> Result<Turn, AttemptError> {
+) -> Result<ExecutionSlot, AttemptError> {
     let (user, urgency, target_time) = (connection.user(), connection.urgency(), connection.target_time());
-    let turn = pool.turns().take_for(user, urgency, target_time, deadline).await;
+    let turn = pool
+        .turns()
+        .acquire_for(user, urgency, target_time, deadline)
+        .await;
     turn.map_err(AttemptError::Link)
 }
 
 /// Classifies the outcome of an exchange for the concurrency limit.
-fn classify_turn_end(outcome: &Result<Reply, LinkError>) -> ExecutionEnd {
+fn classify_turn_end(outcome: &Result<Reply, ExchangeError>) -> ExecutionEnd {
     let Ok(reply) = outcome else {
         return ExecutionEnd::Unknown;
     };
@@ -429,7 +442,7 @@
     };
     let counts = engine
         .directory
-        .leader_proved(&record.group, &record.name, asked, position);
+        .record_leader_proof(&record.group, &record.name, asked, position);
     if !counts {
         engine.metrics.answers_without_permit.inc();
         engine.wake_monitor();
@@ -441,10 +454,10 @@
 pub fn record_instance_error(engine: &Engine, record: &InstanceRecord, error: &BackEndError) {
     match error.kind {
         BackEndErrorKind::ReadOnly => {
-            engine.directory.leader_denied(&record.group, &record.name);
+            engine.directory.record_leader_denial(&record.group, &record.name);
             engine.wake_monitor();
         }
-        BackEndErrorKind::Behind => engine.directory.behind(&record.name),
+        BackEndErrorKind::Behind => engine.directory.avoid_lagging(&record.name),
         BackEndErrorKind::Busy => engine.directory.avoid(&record.name),
         _ => {}
     }
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -10,10 +10,10 @@
 use millwind_core::position::{Position, Term};
 use millwind_core::session_state::SessionState;
 
-use crate::backend::{ConnectionUser, LinkError, Purpose};
+use crate::backend::{ConnectionUser, ExchangeError, Purpose};
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::directory::Known;
+use crate::directory::KnownInstance;
 use crate::execution::{record_closed_connections, record_process_end};
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Command, Envelope};
@@ -58,11 +58,11 @@
 }
 
 /// Returns whether the leader should be probed now.
-fn is_check_due(engine: &Engine, group: &GroupName, known: &Known) -> bool {
+fn is_check_due(engine: &Engine, group: &GroupName, known: &KnownInstance) -> bool {
     let now = clock::now();
     let age = |time: Option<Instant>| time.map_or(u64::MAX, |time| now.millis_since(time));
     let contact_age_ms = age(known.contact.last_success);
-    if known.contact.is_doubted {
+    if known.contact.has_peer_doubt {
         return true;
     }
     let (last_use, _) = engine.directory.usage(group);
@@ -91,7 +91,7 @@
     let known = engine.directory.instances_of(group);
     let probes = known
         .iter()
-        .filter(|known| !(known.is_gone && known.is_leaving))
+        .filter(|known| !(known.is_removed && known.is_leaving))
         .map(|known| probe_instance(engine, &known.record));
     join_all(probes).await;
 }
@@ -99,7 +99,7 @@
 /// Probes an instance with an empty transaction and records whether it leads.
 pub(super) async fn probe_instance(engine: &Arc<Engine>, record: &InstanceRecord) {
     let asked = clock::now();
-    engine.directory.checking(&record.name);
+    engine.directory.record_check_started(&record.name);
     let connected_by = asked.plus_millis(CONNECT_TIMEOUT_MS);
     let session = SessionState::default();
     let pool = engine.pool(record);
@@ -123,15 +123,17 @@
     match connection.exchange(&envelope, deadline).await {
         Err(error) => record_failure(engine, record, sent, &error),
         Ok(reply) => {
-            engine.directory.answered(&record.name, None);
-            engine.directory.checked(&record.name, clock::now().0 - sent.0);
+            engine.directory.record_response(&record.name, None);
+            engine
+                .directory
+                .record_check_latency(&record.name, clock::now().0 - sent.0);
             match (reply.result, reply.position) {
                 (Ok(_), Some(position)) => {
                     drop(connection);
                     record_leadership(engine, record, sent, position).await;
                 }
                 (Err(error), _) if error.kind == BackEndErrorKind::ReadOnly => {
-                    engine.directory.leader_denied(&record.group, &record.name);
+                    engine.directory.record_leader_denial(&record.group, &record.name);
                 }
                 _ => {}
             }
@@ -144,7 +146,7 @@
 /// term until its first commit.
 async fn record_leadership(engine: &Arc<Engine>, record: &InstanceRecord, sent: Instant, position: Position) {
     let directory = &engine.directory;
-    let accept_proof = || directory.leader_proved(&record.group, &record.name, sent, position);
+    let accept_proof = || directory.record_leader_proof(&record.group, &record.name, sent, position);
     if accept_proof() || !directory.has_permits() || directory.is_retired(&record.group, &record.name) {
         return;
     }
@@ -152,18 +154,23 @@
     let Some(status) = status.filter(|status| status.is_leader) else {
         return;
     };
-    directory.leads_term(&record.group, &record.name, Term(status.term));
+    directory.record_announced_term(&record.group, &record.name, Term(status.term));
     accept_proof();
 }
 
-fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &LinkError) {
+fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &ExchangeError) {
     // A refused connection alone is no evidence, since an instance at its connection limit
     // refuses connections. An instance that keeps refusing this node is unusable, though. While
     // statements open connections too, a probe may not even get a turn.
-    let is_refused = matches!(error, LinkError::TurnedAway | LinkError::NoConnection);
+    let is_refused = matches!(
+        error,
+        ExchangeError::ClosedDuringStartup | ExchangeError::QueueTimeout
+    );
     let is_persistently_refused = is_refused && !was_reached_recently(engine, record);
-    if error.is_evidence() || error.is_wrong_instance() || is_persistently_refused {
-        engine.directory.failed(&record.name, asked, error.is_refusing());
+    if error.indicates_instance_failure() || error.is_wrong_instance() || is_persistently_refused {
+        engine
+            .directory
+            .record_failure(&record.name, asked, error.indicates_process_exit());
     }
     record_process_end(engine, &engine.pool(record), asked, error);
 }
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -20,10 +20,10 @@
 use millwind_store::Store;
 
 use crate::clock;
-use crate::directory::Known;
-use crate::duty::FailoverOwnership;
+use crate::directory::KnownInstance;
 use crate::eligibility::InstanceUse;
-use crate::group_marks::InProgressGroups;
+use crate::failover_ownership::FailoverOwnership;
+use crate::in_progress_groups::InProgressGroups;
 use crate::node::Engine;
 use crate::peers;
 use crate::ports::{CatalogCodec, Promoter};
@@ -72,7 +72,7 @@
 
 /// Failure detector and failover coordinator of one node. The `running_*` fields limit each
 /// kind of background task to one per group.
-pub struct Monitor<S> {
+pub struct FailoverMonitor<S> {
     engine: Arc<Engine>,
     duties: Arc<FailoverOwnership<S>>,
     promoter: Arc<dyn Promoter>,
@@ -93,7 +93,7 @@
     evacuation_attempt_times: Mutex<HashMap<GroupName, Instant>>,
 }
 
-impl<S: Store + 'static> Monitor<S> {
+impl<S: Store + 'static> FailoverMonitor<S> {
     /// Creates a monitor that requests promotions from `promoter` while it holds a duty in
     /// `duties`, and decodes instance records with `codec`.
     pub fn new(
@@ -102,7 +102,7 @@
         promoter: Arc<dyn Promoter>,
         codec: Arc<dyn CatalogCodec>,
     ) -> Arc<Self> {
-        Arc::new(Monitor {
+        Arc::new(FailoverMonitor {
             engine,
             duties,
             promoter,
@@ -132,7 +132,7 @@
             let now = clock::now();
             if now.millis_since(last_tick) > PROCESS_STALL_MS {
                 info!("event=stood_still ms={}", now.millis_since(last_tick));
-                self.engine.directory.forgive_silence();
+                self.engine.directory.reset_silence();
             }
             last_tick = now;
             self.restore_lost_duty_records();
@@ -198,7 +198,7 @@
         if health::is_observation_due(&self.engine, group) && self.engine.owns_any_of(group) {
             let engine = self.engine.clone();
             let group = group.clone();
-            tokio::spawn(async move { peers::observe_leader(&engine, &group).await });
+            tokio::spawn(async move { peers::refresh_leader_report(&engine, &group).await });
         }
     }
 
@@ -310,14 +310,14 @@
         };
         let engine = self.engine.clone();
         tokio::spawn(async move {
-            let testimony = peers::ask_witnesses(&engine, &leader).await;
+            let testimony = peers::query_reachability(&engine, &leader).await;
             info!(
                 "event=leader_suspected group={} instance={leader} peers_reaching={} peers_failing={}",
                 mark.group(),
                 testimony.reaching,
                 testimony.failing
             );
-            engine.directory.heard_of(&leader, testimony);
+            engine.directory.record_peer_reachability(&leader, testimony);
             engine.wake_monitor();
             tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         });
@@ -338,12 +338,12 @@
         let mut replicas = directory.instances_of(group);
         replicas.retain(|known| {
             Some(&known.record.name) != leader
-                && !known.is_gone
+                && !known.is_removed
                 && !known.is_leaving
                 && known.contact.failing_since.is_none()
         });
         let replicas_reached = replicas.len();
-        replicas.retain(|known| !known.contact.is_sick());
+        replicas.retain(|known| !known.contact.is_unhealthy());
         let known = leader.and_then(|leader| directory.instance(leader));
         let mut evidence = LeaderEvidence {
             replicas_reached,
@@ -379,21 +379,21 @@
         }
         // The heartbeat age is measured up to the last answer from the store, because the
         // record may have been renewed since.
-        evidence.heartbeat_age_ms = store_heard.map(|heard| heard.millis_since(known.heard));
+        evidence.heartbeat_age_ms = store_heard.map(|heard| heard.millis_since(known.last_seen));
         evidence
     }
 
     /// Returns whether a leader must hand over because its zone is being evacuated and another
     /// instance of the group can take over.
-    fn must_leave_zone(&self, leader: &Known) -> bool {
+    fn must_leave_zone(&self, leader: &KnownInstance) -> bool {
         let directory = &self.engine.directory;
         if directory.evacuated_since(&leader.record.zone).is_none() {
             return false;
         }
-        let is_successor = |known: &Known| {
+        let is_successor = |known: &KnownInstance| {
             known.record.name != leader.record.name
-                && !known.contact.is_sick()
-                && !known.is_gone
+                && !known.contact.is_unhealthy()
+                && !known.is_removed
                 && known.contact.failing_since.is_none()
                 && self
                     .engine
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -7,7 +7,7 @@
 use millwind_store::Store;
 
 use super::replacement::Replacement;
-use super::{Monitor, health};
+use super::{FailoverMonitor, health};
 use crate::clock;
 use crate::directory::Leader;
 use crate::statement::Command;
@@ -18,7 +18,7 @@
 /// commits would look complete.
 const POSITION_MAX_AGE_MS: u64 = 500;
 
-impl<S: Store + 'static> Monitor<S> {
+impl<S: Store + 'static> FailoverMonitor<S> {
     /// Returns whether a move is complete or must be abandoned. A leader that fails or
     /// disappears during a move is replaced because of the failure, without the requirements of
     /// a move.
@@ -33,7 +33,7 @@
         }
         let Some(leader) = leader else {
             // The leader may be unknown because this move told it to step down.
-            return directory.retired(&replacement.group).as_ref() != old_leader;
+            return directory.last_closed_leader(&replacement.group).as_ref() != old_leader;
         };
         let must_still_move = replacement.reason != ReplaceReason::Evacuated || self.must_leave_zone(&known);
         !replacement.is_old_leader(&leader.instance) || !must_still_move
@@ -58,7 +58,7 @@
         let engine = &self.engine;
         let directory = &engine.directory;
         let known = directory.instance(replacement.old_leader.as_ref()?)?;
-        if directory.retired(&replacement.group) == replacement.old_leader {
+        if directory.last_closed_leader(&replacement.group) == replacement.old_leader {
             // The old leader was told to step down, and still holds all commits.
             let status = term_closing::ask_status(engine, &known.record, Command::Status).await?;
             let newest = directory.newest_observation(&replacement.group)?;
--- a/crates/millwind-engine/src/failover/pauses.rs
+++ b/crates/millwind-engine/src/failover/pauses.rs
@@ -6,7 +6,7 @@
 use millwind_core::ids::InstanceName;
 
 use crate::backend::PooledConnection;
-use crate::directory::{Directory, Known};
+use crate::directory::{Directory, KnownInstance};
 
 /// A replica that paused replication.
 struct PausedReplica {
@@ -26,10 +26,10 @@
 impl PausedReplicas {
     /// Adds a replica that confirmed the pause on `connection`. `known` must date from before
     /// the request: a later state may describe a new incarnation, which has not paused.
-    pub fn add(&mut self, known: &Known, connection: PooledConnection) {
+    pub fn add(&mut self, known: &KnownInstance, connection: PooledConnection) {
         self.0.push(PausedReplica {
             instance: known.record.name.clone(),
-            incarnation: known.life_began,
+            incarnation: known.incarnation_seen_at,
             connection,
         });
     }
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -22,14 +22,14 @@
 use millwind_wire::exchange::ExchangeRequest;
 
 use super::replacement::Replacement;
-use super::{Monitor, health};
+use super::{FailoverMonitor, health};
 use crate::catalog::ConfigSnapshot;
 use crate::clock;
 use crate::connection_shares::WATCHERS;
-use crate::directory::Known;
+use crate::directory::KnownInstance;
 use crate::eligibility::InstanceUse;
-use crate::lead_terms::LeaderRegionRules;
 use crate::leader_demand::encode_demand_report;
+use crate::leader_region_rules::LeaderRegionRules;
 use crate::node::Engine;
 
 /// Interval between placement checks, and between reports on one group: a third of the lifetime
@@ -125,10 +125,10 @@
     }
 }
 
-impl<S: Store + 'static> Monitor<S> {
+impl<S: Store + 'static> FailoverMonitor<S> {
     /// Checks the placement of leaders periodically. Returns at once if relocation is disabled,
     /// and never otherwise.
-    pub async fn follow_leads(self: Arc<Self>) {
+    pub async fn run_relocation(self: Arc<Self>) {
         if !self.engine.settings.relocates_leads {
             return;
         }
@@ -186,7 +186,7 @@
         self: &Arc<Self>,
         config: &ConfigSnapshot,
         group: &GroupName,
-        leader: &Known,
+        leader: &KnownInstance,
     ) {
         let demands = &self.engine.leader_demands;
         if demands.total_demand(group).is_empty() {
@@ -213,7 +213,12 @@
     }
 
     /// Moves the leadership if another region serves clearly more demand.
-    fn relocate_if_beneficial(self: &Arc<Self>, config: &ConfigSnapshot, group: &GroupName, leader: &Known) {
+    fn relocate_if_beneficial(
+        self: &Arc<Self>,
+        config: &ConfigSnapshot,
+        group: &GroupName,
+        leader: &KnownInstance,
+    ) {
         // Shutdown and failover take precedence and choose their own successor.
         if leader.is_leaving || leader.contact.failing_since.is_some() {
             return;
@@ -275,7 +280,7 @@
     fn successor_regions(
         &self,
         group: &GroupName,
-        leader: &Known,
+        leader: &KnownInstance,
         is_demand_served: bool,
     ) -> BTreeSet<RegionName> {
         let engine = &self.engine;
@@ -283,11 +288,11 @@
         let others = known
             .iter()
             .filter(|known| known.record.name != leader.record.name);
-        let present = others.filter(|known| !known.is_gone);
+        let present = others.filter(|known| !known.is_removed);
         let fit = present.filter(|known| !(is_demand_served && known.warmth.is_cold(clock::now())));
         let usable = fit.filter(|known| {
             let judged = engine.judge_instance(known, InstanceUse::Replica, &AllowedRegions::Any);
-            judged.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_sick()
+            judged.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_unhealthy()
         });
         usable
             .filter_map(|known| engine.region_of(known).cloned())
@@ -297,7 +302,7 @@
 
 impl Engine {
     /// Returns the region of an instance, or `None` if its zone is not in the settings.
-    pub fn region_of(&self, known: &Known) -> Option<&RegionName> {
+    pub fn region_of(&self, known: &KnownInstance) -> Option<&RegionName> {
         self.settings.topology.region_of(&known.record.zone)
     }
 }
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -16,10 +16,10 @@
 
 use super::pauses::PausedReplicas;
 use super::revocation::ClosedTerm;
-use super::{Monitor, health};
+use super::{FailoverMonitor, health};
 use crate::clock;
-use crate::directory::Known;
-use crate::duty::{Claim, FailoverOwnershipError};
+use crate::directory::KnownInstance;
+use crate::failover_ownership::{Claim, FailoverOwnershipError};
 use crate::ports::{PromotionAnswer, PromotionOrder};
 use crate::statement::{Command, InstanceStatus};
 use crate::term_closing::ask_status_with_connection;
@@ -89,7 +89,7 @@
     Abandon,
 }
 
-impl<S: Store + 'static> Monitor<S> {
+impl<S: Store + 'static> FailoverMonitor<S> {
     /// Carries out a replacement, unless another node does so or the leader recovers.
     pub(super) async fn replace(self: &Arc<Self>, replacement: &Replacement) {
         let group = &replacement.group;
@@ -191,7 +191,7 @@
         directory.instance(&leader.instance).is_some_and(|known| {
             let contact = &known.contact;
             contact.failing_since.is_none()
-                && !contact.is_sick()
+                && !contact.is_unhealthy()
                 && !known.is_leaving
                 && !self.must_leave_zone(&known)
         })
@@ -270,7 +270,7 @@
         // If another node closed the term before, the old leader may have recovered.
         let leader = replacement.old_leader.clone();
         let leader = leader.or_else(|| choice.reported_leader.clone());
-        let leader = leader.or_else(|| self.engine.directory.retired(group));
+        let leader = leader.or_else(|| self.engine.directory.last_closed_leader(group));
         let claim = Claim::CloseTerm {
             chosen: choice.instance.clone(),
             term,
@@ -441,14 +441,14 @@
             .iter()
             .filter(|known| !replacement.is_old_leader(&known.record.name))
             .filter(|known| !excluded.contains(&known.record.name))
-            .filter(|known| !known.is_gone)
+            .filter(|known| !known.is_removed)
             .collect();
         // With synchronous replicas the comparison needs every answer.
-        if sync_replicas == 0 && replicas.iter().any(|known| !known.contact.is_sick()) {
-            replicas.retain(|known| !known.contact.is_sick());
+        if sync_replicas == 0 && replicas.iter().any(|known| !known.contact.is_unhealthy()) {
+            replicas.retain(|known| !known.contact.is_unhealthy());
         }
         let demand = engine.leader_demands.total_demand(group);
-        let worth_in = |known: &Known| demand.served_in(engine.region_of(known));
+        let worth_in = |known: &KnownInstance| demand.served_in(engine.region_of(known));
         if replacement.reason.is_planned_move() {
             tokio::time::sleep(CATCH_UP_DELAY).await;
         }
@@ -513,11 +513,11 @@
             chosen.received,
             answered.len()
         );
-        let members = known.iter().filter(|known| !known.is_gone).count();
+        let members = known.iter().filter(|known| !known.is_removed).count();
         let chosen_known = replicas.iter().find(|known| known.record.name == chosen.instance);
         Some(SuccessorChoice {
             instance: chosen.instance.clone(),
-            incarnation: chosen_known.and_then(|known| known.life_began),
+            incarnation: chosen_known.and_then(|known| known.incarnation_seen_at),
             has_majority: answered.len() * 2 > members,
             newest_term: newest_term(answered.iter().map(|(_, status)| status)),
             reported_leader: answered
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -15,7 +15,7 @@
 use millwind_store::Store;
 use millwind_wire::exchange::{ExchangeReply, ExchangeRequest, TermClosing};
 
-use super::Monitor;
+use super::FailoverMonitor;
 use crate::clock;
 use crate::statement::Command;
 use crate::term_closing;
@@ -45,7 +45,7 @@
     pub token: u64,
 }
 
-impl<S: Store + 'static> Monitor<S> {
+impl<S: Store + 'static> FailoverMonitor<S> {
     /// Returns true once no node relies on the leader of the closed term, or false if another
     /// node has taken over the duty meanwhile.
     pub(super) async fn revoke_permits(self: &Arc<Self>, closed: &ClosedTerm) -> bool {
@@ -170,7 +170,7 @@
         }
         let limit = Duration::from_millis(RESPONSE_TIMEOUT_MS);
         let requests = targets.iter().map(|address| async {
-            let reply = self.engine.peers.ask_apart(*address, &request, limit).await;
+            let reply = self.engine.peers.ask_uncached(*address, &request, limit).await;
             (*address, reply)
         });
         let own = term_closing::return_permit(&self.engine, &closing);
--- a/crates/millwind-engine/src/duty.rs
+++ b/crates/millwind-engine/src/failover_ownership.rs
@@ -17,7 +17,7 @@
 use millwind_core::ids::{GroupName, InstanceName};
 use millwind_core::position::Term;
 use millwind_store::{
-    Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, USUAL_SILENCE, Write,
+    Condition, DEFAULT_IDLE_TIMEOUT, Entry, Listing, Store, StoreError, StoreRevision, Swap, Write,
 };
 use millwind_wire::exchange::StoredDocument;
 use serde::{Deserialize, Serialize};
@@ -217,7 +217,7 @@
 
     /// Lists the current keys under `prefix` in the store; logs a failure.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
-        let listing = self.store.list(prefix, USUAL_SILENCE).await;
+        let listing = self.store.list(prefix, DEFAULT_IDLE_TIMEOUT).await;
         listing.inspect_err(|error| {
             warn!(
                 "event=store_not_listed prefix={prefix} error={:?}",
@@ -405,6 +405,6 @@
     }
 
     fn complete(&self, asked: Instant) {
-        self.directory.confirm_terms(asked);
+        self.directory.confirm_closed_terms(asked);
     }
 }
--- a/crates/millwind-engine/src/floor.rs
+++ b/crates/millwind-engine/src/floor.rs
@@ -6,7 +6,7 @@
 use millwind_core::ids::GroupName;
 use millwind_core::position::Position;
 
-use crate::directory::Written;
+use crate::directory::SessionCommit;
 use crate::node::Engine;
 use crate::{clock, peers};
 
@@ -34,7 +34,7 @@
     /// Staleness that the read accepts, in milliseconds.
     pub staleness_ms: u64,
     /// The last commit of the session.
-    pub written: Option<Written>,
+    pub written: Option<SessionCommit>,
 }
 
 /// No sufficiently recent position of the leader was observed before the deadline.
@@ -86,7 +86,7 @@
                 return self.await_observation(engine, group, deadline).await;
             }
             // The nodes that watch the group query its leader regularly.
-            peers::observe_leader(engine, group).await;
+            peers::refresh_leader_report(engine, group).await;
             let retry_at = clock::now().plus_millis(OBSERVATION_RETRY_MS).min(deadline);
             let observed = self.await_observation(engine, group, retry_at).await;
             if observed.is_some() || clock::now() >= deadline {
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -8,9 +8,9 @@
 
 use super::link::OwnerLink;
 use super::messages::{
-    read_answer, read_state, take_leader_report, write_command, write_floor, write_user, write_values,
+    read_answer, read_state, record_leader_report, write_command, write_floor, write_user, write_values,
 };
-use crate::backend::{ConnectionUser, LinkError};
+use crate::backend::{ConnectionUser, ExchangeError};
 use crate::catalog::InstanceRecord;
 use crate::clock;
 use crate::execution::{AttemptError, RequestTracker, confirm_leader, record_instance_error};
@@ -120,11 +120,11 @@
         let response = self.link.call(call, ForwardRequest::Run(statement));
         let answer = match tokio::time::timeout_at(clock::deadline(deadline), response).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(_)) => return Err(AttemptError::Link(LinkError::Lost)),
+            Ok(Err(_)) => return Err(AttemptError::Link(ExchangeError::Lost)),
             Err(_) => {
                 self.link.cancel(call);
                 engine.owners.avoid(self.link.address(), &self.record.name);
-                return Err(AttemptError::Link(LinkError::Silent));
+                return Err(AttemptError::Link(ExchangeError::ReplyTimeout));
             }
         };
         self.is_broken = false;
@@ -133,7 +133,7 @@
         let result = read_answer(answer);
         self.record_outcome(engine, &result, &inquiry, confirms_leader);
         if let Some(report) = report {
-            take_leader_report(engine, &self.record.group, &report, inquiry.asked);
+            record_leader_report(engine, &self.record.group, &report, inquiry.asked);
         }
         result
     }
@@ -153,7 +153,8 @@
             instance: self.record.name.0.clone(),
             user: write_user(&start.user),
             priority: start.priority,
-            aim_ms: u32::try_from(clock::until(start.target_time).as_millis()).unwrap_or(u32::MAX),
+            target_latency_left_ms: u32::try_from(clock::until(start.target_time).as_millis())
+                .unwrap_or(u32::MAX),
             begin: start.begin,
             floor: write_floor(&start.floor),
         });
@@ -189,7 +190,7 @@
                 inquiry.answered_without_sample();
                 record_instance_error(engine, &self.record, error);
             }
-            Err(AttemptError::Link(LinkError::WarmingUp { .. })) => {
+            Err(AttemptError::Link(ExchangeError::WarmingUp { .. })) => {
                 inquiry.answered_by_peer();
                 engine.directory.avoid_while_full(&self.record.name);
             }
@@ -198,7 +199,7 @@
                 engine.directory.avoid(&self.record.name);
                 // Avoiding an overloaded owner would move its load to stand-ins
                 // that use the same instance.
-                if *error != LinkError::NoConnection {
+                if *error != ExchangeError::QueueTimeout {
                     engine.owners.avoid(self.link.address(), &self.record.name);
                 }
             }
--- a/crates/millwind-engine/src/forward/link.rs
+++ b/crates/millwind-engine/src/forward/link.rs
@@ -7,13 +7,11 @@
 use std::time::Duration;
 
 use log::info;
-use millwind_wire::forward::{
-    ForwardRequest, ForwardedAnswer, ForwardedBorrowing, ForwardedLoan, ForwardedSubject,
-};
+use millwind_wire::forward::{ForwardRequest, ForwardedAnswer, LoanReply, LoanRequest, LoanSubject};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-use super::doubt::LinkDoubt;
+use super::link_suspicion::LinkSuspicion;
 use super::link_task::{self, LinkState};
 use crate::clock;
 
@@ -41,7 +39,7 @@
 impl OwnerLink {
     /// Spawns the task of a link over `stream`, which raises `doubt` if the owner becomes
     /// silent.
-    pub fn start(address: SocketAddr, stream: TcpStream, doubt: Arc<LinkDoubt>) -> Arc<OwnerLink> {
+    pub fn start(address: SocketAddr, stream: TcpStream, doubt: Arc<LinkSuspicion>) -> Arc<OwnerLink> {
         let (outgoing, requests) = mpsc::unbounded_channel();
         let state = Arc::new(LinkState::new(address, doubt));
         tokio::spawn(link_task::run(state.clone(), stream, requests));
@@ -58,7 +56,7 @@
     }
 
     /// Returns whether new leases may use the link.
-    pub fn takes_leases(&self) -> bool {
+    pub fn accepts_leases(&self) -> bool {
         self.state.is_open() && !self.state.has_failed_probe.load(Ordering::Relaxed)
     }
 
@@ -86,7 +84,7 @@
     /// probe the link takes no new leases. Existing leases continue, because the owner
     /// may only be slow and closing the link could leave the outcome of their transactions
     /// unknown.
-    pub async fn prove(&self, limit: Duration) -> bool {
+    pub async fn probe(&self, limit: Duration) -> bool {
         let is_alive = self.answers(limit).await;
         if !is_alive {
             self.state.has_failed_probe.store(true, Ordering::Relaxed);
@@ -118,11 +116,11 @@
     }
 
     /// Requests a loan of `wanted` units of `subject`. Returns `None` if the link is lost.
-    pub async fn ask_loan(&self, subject: ForwardedSubject, wanted: u32) -> Option<ForwardedLoan> {
+    pub async fn request_loan(&self, subject: LoanSubject, wanted: u32) -> Option<LoanReply> {
         let call = self.next_id();
         let (sender, receiver) = oneshot::channel();
         self.state.pending_loans().insert(call, sender);
-        let request = ForwardRequest::Borrow(ForwardedBorrowing {
+        let request = ForwardRequest::Borrow(LoanRequest {
             call,
             subject,
             wanted,
--- a/crates/millwind-engine/src/forward/doubt.rs
+++ b/crates/millwind-engine/src/forward/link_suspicion.rs
@@ -18,12 +18,12 @@
 
 /// Suspicion of network failure, shared by all links of a node.
 #[derive(Debug, Default)]
-pub struct LinkDoubt {
+pub struct LinkSuspicion {
     /// End of the suspicion, in microseconds of the node's clock.
     ends_at: AtomicU64,
 }
 
-impl LinkDoubt {
+impl LinkSuspicion {
     /// Marks all links as suspect after a link became silent or a node failed to answer.
     pub fn raise(&self) {
         let ends_at = clock::now().plus_millis(DOUBT_DURATION_MS);
--- a/crates/millwind-engine/src/forward/link_task.rs
+++ b/crates/millwind-engine/src/forward/link_task.rs
@@ -10,15 +10,15 @@
 use futures::StreamExt;
 use log::info;
 use millwind_core::Instant;
-use millwind_wire::forward::{ForwardReply, ForwardRequest, ForwardedAnswer, ForwardedLoan, decode_forward};
+use millwind_wire::forward::{ForwardReply, ForwardRequest, ForwardedAnswer, LoanReply, decode_forward};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::codec::Framed;
 
-use super::doubt::LinkDoubt;
+use super::link_suspicion::LinkSuspicion;
 use super::{Transport, write_all};
 use crate::clock;
-use crate::peers::frames;
+use crate::peers::peer_codec;
 
 /// Interval between liveness checks while answers are pending.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -33,7 +33,7 @@
 const MAX_BATCH: usize = 64;
 
 type AnswerSenders = HashMap<u64, oneshot::Sender<ForwardedAnswer>>;
-type LoanSenders = HashMap<u64, oneshot::Sender<ForwardedLoan>>;
+type LoanSenders = HashMap<u64, oneshot::Sender<LoanReply>>;
 
 /// State shared between a link's task and its handles.
 #[derive(Debug)]
@@ -49,12 +49,12 @@
     pub(super) has_failed_probe: AtomicBool,
     /// Time of the last message from the owner, zero before the first.
     pub(super) last_heard: watch::Sender<Instant>,
-    doubt: Arc<LinkDoubt>,
+    doubt: Arc<LinkSuspicion>,
 }
 
 impl LinkState {
     /// Creates the state of an open link.
-    pub(super) fn new(address: SocketAddr, doubt: Arc<LinkDoubt>) -> Self {
+    pub(super) fn new(address: SocketAddr, doubt: Arc<LinkSuspicion>) -> Self {
         LinkState {
             address,
             pending: Mutex::default(),
@@ -120,7 +120,7 @@
     stream: TcpStream,
     requests: mpsc::UnboundedReceiver<ForwardRequest>,
 ) {
-    let transport = Framed::new(stream, frames());
+    let transport = Framed::new(stream, peer_codec());
     let mut task = LinkTask {
         last_heard: clock::now(),
         last_ping: clock::now(),
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::doubt::LinkDoubt;
 use super::link::OwnerLink;
+use super::link_suspicion::LinkSuspicion;
 use crate::clock;
 
 /// Timeout for opening a link.
@@ -46,7 +46,7 @@
 
 impl Slot {
     fn usable_link(&self) -> Option<&Arc<OwnerLink>> {
-        self.link.as_ref().filter(|link| link.takes_leases())
+        self.link.as_ref().filter(|link| link.accepts_leases())
     }
 }
 
@@ -57,7 +57,7 @@
     /// Notified after each attempt to open a link.
     attempt_finished: Notify,
     /// Whether links must be probed before use.
-    doubt: Arc<LinkDoubt>,
+    doubt: Arc<LinkSuspicion>,
 }
 
 impl Links {
@@ -131,7 +131,7 @@
     /// Returns the link if its owner answers a probe. Otherwise removes the link from the
     /// pool; it closes with its last lease.
     async fn probe(&self, link: Arc<OwnerLink>) -> Option<Arc<OwnerLink>> {
-        if link.prove(PROBE_TIMEOUT).await {
+        if link.probe(PROBE_TIMEOUT).await {
             return Some(link);
         }
         if let Some(slot) = self.slots().get_mut(&link.address()) {
@@ -218,7 +218,7 @@
     }
 }
 
-async fn connect(address: SocketAddr, doubt: Arc<LinkDoubt>) -> Option<Arc<OwnerLink>> {
+async fn connect(address: SocketAddr, doubt: Arc<LinkSuspicion>) -> Option<Arc<OwnerLink>> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -12,9 +12,9 @@
     ForwardedPosition, ForwardedRow, ForwardedStatement, ForwardedTenant, ForwardedValue, LeaderReport,
 };
 
-use crate::backend::{ConnectionUser, LinkError};
+use crate::backend::{ConnectionUser, ExchangeError};
 use crate::clock;
-use crate::directory::Written;
+use crate::directory::SessionCommit;
 use crate::execution::AttemptError;
 use crate::floor::{MinimumReadPosition, StalenessBound};
 use crate::node::Engine;
@@ -34,24 +34,27 @@
 ];
 
 /// Wire codes of link errors.
-const LINK_ERROR_CODES: [(u8, LinkError); 14] = [
-    (1, LinkError::Refused),
-    (2, LinkError::ConnectTimeout),
-    (3, LinkError::TurnedAway),
-    (4, LinkError::NoConnection),
-    (5, LinkError::Retired),
-    (6, LinkError::Lost),
-    (7, LinkError::Silent),
-    (8, LinkError::InstanceFailing),
-    (9, LinkError::NoObservation),
-    (10, LinkError::OwnerUnreachable),
-    (11, LinkError::NoPermit),
+const LINK_ERROR_CODES: [(u8, ExchangeError); 14] = [
+    (1, ExchangeError::Refused),
+    (2, ExchangeError::ConnectTimeout),
+    (3, ExchangeError::ClosedDuringStartup),
+    (4, ExchangeError::QueueTimeout),
+    (5, ExchangeError::PoolRetired),
+    (6, ExchangeError::Lost),
+    (7, ExchangeError::ReplyTimeout),
+    (8, ExchangeError::InstanceFailing),
+    (9, ExchangeError::NoObservation),
+    (10, ExchangeError::OwnerUnreachable),
+    (11, ExchangeError::NoPermit),
     (
         12,
-        LinkError::IneligibleReason(IneligibleReason::RegionNotAllowed),
+        ExchangeError::IneligibleReason(IneligibleReason::RegionNotAllowed),
     ),
-    (13, LinkError::IneligibleReason(IneligibleReason::ZoneEvacuated)),
-    (14, LinkError::IneligibleReason(IneligibleReason::Leaving)),
+    (
+        13,
+        ExchangeError::IneligibleReason(IneligibleReason::ZoneEvacuated),
+    ),
+    (14, ExchangeError::IneligibleReason(IneligibleReason::Leaving)),
 ];
 
 fn micros_since(time: Instant) -> u64 {
@@ -88,7 +91,7 @@
     }
 }
 
-fn write_commit(written: &Written) -> ForwardedCommit {
+fn write_commit(written: &SessionCommit) -> ForwardedCommit {
     ForwardedCommit {
         position: write_position(written.position),
         acknowledged_ago_us: micros_since(written.acknowledged),
@@ -108,7 +111,7 @@
         } => MinimumReadPosition::Staleness(StalenessBound {
             arrived: micros_ago(*arrived_ago_us),
             staleness_ms: *staleness_ms,
-            written: written.first().map(|commit| Written {
+            written: written.first().map(|commit| SessionCommit {
                 position: read_position(commit.position),
                 acknowledged: micros_ago(commit.acknowledged_ago_us),
             }),
@@ -233,8 +236,8 @@
     }
 }
 
-fn write_link_error(error: &LinkError) -> ForwardedOutcome {
-    if let LinkError::WarmingUp { retry_after_ms } = *error {
+fn write_link_error(error: &ExchangeError) -> ForwardedOutcome {
+    if let ExchangeError::WarmingUp { retry_after_ms } = *error {
         return ForwardedOutcome::WarmingUp { retry_after_ms };
     }
     let number = LINK_ERROR_CODES.iter().find(|(_, kind)| kind == error);
@@ -260,11 +263,11 @@
         ForwardedOutcome::Link { kind } => {
             let known = LINK_ERROR_CODES.iter().find(|(number, _)| *number == kind);
             // An unknown code does not tell whether the statement has run.
-            let error = known.map_or(LinkError::Protocol, |(_, error)| error.clone());
+            let error = known.map_or(ExchangeError::Protocol, |(_, error)| error.clone());
             Err(AttemptError::Link(error))
         }
         ForwardedOutcome::WarmingUp { retry_after_ms } => {
-            Err(AttemptError::Link(LinkError::WarmingUp { retry_after_ms }))
+            Err(AttemptError::Link(ExchangeError::WarmingUp { retry_after_ms }))
         }
     }
 }
@@ -287,15 +290,15 @@
 /// Records another node's observation of a group's leader, received in the answer to a
 /// request sent at `sent`. The age of the observation is subtracted from `sent`, which
 /// gives a lower bound of the time when that node queried the leader.
-pub(crate) fn take_leader_report(engine: &Engine, group: &GroupName, report: &LeaderReport, sent: Instant) {
+pub(crate) fn record_leader_report(engine: &Engine, group: &GroupName, report: &LeaderReport, sent: Instant) {
     let asked = Instant(sent.0.saturating_sub(report.asked_ago_us));
     let instance = InstanceName(report.instance.clone());
     let position = read_position(report.position);
     let directory = &engine.directory;
-    if !directory.is_of_present_life(&instance, asked) {
+    if !directory.is_from_current_incarnation(&instance, asked) {
         // The observation is of a previous incarnation of the instance.
         return;
     }
-    directory.leads_term(group, &instance, Term(report.term));
-    directory.leader_proved(group, &instance, asked, position);
+    directory.record_announced_term(group, &instance, Term(report.term));
+    directory.record_leader_proof(group, &instance, asked, position);
 }
--- a/crates/millwind-engine/src/forward/mod.rs
+++ b/crates/millwind-engine/src/forward/mod.rs
@@ -16,22 +16,22 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-mod doubt;
 mod lease;
 mod link;
+mod link_suspicion;
 mod link_task;
 mod links;
 mod messages;
 mod owners;
 mod server;
 
-pub use doubt::LinkDoubt;
 pub use lease::Lease;
 pub use link::OwnerLink;
-pub use owners::{Carriers, OWNERS, Owners, Route, Standing, Way};
+pub use link_suspicion::LinkSuspicion;
+pub use owners::{ForwardingPolicy, OWNER_COUNT, OwnerRouter, OwnershipRole, Route, RouteRequest};
 pub use server::serve;
 
-pub(crate) use messages::{leader_report, take_leader_report};
+pub(crate) use messages::{leader_report, record_leader_report};
 
 /// A framed connection between two nodes.
 type Transport = Framed<TcpStream, LengthDelimitedCodec>;
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -20,9 +20,9 @@
 use crate::registry::{InstanceOwners, Owner, OwnerQuery, Registry};
 
 /// Number of nodes that own connections to an instance.
-pub const OWNERS: usize = 3;
+pub const OWNER_COUNT: usize = 3;
 /// Number of stand-ins, which are used while no owner is reachable.
-pub const STAND_INS: usize = 5;
+pub const BACKUP_OWNER_COUNT: usize = 5;
 /// Time in milliseconds for which an owner that failed to reach an instance gets no
 /// statements for that instance.
 const AVOIDANCE_MS: u64 = 400;
@@ -36,7 +36,7 @@
 
 /// Role of this node for the connections to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum OwnershipRole {
     /// The node owns connections.
     Owner,
     /// The node serves while no owner is reachable.
@@ -49,9 +49,9 @@
 #[derive(Debug, Clone)]
 pub enum Route {
     /// Over a connection of this node.
-    Own,
+    Local,
     /// Through the node at the other end of the link.
-    Through(Arc<OwnerLink>),
+    Forwarded(Arc<OwnerLink>),
     /// No node that could run the statement is currently reachable or reaches the
     /// instance.
     Unreachable,
@@ -59,14 +59,14 @@
 
 /// Restricts the nodes that may receive the text of a statement.
 #[derive(Debug, Clone, Copy)]
-pub struct Carriers<'a> {
+pub struct ForwardingPolicy<'a> {
     /// Regions that the customer allows.
     pub regions: &'a AllowedRegions,
     /// Maps zones to regions.
     pub topology: &'a Topology,
 }
 
-impl Carriers<'_> {
+impl ForwardingPolicy<'_> {
     fn permits(&self, node: &Owner) -> bool {
         OwnerCandidate::may_forward(self.regions, self.topology, &node.zone)
     }
@@ -74,15 +74,15 @@
 
 /// Inputs of a routing decision.
 #[derive(Debug, Clone, Copy)]
-pub struct Way<'a> {
+pub struct RouteRequest<'a> {
     /// The known nodes.
     pub registry: &'a Registry,
     /// The instance that the statement runs on.
     pub record: &'a InstanceRecord,
     /// Nodes that the statement may be forwarded to.
-    pub carriers: Carriers<'a>,
+    pub forwarding_policy: ForwardingPolicy<'a>,
     /// Whether this node uses its own connections if it is an owner.
-    pub prefers_own: bool,
+    pub prefers_local: bool,
 }
 
 type RankedNodes = Arc<Vec<Owner>>;
@@ -106,7 +106,7 @@
 
 /// Ranks the owners of instances and routes statements to them.
 #[derive(Debug, Default)]
-pub struct Owners {
+pub struct OwnerRouter {
     links: Arc<Links>,
     /// Maps zones to regions.
     topology: Topology,
@@ -121,12 +121,12 @@
     unreached_periods: Mutex<HashMap<InstanceName, (Instant, Instant)>>,
 }
 
-impl Owners {
+impl OwnerRouter {
     /// Creates a router with the given mapping of zones to regions.
     pub fn new(topology: Topology) -> Self {
-        Owners {
+        OwnerRouter {
             topology,
-            ..Owners::default()
+            ..OwnerRouter::default()
         }
     }
 
@@ -161,15 +161,15 @@
 
     /// Returns the owners and stand-ins that may receive the text of the statement. This
     /// node is always permitted, because it already has the text.
-    fn permitted_owners(&self, way: &Way<'_>) -> Arc<InstanceOwners> {
-        if way.carriers.regions.is_any() {
+    fn permitted_owners(&self, way: &RouteRequest<'_>) -> Arc<InstanceOwners> {
+        if way.forwarding_policy.regions.is_any() {
             return self.unrestricted_ranking(way.registry, way.record).nodes;
         }
         let version = way.registry.version();
         let key = (
             way.record.name.clone(),
             way.record.zone.clone(),
-            way.carriers.regions.clone(),
+            way.forwarding_policy.regions.clone(),
         );
         let mut restricted = self.restricted.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((cached_version, owners)) = restricted.get(&key)
@@ -177,7 +177,7 @@
         {
             return owners.clone();
         }
-        let owners = Arc::new(self.rank(way.registry, way.record, way.carriers.regions));
+        let owners = Arc::new(self.rank(way.registry, way.record, way.forwarding_policy.regions));
         // Drops rankings of other registry versions.
         restricted.retain(|_, (cached_version, _)| *cached_version == version);
         restricted.insert(key, (version, owners.clone()));
@@ -192,8 +192,8 @@
             regions,
         };
         let sought = OwnerCounts {
-            owners: OWNERS,
-            backup_owners: STAND_INS,
+            owners: OWNER_COUNT,
+            backup_owners: BACKUP_OWNER_COUNT,
         };
         registry.owners(&place, sought)
     }
@@ -204,21 +204,21 @@
         if !registry.is_listed() {
             return false;
         }
-        let within = registry.is_owner_within(&record.name, &record.zone, OWNERS);
-        within.unwrap_or_else(|| self.standing(registry, record) == Standing::Owner)
+        let within = registry.is_owner_within(&record.name, &record.zone, OWNER_COUNT);
+        within.unwrap_or_else(|| self.ownership_role(registry, record) == OwnershipRole::Owner)
     }
 
     /// Returns this node's role for `record`. The role is [`Standing::Other`] until the
     /// other nodes are known, because the node would otherwise own every instance.
-    pub fn standing(&self, registry: &Registry, record: &InstanceRecord) -> Standing {
+    pub fn ownership_role(&self, registry: &Registry, record: &InstanceRecord) -> OwnershipRole {
         if !registry.is_listed() {
-            return Standing::Other;
+            return OwnershipRole::Other;
         }
         let ranked = self.ranked(registry, record);
         match ranked.iter().position(|owner| owner.is_self) {
-            Some(index) if index < OWNERS => Standing::Owner,
-            Some(_) => Standing::StandIn,
-            None => Standing::Other,
+            Some(index) if index < OWNER_COUNT => OwnershipRole::Owner,
+            Some(_) => OwnershipRole::StandIn,
+            None => OwnershipRole::Other,
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Marks the links to owners as suspect after a node failed to answer.
-    pub fn doubt_links(&self) {
+    pub fn suspect_links(&self) {
         self.links.raise_doubt();
     }
 
@@ -262,14 +262,14 @@
 
     /// Chooses the route of a statement. A node that has not reached any owner for a while
     /// uses its own connections.
-    pub async fn route(&self, way: &Way<'_>) -> Route {
+    pub async fn route(&self, way: &RouteRequest<'_>) -> Route {
         let record = way.record;
         let permitted = self.permitted_owners(way);
-        if way.prefers_own && permitted.owners.iter().any(|owner| owner.is_self) {
-            return Route::Own;
+        if way.prefers_local && permitted.owners.iter().any(|owner| owner.is_self) {
+            return Route::Local;
         }
         if has_no_permitted_nodes(way, &permitted) {
-            return Route::Own;
+            return Route::Local;
         }
         let mut was_avoided = false;
         let owners = self.available_addresses(&permitted.owners, way, &mut was_avoided);
@@ -280,34 +280,34 @@
         };
         if let Some(link) = found {
             self.unreached_periods().remove(&record.name);
-            return Route::Through(link);
+            return Route::Forwarded(link);
         }
         if was_avoided || !self.may_connect_directly(&record.name) {
             return Route::Unreachable;
         }
-        Route::Own
+        Route::Local
     }
 
     /// Chooses the route of a tenant's statement. The tenant's preferred owner comes
     /// first, because it likely still has a connection of this tenant open; other owners
     /// are used while the preferred one is unreachable.
-    pub async fn route_of_tenant(&self, way: &Way<'_>, tenant: &TenantName) -> Route {
+    pub async fn route_for_tenant(&self, way: &RouteRequest<'_>, tenant: &TenantName) -> Route {
         let record = way.record;
         let permitted = self.permitted_owners(way);
         let owners = &permitted.owners;
         let names: Vec<_> = owners.iter().map(|owner| owner.address.to_string()).collect();
         for index in affinity::rendezvous_order(tenant.as_str(), &names) {
             let owner = &owners[index];
-            if owner.is_self && way.prefers_own {
-                return Route::Own;
+            if owner.is_self && way.prefers_local {
+                return Route::Local;
             }
-            let is_unused = owner.is_self || !way.carriers.permits(owner);
+            let is_unused = owner.is_self || !way.forwarding_policy.permits(owner);
             if is_unused || self.is_avoided(owner.address, &record.name) {
                 continue;
             }
             if let Some(link) = self.links.least_loaded_live(&[owner.address]).await {
                 self.unreached_periods().remove(&record.name);
-                return Route::Through(link);
+                return Route::Forwarded(link);
             }
         }
         self.route(way).await
@@ -350,10 +350,15 @@
 
     /// Returns the addresses of other nodes that are permitted and not avoided, rotated
     /// by a random offset. Sets `was_avoided` if a node was skipped as avoided.
-    fn available_addresses(&self, nodes: &[Owner], way: &Way<'_>, was_avoided: &mut bool) -> Vec<SocketAddr> {
+    fn available_addresses(
+        &self,
+        nodes: &[Owner],
+        way: &RouteRequest<'_>,
+        was_avoided: &mut bool,
+    ) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         let others = nodes.iter().filter(|node| !node.is_self);
-        for node in others.filter(|node| way.carriers.permits(node)) {
+        for node in others.filter(|node| way.forwarding_policy.permits(node)) {
             if self.is_avoided(node.address, &way.record.name) {
                 *was_avoided = true;
             } else {
@@ -370,8 +375,8 @@
 /// forwarded to, so that this node must use its own connection. The list of nodes must
 /// have been stable for a while, since nodes of the allowed regions may be missing
 /// from the list right after a cluster start.
-fn has_no_permitted_nodes(way: &Way<'_>, permitted: &InstanceOwners) -> bool {
+fn has_no_permitted_nodes(way: &RouteRequest<'_>, permitted: &InstanceOwners) -> bool {
     let mut nodes = permitted.owners.iter().chain(&permitted.backup_owners);
-    let is_restricted = !way.carriers.regions.is_any();
+    let is_restricted = !way.forwarding_policy.regions.is_any();
     is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= DIRECT_FALLBACK_MS
 }
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -16,14 +16,14 @@
 use millwind_core::lending::Loan;
 use millwind_core::position::Position;
 use millwind_wire::forward::{
-    ForwardReply, ForwardRequest, ForwardedBegin, ForwardedBorrowing, ForwardedLoan, ForwardedStart,
-    ForwardedStatement, ForwardedSubject, decode_forward,
+    ForwardReply, ForwardRequest, ForwardedBegin, ForwardedStart, ForwardedStatement, LoanReply, LoanRequest,
+    LoanSubject, decode_forward,
 };
 use tokio::sync::mpsc;
 
 use super::messages::{leader_report, read_execution, read_floor, read_session, read_user, write_answer};
 use super::{Transport, write_all};
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::backend::PooledConnection;
 use crate::catalog::InstanceRecord;
 use crate::clock;
@@ -192,14 +192,14 @@
         true
     }
 
-    fn spawn_loan(&self, borrowing: ForwardedBorrowing) {
+    fn spawn_loan(&self, borrowing: LoanRequest) {
         let engine = self.engine.clone();
         let answers = self.answers.clone();
         tokio::spawn(async move {
             let loan = grant_loan(&engine, &borrowing).await;
-            let answer = ForwardedLoan {
+            let answer = LoanReply {
                 call: borrowing.call,
-                counts: u8::from(loan.is_some()),
+                is_granted: u8::from(loan.is_some()),
                 operations: loan.map_or(0, |loan| loan.operations),
                 retry_after_ms: loan.map_or(0, |loan| loan.retry_after_ms),
             };
@@ -222,14 +222,14 @@
 }
 
 /// Grants a loan. Returns `None` if this node does not lend the subject.
-async fn grant_loan(engine: &Arc<Engine>, borrowing: &ForwardedBorrowing) -> Option<Loan> {
+async fn grant_loan(engine: &Arc<Engine>, borrowing: &LoanRequest) -> Option<Loan> {
     match &borrowing.subject {
-        ForwardedSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), borrowing.wanted),
-        ForwardedSubject::Instance { name } => {
+        LoanSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), borrowing.wanted),
+        LoanSubject::Instance { name } => {
             let instance = InstanceName::from(name.as_str());
             engine.lend_credits(&instance, borrowing.wanted).await
         }
-        ForwardedSubject::Word { instance, lender } => {
+        LoanSubject::LenderVote { instance, lender } => {
             let instance = InstanceName::from(instance.as_str());
             let lender = lender.parse().ok()?;
             let is_granted = engine.vote_for_lender(&instance, lender);
@@ -253,7 +253,7 @@
         None => leases.get(lease),
     };
     let Some(held) = held else {
-        let retired = Err(AttemptError::Link(LinkError::Retired));
+        let retired = Err(AttemptError::Link(ExchangeError::PoolRetired));
         return ForwardReply::Answer(write_answer(
             statement.call,
             retired,
@@ -284,7 +284,7 @@
             (result, connection.transaction(), Some(group))
         }
         None => {
-            let retired = Err(AttemptError::Link(LinkError::Retired));
+            let retired = Err(AttemptError::Link(ExchangeError::PoolRetired));
             (retired, TransactionState::Failed, None)
         }
     };
@@ -326,7 +326,7 @@
     avoids_outliers: bool,
 ) -> Result<Arc<InstanceRecord>, AttemptError> {
     let known = engine.directory.instance(&InstanceName::from(name));
-    let known = known.ok_or(AttemptError::Link(LinkError::Retired))?;
+    let known = known.ok_or(AttemptError::Link(ExchangeError::PoolRetired))?;
     let usage = match wants_leader {
         true => InstanceUse::Leader,
         false => InstanceUse::Replica,
@@ -335,20 +335,20 @@
     engine
         .judge_instance(&known, usage, &AllowedRegions::Any)
         .map_err(|reason| match reason {
-            IneligibleReason::Leaving => LinkError::Retired,
-            reason => LinkError::IneligibleReason(reason),
+            IneligibleReason::Leaving => ExchangeError::PoolRetired,
+            reason => ExchangeError::IneligibleReason(reason),
         })
         .map_err(AttemptError::Link)?;
     let contact = &known.contact;
     let is_backing_off = clock::now() < contact.avoid_until || contact.statements.in_flight() > 0;
     if contact.failing_since.is_some() && is_backing_off {
-        return Err(AttemptError::Link(LinkError::InstanceFailing));
+        return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     // Hanging statements occupy connections, so an instance that hangs must not
     // exhaust the pool.
     let is_outlier = known.contact.statements.is_outlier(clock::now());
     if !known.contact.admits_statement() || (is_outlier && avoids_outliers) {
-        return Err(AttemptError::Link(LinkError::InstanceFailing));
+        return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     Ok(known.record)
 }
@@ -362,30 +362,30 @@
     deadline: Instant,
 ) -> Result<(PooledConnection, Option<Position>), AttemptError> {
     if *engine.phase.borrow() != Phase::Running {
-        return Err(AttemptError::Link(LinkError::OwnerUnreachable));
+        return Err(AttemptError::Link(ExchangeError::OwnerUnreachable));
     }
     let wants_leader = start.begin == ForwardedBegin::ReadWrite || statement.confirms_leader == 1;
     let avoids_outliers = start.begin == ForwardedBegin::ReadOnly;
     let record = usable_instance(engine, &start.instance, wants_leader, avoids_outliers)?;
     if wants_leader && !engine.directory.may_lead(&record.group, &record.name, true) {
-        return Err(AttemptError::Link(LinkError::InstanceFailing));
+        return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     let floor = read_floor(&start.floor);
     let staleness = match floor {
         MinimumReadPosition::Staleness(terms) => Some(terms.staleness_ms),
         _ => None,
     };
-    engine.directory.used(&record.group, staleness);
+    engine.directory.record_use(&record.group, staleness);
     let since = resolve(engine, &floor, &record, deadline).await?;
     let user = read_user(&start.user);
     let session = read_session(&statement.values);
     let execution = read_execution(statement);
     let wanted = ConnectionRequest {
         priority: start.priority,
-        target_time: clock::now().plus_millis(u64::from(start.aim_ms)),
+        target_time: clock::now().plus_millis(u64::from(start.target_latency_left_ms)),
         user: &user,
         session: &session,
-        needed: execution.as_ref().map(|(prepared, _)| prepared),
+        prepared_statement: execution.as_ref().map(|(prepared, _)| prepared),
         deadline,
     };
     let mut connection = execution::connect(engine, &record, wanted).await?;
@@ -407,7 +407,7 @@
     floor
         .resolve(engine, &record.group, deadline)
         .await
-        .map_err(|_| AttemptError::Link(LinkError::NoObservation))
+        .map_err(|_| AttemptError::Link(ExchangeError::NoObservation))
 }
 
 async fn run_on_connection(
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -9,7 +9,7 @@
 use millwind_core::data_residency::AllowedRegions;
 use millwind_core::ids::{GroupName, RegionName};
 use millwind_core::lead_relocation::LeaderDemand;
-use millwind_wire::exchange::{DemandPart, DemandReport, RegionText};
+use millwind_wire::exchange::{DemandPart, DemandReport, RegionEntry};
 
 use crate::clock;
 
@@ -128,7 +128,7 @@
     pub fn apply_report(&self, report: &DemandReport) {
         let mut demand = LeaderDemand::default();
         for part in &report.parts {
-            demand.add(&decode_regions(part), part.worth);
+            demand.add(&decode_regions(part), part.total_weight);
         }
         let received_at = clock::now();
         let group = GroupName(report.group.clone());
@@ -141,12 +141,12 @@
 /// Encodes the demand of `node`'s own callers as a report.
 pub fn encode_demand_report(node: &str, group: &GroupName, demand: &LeaderDemand) -> DemandReport {
     let part = |(regions, worth): (&AllowedRegions, u64)| DemandPart {
-        is_any: u8::from(regions.is_any()),
+        allows_any_region: u8::from(regions.is_any()),
         regions: match regions {
             AllowedRegions::Any => Vec::new(),
             AllowedRegions::Only(names) => names.iter().map(encode_region).collect(),
         },
-        worth,
+        total_weight: worth,
     };
     DemandReport {
         group: group.0.clone(),
@@ -155,14 +155,14 @@
     }
 }
 
-fn encode_region(region: &RegionName) -> RegionText {
-    RegionText {
+fn encode_region(region: &RegionName) -> RegionEntry {
+    RegionEntry {
         name: region.0.clone(),
     }
 }
 
 fn decode_regions(part: &DemandPart) -> AllowedRegions {
-    match part.is_any {
+    match part.allows_any_region {
         1 => AllowedRegions::Any,
         _ => AllowedRegions::Only(
             part.regions
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -17,20 +17,18 @@
 use crate::catalog::InstanceRecord;
 use crate::catalog_cache::CatalogCache;
 use crate::catalog_watch::{ConfigFollower, InstanceFollower};
-use crate::cold_places::WarmUpCredits;
 use crate::counted_store::CountedStore;
-use crate::directory::{Directory, Known};
-use crate::duty::FailoverOwnership;
-use crate::failover::Monitor;
-use crate::forward::Owners;
-use crate::group_marks::InProgressGroups;
+use crate::directory::{Directory, KnownInstance};
+use crate::failover::FailoverMonitor;
+use crate::failover_ownership::FailoverOwnership;
+use crate::forward::OwnerRouter;
+use crate::in_progress_groups::InProgressGroups;
 use crate::leader_demand::LeaderDemandTracker;
 use crate::logging::RequestLog;
 use crate::metrics::Metrics;
 use crate::own_keys::OwnKeys;
-use crate::passed_over::UnreadableDocuments;
 use crate::peer_reach::{self, PeerReach};
-use crate::peers::{self, Exchange, PeerClient};
+use crate::peers::{self, CatalogExchange, PeerClient};
 use crate::ports::{BackEndCodec, CallerCodec, CatalogCodec, Promoter};
 use crate::quota::Quotas;
 use crate::registration::{UnreachablePeers, keep_registered, mark_unreachable};
@@ -38,6 +36,8 @@
 use crate::relays::Relays;
 use crate::settings::{EngineSettings, SettingsError};
 use crate::store_watch::{Follower, StoreContact};
+use crate::unreadable_documents::UnreadableDocuments;
+use crate::warm_up_credits::WarmUpCredits;
 use crate::{clock, listener, readiness, relays, store_watch};
 
 /// Hedged reads allowed per hundred reads.
@@ -129,7 +129,7 @@
     /// Groups whose old leader this node is asking to step down.
     pub stepping_down: Arc<InProgressGroups>,
     /// The nodes that own connections to instances.
-    pub owners: Owners,
+    pub owners: OwnerRouter,
     /// Pending demand for the leaders of groups.
     pub leader_demands: LeaderDemandTracker,
     /// Quotas of tenants.
@@ -236,7 +236,7 @@
 
     /// Returns whether a leader accepts new work. A draining leader does until shortly
     /// before its drain bound, so that another can take over.
-    pub fn takes_new_work(&self, known: &Known) -> bool {
+    pub fn takes_new_work(&self, known: &KnownInstance) -> bool {
         let bound = self.settings.drain_bound_ms.saturating_sub(DRAIN_MARGIN_MS);
         known
             .leaving_since
@@ -302,7 +302,7 @@
 
     /// Waits until an idle session may be closed by a planned stop; never returns while
     /// no stop is in progress.
-    pub async fn may_close_session(&self, is_in_transaction: bool, idle_time: Duration) {
+    pub async fn wait_until_session_closable(&self, is_in_transaction: bool, idle_time: Duration) {
         let Phase::Stopping(since) = *self.phase.borrow() else {
             return std::future::pending().await;
         };
@@ -413,7 +413,7 @@
             engine.settings.client_address,
             engine.settings.peer_address
         );
-        let exchange = Exchange::new(engine.clone(), ports.catalog_codec.clone());
+        let exchange = CatalogExchange::new(engine.clone(), ports.catalog_codec.clone());
         start_store_watches(&engine, ports, duties);
         tokio::spawn(relays::decide_source_at_start(engine.clone()));
         tokio::spawn(exchange.run());
@@ -520,7 +520,7 @@
         departure: watch::Sender::new(None),
         unreachable_peers: UnreachablePeers::default(),
         stepping_down: Arc::default(),
-        owners: Owners::new(settings.topology.clone()),
+        owners: OwnerRouter::new(settings.topology.clone()),
         leader_demands: LeaderDemandTracker::default(),
         quotas: Quotas::default(),
         cold_places: WarmUpCredits::default(),
@@ -575,13 +575,13 @@
             async move { mark_unreachable(&marker.registry, &*store, &marker.unreachable_peers).await },
         );
     }
-    let monitor = Monitor::new(
+    let monitor = FailoverMonitor::new(
         engine.clone(),
         duties,
         ports.promoter.clone(),
         ports.catalog_codec.clone(),
     );
-    tokio::spawn(monitor.clone().follow_leads());
+    tokio::spawn(monitor.clone().run_relocation());
     tokio::spawn(monitor.run());
 }
 
@@ -594,7 +594,7 @@
         engine.update_cold_instances();
         engine.pools.trim(|record| engine.spare_connections(record));
         engine.drain_evacuated_zones();
-        for instance in engine.directory.forget_gone(engine.settings.drain_bound_ms) {
+        for instance in engine.directory.drop_removed(engine.settings.drain_bound_ms) {
             engine.pools.retire(&instance);
         }
         let version = engine.registry.version();
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -12,7 +12,7 @@
 use millwind_wire::exchange::{DocumentList, StoredDocument};
 use tokio::sync::watch;
 
-use crate::kept_documents::DocumentCache;
+use crate::document_cache::DocumentCache;
 use crate::registry::Registry;
 use crate::store_watch::{CatalogSource, Follower};
 
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -15,7 +15,7 @@
 
 use crate::clock;
 use crate::node::Engine;
-use crate::peers::AskError;
+use crate::peers::PeerRequestError;
 
 /// Number of nodes to probe for the estimate.
 const SAMPLE_SIZE: usize = 16;
@@ -183,9 +183,11 @@
     let request = ExchangeRequest::Reach {
         instance: String::new(),
     };
-    match engine.peers.ask_apart(address, &request, PROBE_TIMEOUT).await {
+    match engine.peers.ask_uncached(address, &request, PROBE_TIMEOUT).await {
         Ok(_) => ProbeResult::Answered,
-        Err(AskError::NotConnected(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
+        Err(PeerRequestError::ConnectFailed(error))
+            if error.kind() == std::io::ErrorKind::ConnectionRefused =>
+        {
             ProbeResult::ProcessGone
         }
         Err(_) => ProbeResult::Silent,
--- a/crates/millwind-engine/src/peers/ask_error.rs
+++ b/crates/millwind-engine/src/peers/ask_error.rs
@@ -4,10 +4,10 @@
 
 /// The reason why a request to another node failed.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum PeerRequestError {
     /// The connection could not be opened.
     #[error("could not connect: {0}")]
-    NotConnected(#[source] std::io::Error),
+    ConnectFailed(#[source] std::io::Error),
     /// The connection was not opened within the timeout.
     #[error("connection attempt timed out")]
     ConnectTimeout,
--- a/crates/millwind-engine/src/peers/client.rs
+++ b/crates/millwind-engine/src/peers/client.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use super::{AskError, MAX_RESPONSE_TIME, REUSED_SILENCE_TIMEOUT, SILENCE_TIMEOUT, frames};
+use super::{MAX_RESPONSE_TIME, PeerRequestError, REUSED_SILENCE_TIMEOUT, SILENCE_TIMEOUT, peer_codec};
 use crate::clock;
 
 /// Maximum number of nodes with a cached connection.
@@ -46,11 +46,11 @@
         &self,
         address: SocketAddr,
         request: &ExchangeRequest,
-    ) -> Result<ExchangeReply, AskError> {
+    ) -> Result<ExchangeReply, PeerRequestError> {
         let started = Instant::now();
         let cached = self.cached_link(address);
         let Ok(mut slot) = cached.try_lock() else {
-            return self.ask_apart(address, request, SILENCE_TIMEOUT).await;
+            return self.ask_uncached(address, request, SILENCE_TIMEOUT).await;
         };
         // The link is put back only after a complete response, so that a failed one is not
         // reused.
@@ -74,12 +74,12 @@
 
     /// Like [`PeerClient::ask`], but on a separate connection that is not cached, and with
     /// `silence` as the silence timeout. Meant for requests to every node.
-    pub async fn ask_apart(
+    pub async fn ask_uncached(
         &self,
         address: SocketAddr,
         request: &ExchangeRequest,
         silence: Duration,
-    ) -> Result<ExchangeReply, AskError> {
+    ) -> Result<ExchangeReply, PeerRequestError> {
         let mut link = connect(address, silence).await?;
         send_request(&mut link, request, silence).await
     }
@@ -107,25 +107,25 @@
     }
 }
 
-async fn connect(address: SocketAddr, limit: Duration) -> Result<Link, AskError> {
+async fn connect(address: SocketAddr, limit: Duration) -> Result<Link, PeerRequestError> {
     let connected = timeout(limit, TcpStream::connect(address)).await;
     let stream = connected
-        .map_err(|_| AskError::ConnectTimeout)?
-        .map_err(AskError::NotConnected)?;
+        .map_err(|_| PeerRequestError::ConnectTimeout)?
+        .map_err(PeerRequestError::ConnectFailed)?;
     // Nagle's algorithm would delay small messages.
     let _ = stream.set_nodelay(true);
-    Ok(Framed::new(stream, frames()))
+    Ok(Framed::new(stream, peer_codec()))
 }
 
 async fn send_request(
     link: &mut Link,
     request: &ExchangeRequest,
     silence: Duration,
-) -> Result<ExchangeReply, AskError> {
+) -> Result<ExchangeReply, PeerRequestError> {
     let message = Bytes::from(encode_exchange(request)?);
     let sent = timeout(silence, link.send(message)).await;
-    sent.map_err(|_| AskError::Silent { received_bytes: 0 })?
-        .map_err(|_| AskError::Lost { received_bytes: 0 })?;
+    sent.map_err(|_| PeerRequestError::Silent { received_bytes: 0 })?
+        .map_err(|_| PeerRequestError::Lost { received_bytes: 0 })?;
     let response = receive_response(link, silence).await?;
     Ok(decode_exchange(&response)?)
 }
@@ -133,7 +133,7 @@
 /// Receives a response as long as parts of it keep arriving. A limit on the whole response
 /// would cut off large ones on slow links and make a working peer look unreachable. Only the
 /// first part must arrive within `first_silence`.
-async fn receive_response(link: &mut Link, first_silence: Duration) -> Result<BytesMut, AskError> {
+async fn receive_response(link: &mut Link, first_silence: Duration) -> Result<BytesMut, PeerRequestError> {
     let deadline = Instant::now() + MAX_RESPONSE_TIME;
     let mut received_bytes = 0;
     let mut silence = first_silence;
@@ -144,9 +144,9 @@
         received_bytes = link.read_buffer().len();
         match frame {
             Ok(Some(Ok(response))) => return Ok(response),
-            Ok(_) => return Err(AskError::Lost { received_bytes }),
+            Ok(_) => return Err(PeerRequestError::Lost { received_bytes }),
             Err(_) if received_bytes > received_before && Instant::now() < deadline => {}
-            Err(_) => return Err(AskError::Silent { received_bytes }),
+            Err(_) => return Err(PeerRequestError::Silent { received_bytes }),
         }
     }
 }
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -11,7 +11,7 @@
 use millwind_wire::exchange::{ConfigDocument, ExchangeReply, ExchangeRequest, Reach};
 use rand::RngExt;
 
-use super::AskError;
+use super::PeerRequestError;
 use crate::catalog_intake::ConfigSource;
 use crate::clock;
 use crate::forward;
@@ -37,7 +37,7 @@
 
 /// Reachability of an instance as reported by peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Testimony {
+pub struct PeerReachability {
     /// Number of peers that reach the instance.
     pub reaching: usize,
     /// Number of peers that fail to reach the instance.
@@ -45,15 +45,15 @@
 }
 
 /// Periodic catalog exchange of one node with its peers.
-pub struct Exchange {
+pub struct CatalogExchange {
     engine: Arc<Engine>,
     codec: Arc<dyn CatalogCodec>,
 }
 
-impl Exchange {
+impl CatalogExchange {
     /// Creates an exchange that decodes catalog documents with `codec`.
     pub fn new(engine: Arc<Engine>, codec: Arc<dyn CatalogCodec>) -> Self {
-        Exchange { engine, codec }
+        CatalogExchange { engine, codec }
     }
 
     /// Runs the periodic comparison. Never returns.
@@ -208,12 +208,12 @@
             self.engine
                 .catalog_cache
                 .advance_instances_revision(instances_revision);
-            self.engine.directory.listing_known();
+            self.engine.directory.mark_listing_complete();
         }
         self.engine.own_keys.apply_documents(own, own_revision);
         if own_age_ms < u32::MAX {
             let known = clock::minus_millis(sent, u64::from(own_age_ms));
-            self.engine.directory.confirm_terms(known);
+            self.engine.directory.confirm_closed_terms(known);
         }
         let store_age_ms = (store_age_ms < u32::MAX).then_some(u64::from(store_age_ms));
         if let Some(age_ms) = store_age_ms {
@@ -227,7 +227,7 @@
 
     fn apply_config(&self, peer: SocketAddr, config: &ConfigDocument) {
         let known_since = clock::minus_millis(clock::now(), u64::from(config.age_ms));
-        match config.document.unpack() {
+        match config.document.decompress() {
             Ok(document) => {
                 self.engine
                     .handle_config_document(&*self.codec, &document, ConfigSource::Peer, known_since);
@@ -241,7 +241,7 @@
     }
 
     /// Records that a comparison with `source`, started at `sent`, failed.
-    fn record_failure(&self, source: ComparisonPeer, sent: Instant, error: &AskError) {
+    fn record_failure(&self, source: ComparisonPeer, sent: Instant, error: &PeerRequestError) {
         let address = source.address;
         info!(
             "event=comparison_failed peer={address} relay={} waited_ms={} error={:?}",
@@ -252,7 +252,7 @@
         self.engine.unreachable_peers.failed(address, sent);
         // A starting node may have asked nodes that are starting too.
         if self.engine.directory.is_complete() {
-            self.engine.owners.doubt_links();
+            self.engine.owners.suspect_links();
         }
         if source.is_relay {
             info!("event=relay_unreachable relay={address}");
@@ -291,7 +291,7 @@
 }
 
 /// Asks a sample of peers whether they reach `instance`.
-pub(crate) async fn ask_witnesses(engine: &Arc<Engine>, instance: &InstanceName) -> Testimony {
+pub(crate) async fn query_reachability(engine: &Arc<Engine>, instance: &InstanceName) -> PeerReachability {
     let addresses = sample(engine.witness_addresses(instance), PEERS_PER_REACH_QUERY);
     let request = ExchangeRequest::Reach {
         instance: instance.0.clone(),
@@ -300,7 +300,7 @@
         .iter()
         .map(|address| engine.peers.ask(*address, &request));
     let replies = join_all(requests).await;
-    let mut testimony = Testimony::default();
+    let mut testimony = PeerReachability::default();
     for reply in replies {
         match reply {
             Ok(ExchangeReply::Reach(Reach::Reached)) => testimony.reaching += 1,
@@ -313,15 +313,15 @@
 
 /// Asks a sample of the watchers of a group for the last report of its leader, unless such a
 /// query is already running.
-pub(crate) async fn observe_leader(engine: &Arc<Engine>, group: &GroupName) {
+pub(crate) async fn refresh_leader_report(engine: &Arc<Engine>, group: &GroupName) {
     if let Some(_inquiry) = engine.leader_inquiries.enter(group) {
-        ask_leader(engine, group).await;
+        query_leader(engine, group).await;
     }
 }
 
 /// Asks a sample of the watchers of a group for its leader. Returns whether one of them knows
 /// it.
-pub(crate) async fn ask_leader(engine: &Arc<Engine>, group: &GroupName) -> bool {
+pub(crate) async fn query_leader(engine: &Arc<Engine>, group: &GroupName) -> bool {
     let addresses = sample(engine.watcher_addresses(group), WATCHERS_PER_LEADER_QUERY);
     let request = ExchangeRequest::Leader {
         group: group.0.clone(),
@@ -337,7 +337,7 @@
         };
         for report in &leader {
             is_known = true;
-            forward::take_leader_report(engine, group, report, sent);
+            forward::record_leader_report(engine, group, report, sent);
         }
     }
     is_known
--- a/crates/millwind-engine/src/peers/mod.rs
+++ b/crates/millwind-engine/src/peers/mod.rs
@@ -10,10 +10,10 @@
 
 use tokio_util::codec::LengthDelimitedCodec;
 
-pub use ask_error::AskError;
+pub use ask_error::PeerRequestError;
 pub use client::PeerClient;
-pub use exchange::{Exchange, Testimony};
-pub(crate) use exchange::{ask_leader, ask_witnesses, observe_leader};
+pub use exchange::{CatalogExchange, PeerReachability};
+pub(crate) use exchange::{query_leader, query_reachability, refresh_leader_report};
 pub use server::serve;
 
 /// Maximum size of a message, in bytes.
@@ -29,7 +29,7 @@
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(20_000);
 
 /// Returns the codec that frames all messages between nodes.
-pub(crate) fn frames() -> LengthDelimitedCodec {
+pub(crate) fn peer_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec()
--- a/crates/millwind-engine/src/peers/server.rs
+++ b/crates/millwind-engine/src/peers/server.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Framed;
 
-use super::frames;
+use super::peer_codec;
 use crate::clock;
 use crate::forward;
 use crate::node::Engine;
@@ -40,7 +40,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, engine: Arc<Engine>) {
-    let mut link = Framed::new(stream, frames());
+    let mut link = Framed::new(stream, peer_codec());
     while let Some(Ok(message)) = link.next().await {
         if is_forward(&message) {
             return forward::serve(link, message, engine).await;
@@ -81,7 +81,7 @@
         }
         ExchangeRequest::Reach { instance } => {
             let instance = InstanceName::from(instance.as_str());
-            engine.directory.doubt(&instance);
+            engine.directory.record_peer_doubt(&instance);
             engine.wake_monitor();
             ExchangeReply::Reach(reachability(engine, &instance))
         }
@@ -96,7 +96,7 @@
         },
         ExchangeRequest::LeaderDemand(report) => {
             engine.leader_demands.apply_report(report);
-            ExchangeReply::Noted
+            ExchangeReply::DemandReceived
         }
     }
 }
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -12,7 +12,7 @@
 use millwind_core::quota::{
     Admission, Allowance, Budget, InitialBudget, Loan, Quota, UNREACHED_LENDER_PERCENT, lendable_percent,
 };
-use millwind_wire::forward::ForwardedSubject;
+use millwind_wire::forward::LoanSubject;
 
 use crate::answer::Refusal;
 use crate::backend::ConnectionUser;
@@ -209,11 +209,11 @@
     /// Requests operations of a tenant from the node at the other end. Returns `None` if
     /// that node does not count for the tenant or the link is lost.
     async fn borrow(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
-        let subject = ForwardedSubject::Tenant {
+        let subject = LoanSubject::Tenant {
             name: tenant.0.clone(),
         };
-        let answer = self.ask_loan(subject, wanted).await?;
-        (answer.counts == 1).then_some(Loan {
+        let answer = self.request_loan(subject, wanted).await?;
+        (answer.is_granted == 1).then_some(Loan {
             operations: answer.operations,
             retry_after_ms: answer.retry_after_ms,
         })
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -481,7 +481,7 @@
     /// Sets the time since which this node is registered, on which its lead permits
     /// depend, and wakes the task that maintains its record.
     fn publish_registration(&self, since: Option<Instant>) {
-        self.directory.registered(since);
+        self.directory.set_registered_since(since);
         self.own_record_changed.notify_one();
     }
 
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -209,7 +209,7 @@
     /// Returns whether instance records are needed urgently: a leader has been missing
     /// from them for a short time.
     pub fn is_polling_urgent(&self, directory: &Directory) -> bool {
-        let is_missing = !directory.knows_claimed_leaders();
+        let is_missing = !directory.has_claimed_leader_for_every_group();
         let mut state = self.state();
         if !is_missing {
             state.leader_missing_since = None;
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -8,7 +8,7 @@
 
 use super::Operation;
 use crate::answer::{Answer, Failure, Success};
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::backend::PooledConnection;
 use crate::catalog::InstanceRecord;
 use crate::execution::{self, AttemptError, ConnectionRequest};
@@ -75,24 +75,24 @@
     let priority = operation.database.priority;
     let target_time = operation.target_time();
     let connected = match engine.route(record, &operation.user, &operation.regions).await {
-        Route::Own => {
+        Route::Local => {
             let wanted = ConnectionRequest {
                 priority,
                 target_time,
                 user: &operation.user,
                 session,
-                needed: operation.prepared_statement(),
+                prepared_statement: operation.prepared_statement(),
                 deadline: operation.deadline,
             };
             let connected = execution::connect(engine, record, wanted).await;
             connected.map(|local| SessionConnection::Local(Box::new(local)))
         }
-        Route::Through(link) => {
+        Route::Forwarded(link) => {
             engine.metrics.forwarded_out.inc();
             let lease = Lease::new(link, record.clone(), &operation.user, priority, target_time);
             Ok(SessionConnection::Leased(Box::new(lease)))
         }
-        Route::Unreachable => Err(AttemptError::Link(LinkError::OwnerUnreachable)),
+        Route::Unreachable => Err(AttemptError::Link(ExchangeError::OwnerUnreachable)),
     };
     connected.inspect_err(|error| operation.attempt_log.record(&record.name, error.name()))
 }
@@ -114,7 +114,7 @@
         SessionConnection::Local(local) => {
             let deadline = operation.deadline;
             let since = floor.resolve(engine, &record.group, deadline).await;
-            let since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
+            let since = since.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
             execution::begin(engine, local, read_only, since, deadline)
                 .await
                 .inspect_err(|error| operation.attempt_log.record(&record.name, error.name()))?;
@@ -147,7 +147,7 @@
         }
         SessionConnection::Local(local) => {
             let since = floor.resolve(engine, operation.group(), deadline).await;
-            envelope.since = since.map_err(|_| AttemptError::Link(LinkError::NoObservation))?;
+            envelope.since = since.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
             execution::run(engine, local, session, &envelope, confirms_leader, deadline).await
         }
     };
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -30,7 +30,7 @@
 use crate::backend::ConnectionUser;
 use crate::catalog::Database;
 use crate::clock;
-use crate::directory::Written;
+use crate::directory::SessionCommit;
 use crate::node::{Engine, Phase};
 use crate::statement::{CallerMessage, Command, Request, Statement, TransactionState};
 use attempt_log::AttemptLog;
@@ -56,7 +56,7 @@
     key: Option<KeyDigest>,
     state: Arc<SessionState>,
     /// The session's last commit and the group that it was made in.
-    last_commit: Option<(GroupName, Written)>,
+    last_commit: Option<(GroupName, SessionCommit)>,
     transaction: Option<OpenTransaction>,
     /// Identifies the session in this node's log lines.
     session_id: u64,
@@ -127,7 +127,7 @@
             let worth = statement_weight(self.database.priority);
             engine.leader_demands.note(self.group(), &self.regions, worth);
         }
-        engine.directory.used(self.group(), None);
+        engine.directory.record_use(self.group(), None);
     }
 
     fn group(&self) -> &GroupName {
@@ -232,7 +232,7 @@
             event = self.next_message() => event,
             () = wait_until_zone_closed(&engine, zone.as_ref()) => SessionEvent::InstanceEvacuated,
             () = sleep_or_forever(idle_limit) => SessionEvent::TransactionIdleTimeout,
-            () = engine.may_close_session(is_in_transaction, IDLE_BEFORE_CLOSE) => {
+            () = engine.wait_until_session_closable(is_in_transaction, IDLE_BEFORE_CLOSE) => {
                 if is_in_transaction {
                     SessionEvent::TransactionIdleTimeout
                 } else {
@@ -449,7 +449,7 @@
     }
 
     /// Returns the session's last commit if it was made in `group`.
-    fn last_commit_in(&self, group: &GroupName) -> Option<Written> {
+    fn last_commit_in(&self, group: &GroupName) -> Option<SessionCommit> {
         self.last_commit
             .as_ref()
             .filter(|(committed, _)| committed == group)
@@ -458,7 +458,7 @@
 
     fn record_commit(&mut self, group: &GroupName, position: Option<Position>) {
         if let Some(position) = position {
-            let written = Written {
+            let written = SessionCommit {
                 position,
                 acknowledged: clock::now(),
             };
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -19,7 +19,7 @@
 use super::writes::{RETRY_DELAY, await_usable_leader, wait_before_retry};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal};
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::catalog::{Consistency, InstanceRecord};
 use crate::clock;
 use crate::eligibility::InstanceUse;
@@ -100,7 +100,7 @@
     async fn floor_read(&mut self, operation: Operation) -> Answer {
         let engine = self.engine.clone();
         let staleness = operation.database.settings.staleness_ms;
-        engine.directory.used(operation.group(), Some(staleness));
+        engine.directory.record_use(operation.group(), Some(staleness));
         let operation = Arc::new(operation);
         let mut rounds = 0;
         let mut overloads = OverloadCounter::default();
@@ -173,7 +173,7 @@
     match error {
         AttemptError::Link(error) => {
             let kind = match error {
-                LinkError::Silent => ErrorKind::DeadlineTooShort,
+                ExchangeError::ReplyTimeout => ErrorKind::DeadlineTooShort,
                 _ => error.kind(),
             };
             Refusal::from_link_error(kind, error).into()
@@ -215,7 +215,7 @@
                 .is_some_and(|leader| leader.instance == known.record.name),
             is_avoided: known.contact.avoid_until > now
                 || known.contact.failing_since.is_some()
-                || known.contact.is_sick(),
+                || known.contact.is_unhealthy(),
             is_cold: known.warmth.is_cold(now),
         })
         .collect();
@@ -241,7 +241,7 @@
     let order = read_candidates(engine, operation.group(), &operation.regions);
     let mut order = order.map_err(ineligible)?.into_iter();
     let mut in_flight: FuturesUnordered<AttemptFuture> = FuturesUnordered::new();
-    let mut last_error = AttemptError::Link(LinkError::NoConnection);
+    let mut last_error = AttemptError::Link(ExchangeError::QueueTimeout);
     let mut hedge_at = clock::now();
     loop {
         if in_flight.is_empty() {
@@ -285,7 +285,7 @@
 }
 
 fn ineligible(reason: IneligibleReason) -> AttemptError {
-    AttemptError::Link(LinkError::IneligibleReason(reason))
+    AttemptError::Link(ExchangeError::IneligibleReason(reason))
 }
 
 /// Returns the timeout after which a leader read is retried through another owner,
@@ -339,7 +339,7 @@
     operation: &Operation,
     floor: MinimumReadPosition,
 ) -> Result<SessionConnection, AttemptError> {
-    let mut last_error = AttemptError::Link(LinkError::NoConnection);
+    let mut last_error = AttemptError::Link(ExchangeError::QueueTimeout);
     let order = read_candidates(engine, operation.group(), &operation.regions);
     for record in order.map_err(ineligible)? {
         match attempt::begin(engine, &record, operation, session, true, floor).await {
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -13,7 +13,7 @@
 use super::writes::{await_usable_leader, wait_before_retry};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal, Success};
-use crate::backend::{ConnectionUser, LinkError};
+use crate::backend::{ConnectionUser, ExchangeError};
 use crate::catalog::{Consistency, Database, InstanceRecord};
 use crate::clock;
 use crate::execution::AttemptError;
@@ -179,7 +179,7 @@
         let engine = self.engine.clone();
         match is_on_leader {
             true => operation.record_leader_demand(&engine),
-            false => engine.directory.used(operation.group(), Some(staleness)),
+            false => engine.directory.record_use(operation.group(), Some(staleness)),
         }
         let mut overloads = OverloadCounter::default();
         loop {
@@ -293,7 +293,7 @@
         let state = self.state.clone();
         let confirms_leader = open.has_written;
         let Some(connection) = &mut open.connection else {
-            return Err(AttemptError::Link(LinkError::Retired));
+            return Err(AttemptError::Link(ExchangeError::PoolRetired));
         };
         retry_while_busy(&engine, connection, operation, &state, confirms_leader).await
     }
@@ -390,7 +390,7 @@
 
 /// Returns whether the instance rejected the statement because it is warming up.
 fn is_warming_up(error: &AttemptError) -> bool {
-    matches!(error, AttemptError::Link(LinkError::WarmingUp { .. }))
+    matches!(error, AttemptError::Link(ExchangeError::WarmingUp { .. }))
 }
 
 /// Returns the failure of a transaction whose instance can no longer be used.
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -10,10 +10,10 @@
 use super::attempt::{self, OverloadCounter};
 use super::{Operation, Session};
 use crate::answer::{Answer, Failure, Refusal};
-use crate::backend::LinkError;
+use crate::backend::ExchangeError;
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::directory::Known;
+use crate::directory::KnownInstance;
 use crate::eligibility::InstanceUse;
 use crate::execution::AttemptError;
 use crate::floor::MinimumReadPosition;
@@ -125,7 +125,7 @@
         }
         // Watchers briefly report the old leader during a handover, so the loop
         // pauses even if they answered.
-        if !watches && peers::ask_leader(engine, group).await && !is_handover {
+        if !watches && peers::query_leader(engine, group).await && !is_handover {
             continue;
         }
         let pause = if watches { RETRY_DELAY } else { LEADER_RETRY_DELAY };
@@ -145,13 +145,13 @@
         return;
     }
     let (engine, group) = (engine.clone(), group.clone());
-    tokio::spawn(async move { peers::observe_leader(&engine, &group).await });
+    tokio::spawn(async move { peers::refresh_leader_report(&engine, &group).await });
 }
 
 /// Returns whether statements may be sent to a leader. A node that does not watch the
 /// group has no health data, and a node that forwards statements needs no permit; in
 /// both cases the owner that runs the statement performs the check.
-fn is_usable(engine: &Engine, known: &Known, watches: bool) -> bool {
+fn is_usable(engine: &Engine, known: &KnownInstance, watches: bool) -> bool {
     let is_reached = !watches || known.contact.failing_since.is_none();
     let runs_here = engine.runs_statements_on(&known.record);
     let may_lead = engine
@@ -162,7 +162,7 @@
 
 fn ineligible_leader(
     engine: &Engine,
-    known: &Known,
+    known: &KnownInstance,
     reason: IneligibleReason,
     operation: &Operation,
 ) -> Refusal {
@@ -174,14 +174,16 @@
         reason.name(),
         operation.regions
     );
-    Refusal::new(LinkError::IneligibleReason(reason).kind(), detail)
+    Refusal::new(ExchangeError::IneligibleReason(reason).kind(), detail)
 }
 
 /// Waits for the delay that applies to a failed attempt before it is retried.
 pub(super) async fn wait_before_retry(error: &AttemptError) {
     let pause = match error {
         AttemptError::BackEnd(error) if error.kind == BackEndErrorKind::ReadOnly => return,
-        AttemptError::Link(LinkError::InstanceFailing | LinkError::OwnerUnreachable) => LEADER_RETRY_DELAY,
+        AttemptError::Link(ExchangeError::InstanceFailing | ExchangeError::OwnerUnreachable) => {
+            LEADER_RETRY_DELAY
+        }
         _ => RETRY_DELAY,
     };
     tokio::time::sleep(pause).await;
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -9,7 +9,7 @@
 use futures::stream::FuturesUnordered;
 use log::{debug, info, warn};
 use millwind_core::Instant;
-use millwind_store::{Entry, Listing, Store, StoreError, StoreRevision, USUAL_SILENCE, Watch};
+use millwind_store::{DEFAULT_IDLE_TIMEOUT, Entry, Listing, Store, StoreError, StoreRevision, Watch};
 use rand::RngExt;
 use tokio::sync::watch;
 
@@ -19,7 +19,7 @@
 /// because each call adds load to a store in trouble.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Timeout of a follower's first listing, doubled after each failure up to
-/// [`USUAL_SILENCE`]. A store that recovers from an outage does not answer earlier calls,
+/// [`DEFAULT_IDLE_TIMEOUT`]. A store that recovers from an outage does not answer earlier calls,
 /// so the first calls are abandoned early.
 const FIRST_LISTING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between parallel probe calls of a node without data. A store that recovers
@@ -182,9 +182,9 @@
         // A node without data cannot serve callers, so it keeps the shortest delay.
         if self.has_read {
             self.retry_delay = (delay * 2).min(follower.max_retry_delay());
-            self.listing_timeout = USUAL_SILENCE;
+            self.listing_timeout = DEFAULT_IDLE_TIMEOUT;
         } else {
-            self.listing_timeout = (self.listing_timeout * 2).min(USUAL_SILENCE);
+            self.listing_timeout = (self.listing_timeout * 2).min(DEFAULT_IDLE_TIMEOUT);
         }
         delay.mul_f64(rand::rng().random_range(0.75..1.25))
     }
@@ -375,7 +375,7 @@
                 Err(error) => debug!("event=store_still_lost error={:?}", error.to_string()),
             },
             () = tokio::time::sleep_until(next_call), if calls.len() < MAX_PROBE_CALLS => {
-                calls.push(store.list_serializable(prefix, USUAL_SILENCE));
+                calls.push(store.list_serializable(prefix, DEFAULT_IDLE_TIMEOUT));
                 next_call += PROBE_CALL_INTERVAL;
             }
         }
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -13,7 +13,7 @@
 use millwind_core::session_state::SessionState;
 use millwind_wire::exchange::TermClosing;
 
-use crate::backend::{ConnectionUser, LinkError, PooledConnection, Purpose};
+use crate::backend::{ConnectionUser, ExchangeError, PooledConnection, Purpose};
 use crate::catalog::InstanceRecord;
 use crate::clock;
 use crate::node::Engine;
@@ -43,8 +43,8 @@
             step_down_in_background(engine, &known.record, term);
         }
     }
-    engine.directory.hand_back(&group, term);
-    let has_stepped_down = engine.directory.stepped_down(&group) >= term;
+    engine.directory.release_permits(&group, term);
+    let has_stepped_down = engine.directory.stepped_down_term(&group) >= term;
     info!(
         "event=permit_returned group={group} term={term} leader={} stepped_down={has_stepped_down}",
         closing.leader
@@ -58,7 +58,7 @@
     let Some(mark) = engine.stepping_down.enter(&record.group) else {
         return;
     };
-    if engine.directory.stepped_down(&record.group) >= term {
+    if engine.directory.stepped_down_term(&record.group) >= term {
         return;
     }
     let engine = engine.clone();
@@ -99,7 +99,7 @@
     engine.metrics.step_downs.inc();
     engine
         .directory
-        .has_stepped_down(&record.group, &record.name, term);
+        .record_step_down(&record.group, &record.name, term);
     status
 }
 
@@ -129,7 +129,7 @@
             .acquire(Purpose::Probe, &ConnectionUser::System, &session, None, deadline)
             .await?;
         let reply = connection.exchange(&Envelope::own(command), deadline).await?;
-        Ok::<_, LinkError>((reply, connection))
+        Ok::<_, ExchangeError>((reply, connection))
     };
     match request.await {
         Ok((reply, connection)) => Some((engine.backend_codec().read_status(&reply)?, connection)),
--- a/crates/millwind-engine/src/cold_places.rs
+++ b/crates/millwind-engine/src/warm_up_credits.rs
@@ -19,14 +19,14 @@
 use millwind_core::lender_lease::{LeaseState, LenderLease, LenderVote, VOTE_MS, is_majority, may_vote};
 use millwind_core::lending::{Admission, Allowance, Budget, InitialBudget, Loan};
 use millwind_core::warm_up::{BORROWING_SETTINGS, WarmUpLimits, credit_supply};
-use millwind_wire::forward::ForwardedSubject;
+use millwind_wire::forward::LoanSubject;
 use rand::RngExt;
 use tokio::time::timeout_at;
 
 use crate::backend::Urgency;
 use crate::catalog::InstanceRecord;
 use crate::clock;
-use crate::forward::OWNERS;
+use crate::forward::OWNER_COUNT;
 use crate::lending::Borrower;
 use crate::node::Engine;
 use crate::registry::Owner;
@@ -114,11 +114,11 @@
         if self.is_waiting {
             return true;
         }
-        let Some(terms) = self.engine.directory.cold_terms(&self.record.name) else {
+        let Some(terms) = self.engine.directory.warm_up_limits(&self.record.name) else {
             return true;
         };
         let rate_per_s = credit_supply(terms, self.engine.settings.warm_up_tolerance).rate_per_s;
-        let credits = rate_per_s * clock::until(until).as_secs_f64() / OWNERS as f64;
+        let credits = rate_per_s * clock::until(until).as_secs_f64() / OWNER_COUNT as f64;
         let mut waiting = self.engine.cold_places.waiting();
         let ranks = waiting.entry(self.record.name.clone()).or_default();
         let ahead: usize = ranks.range(..=self.rank).map(|(_, count)| *count).sum();
@@ -245,7 +245,7 @@
         wait: &CreditWait<'_>,
         deadline: Instant,
     ) -> Result<(), CreditRefused> {
-        let Some(terms) = self.directory.cold_terms(&record.name) else {
+        let Some(terms) = self.directory.warm_up_limits(&record.name) else {
             return Ok(());
         };
         let ahead = wait.ahead();
@@ -281,7 +281,7 @@
     /// retry delay is the expected time until those have their credits.
     fn refuse_behind_urgent(&self, ahead: usize, terms: WarmUpLimits) -> CreditRefused {
         let rate_per_s = credit_supply(terms, self.settings.warm_up_tolerance).rate_per_s;
-        let wait_ms = (ahead + 1) as f64 * OWNERS as f64 * 1_000.0 / rate_per_s.max(0.001);
+        let wait_ms = (ahead + 1) as f64 * OWNER_COUNT as f64 * 1_000.0 / rate_per_s.max(0.001);
         CreditRefused {
             retry_after_ms: wait_ms.min(MAX_RETRY_AFTER_MS) as u32,
         }
@@ -320,7 +320,7 @@
                 true => self.lend_credits(&record.name, wanted).await,
                 false => {
                     let name = record.name.0.clone();
-                    self.query_owner(owner.address, ForwardedSubject::Instance { name }, wanted)
+                    self.query_owner(owner.address, LoanSubject::Instance { name }, wanted)
                         .await
                 }
             };
@@ -336,13 +336,13 @@
         (none, clock::now())
     }
 
-    async fn query_owner(&self, owner: SocketAddr, subject: ForwardedSubject, wanted: u32) -> Option<Loan> {
+    async fn query_owner(&self, owner: SocketAddr, subject: LoanSubject, wanted: u32) -> Option<Loan> {
         let request = async {
             let link = self.owners.link_to(owner).await?;
-            link.ask_loan(subject, wanted).await
+            link.request_loan(subject, wanted).await
         };
         let answer = tokio::time::timeout(OWNER_TIMEOUT, request).await.ok()??;
-        (answer.counts == 1).then_some(Loan {
+        (answer.is_granted == 1).then_some(Loan {
             operations: answer.operations,
             retry_after_ms: answer.retry_after_ms,
         })
@@ -355,7 +355,7 @@
             return Vec::new();
         }
         let ranked = self.owners.ranked(&self.registry, record);
-        ranked.iter().take(OWNERS).cloned().collect()
+        ranked.iter().take(OWNER_COUNT).cloned().collect()
     }
 
     /// Lends credits for an instance, or returns `None` if this node does not hold the
@@ -428,7 +428,7 @@
         }
         let others = owners.iter().filter(|owner| !owner.is_self);
         let requests = others.map(|owner| {
-            let subject = ForwardedSubject::Word {
+            let subject = LoanSubject::LenderVote {
                 instance: record.name.0.clone(),
                 lender: lender.to_string(),
             };
--- a/crates/millwind-engine/tests/demand.rs
+++ b/crates/millwind-engine/tests/demand.rs
@@ -10,18 +10,18 @@
 #[test]
 fn a_peak_counts_for_a_while_and_is_then_forgotten() {
     let mut demand = PeakDemand::default();
-    demand.note(at(10_000), 7);
-    demand.note(at(10_100), 2);
-    assert_eq!(demand.lately(at(10_900)), 7);
-    demand.note(at(11_100), 3);
-    assert_eq!(demand.lately(at(11_900)), 7);
-    demand.note(at(12_200), 1);
-    assert_eq!(demand.lately(at(12_300)), 3);
+    demand.record(at(10_000), 7);
+    demand.record(at(10_100), 2);
+    assert_eq!(demand.recent_peak(at(10_900)), 7);
+    demand.record(at(11_100), 3);
+    assert_eq!(demand.recent_peak(at(11_900)), 7);
+    demand.record(at(12_200), 1);
+    assert_eq!(demand.recent_peak(at(12_300)), 3);
 }
 
 #[test]
 fn a_pool_that_rests_needs_nothing() {
     let mut demand = PeakDemand::default();
-    demand.note(at(10_000), 7);
-    assert_eq!(demand.lately(at(60_000)), 0);
+    demand.record(at(10_000), 7);
+    assert_eq!(demand.recent_peak(at(60_000)), 0);
 }
--- a/crates/millwind-engine/tests/fleet_growth.rs
+++ b/crates/millwind-engine/tests/fleet_growth.rs
@@ -11,7 +11,7 @@
 use millwind_core::tenant::{Template, Tenant};
 use millwind_engine::catalog::{ConfigSnapshot, Consistency, Database, InstanceRecord, Tenants};
 use millwind_engine::directory::Directory;
-use millwind_engine::lead_terms::LeaderRegionRules;
+use millwind_engine::leader_region_rules::LeaderRegionRules;
 use millwind_engine::registry::{Departure, NodeRecord, OwnerQuery, Registry};
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
@@ -205,7 +205,7 @@
     assert!(directory.take_changed_groups().is_empty());
     let known = directory.instance(&instance(4).0).unwrap();
     assert_eq!(known.record.heartbeat, Some(4));
-    directory.remove_record(&instance(4).0);
+    directory.mark_removed(&instance(4).0);
     let changed = directory.take_changed_groups();
     assert_eq!(
         changed.into_iter().collect::<Vec<_>>(),
--- a/crates/millwind-engine/tests/inquiry.rs
+++ b/crates/millwind-engine/tests/inquiry.rs
@@ -31,7 +31,7 @@
 fn an_owner_that_answers_in_an_instances_place_does_not_show_that_it_lives() {
     let directory = directory();
     let instance = InstanceName::from(NAME);
-    directory.failed(&instance, clock::now(), false);
+    directory.record_failure(&instance, clock::now(), false);
     RequestTracker::new(&directory, &instance).answered_by_peer();
     let contact = directory.instance(&instance).unwrap().contact;
     assert!(directory.is_failing(&instance));
@@ -43,7 +43,7 @@
 fn an_instance_that_takes_a_question_is_no_longer_failing() {
     let directory = directory();
     let instance = InstanceName::from(NAME);
-    directory.failed(&instance, clock::now(), false);
+    directory.record_failure(&instance, clock::now(), false);
     RequestTracker::new(&directory, &instance).answered_without_sample();
     assert!(!directory.is_failing(&instance));
 }
--- a/crates/millwind-engine/tests/lives.rs
+++ b/crates/millwind-engine/tests/lives.rs
@@ -10,7 +10,7 @@
 use millwind_engine::catalog::InstanceRecord;
 use millwind_engine::clock;
 use millwind_engine::directory::Directory;
-use millwind_engine::peers::Testimony;
+use millwind_engine::peers::PeerReachability;
 
 fn group() -> GroupName {
     GroupName::from("ledger")
@@ -43,10 +43,10 @@
 /// A node that has seen `i-a` lead term 3 up to position 9.
 fn led(is_fenced: bool) -> Arc<Directory> {
     let directory = Directory::new("z1", 0, is_fenced);
-    directory.registered(Some(clock::now()));
-    directory.confirm_terms(clock::now());
+    directory.set_registered_since(Some(clock::now()));
+    directory.confirm_closed_terms(clock::now());
     directory.apply_record(record(1_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), clock::now(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), clock::now(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
     Arc::new(directory)
 }
@@ -61,18 +61,18 @@
 fn a_life_begun_anew_starts_with_no_word_on_how_it_answers() {
     let directory = led(true);
     let fresh = directory.instance(&leader()).unwrap().contact;
-    directory.answered(&leader(), Some(700_000));
-    directory.failed(&leader(), clock::now().plus_millis(1), false);
-    directory.statement_ended(&leader(), false);
-    directory.heard_of(
+    directory.record_response(&leader(), Some(700_000));
+    directory.record_failure(&leader(), clock::now().plus_millis(1), false);
+    directory.record_outcome(&leader(), false);
+    directory.record_peer_reachability(
         &leader(),
-        Testimony {
+        PeerReachability {
             reaching: 0,
             failing: 3,
         },
     );
     let change = directory.apply_record(record(500, true));
-    assert!(change.has_begun_anew);
+    assert!(change.has_restarted);
     assert_eq!(directory.instance(&leader()).unwrap().contact, fresh);
     assert_eq!(directory.testimony(&leader(), 10_000), None);
 }
@@ -80,9 +80,9 @@
 #[test]
 fn a_heartbeat_of_the_same_life_keeps_all_beliefs() {
     let directory = led(true);
-    directory.failed(&leader(), clock::now().plus_millis(1), false);
+    directory.record_failure(&leader(), clock::now().plus_millis(1), false);
     let change = directory.apply_record(record(1_000, true));
-    assert!(!change.has_begun_anew);
+    assert!(!change.has_restarted);
     assert!(directory.is_failing(&leader()));
     assert!(directory.leader(&group()).is_some());
 }
@@ -94,9 +94,9 @@
     directory.apply_record(record(2_000, true));
     assert_eq!(directory.leader(&group()), None, "whatever its record says");
     // An answer of the former life that arrives late, or that a peer reports.
-    directory.leader_proved(&group(), &leader(), before, Position::new(3, 9));
+    directory.record_leader_proof(&group(), &leader(), before, Position::new(3, 9));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -105,7 +105,7 @@
     let directory = led(true);
     directory.apply_record(record_of("i-b", 1_000, false));
     directory.apply_record(record(2_000, true));
-    assert!(!directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(!directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
     assert_eq!(
         directory.newest_observation(&group()).unwrap().position,
@@ -113,7 +113,7 @@
     );
     // Another that was promoted with the log leads.
     let other = InstanceName::from("i-b");
-    assert!(directory.leader_proved(&group(), &other, clock::now(), Position::new(4, 10)));
+    assert!(directory.record_leader_proof(&group(), &other, clock::now(), Position::new(4, 10)));
     assert_eq!(directory.leader(&group()).unwrap().instance, other);
 }
 
@@ -125,9 +125,9 @@
     }
     directory.apply_record(record(2_000, true));
     directory.apply_record(record_of("i-b", 2_000, false));
-    assert!(!directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(!directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -135,9 +135,9 @@
 fn the_only_instance_of_a_group_leads_with_what_it_holds() {
     let directory = led(true);
     directory.apply_record(record_of("i-b", 1_000, false));
-    directory.remove_record(&InstanceName::from("i-b"));
+    directory.mark_removed(&InstanceName::from("i-b"));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -145,41 +145,45 @@
 fn a_promotion_in_its_new_life_makes_an_instance_without_its_former_log_the_leader() {
     let directory = led(true);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(4, 1)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(4, 1)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
 fn the_word_of_a_leader_that_it_stepped_down_holds_for_one_life() {
     let directory = led(false);
-    directory.has_stepped_down(&group(), &leader(), Term(3));
-    assert_eq!(directory.stepped_down(&group()), Term(3));
+    directory.record_step_down(&group(), &leader(), Term(3));
+    assert_eq!(directory.stepped_down_term(&group()), Term(3));
     directory.apply_record(record(2_000, true));
-    assert_eq!(directory.stepped_down(&group()), Term(0), "it has forgotten it");
+    assert_eq!(
+        directory.stepped_down_term(&group()),
+        Term(0),
+        "it has forgotten it"
+    );
 }
 
 #[test]
 fn the_word_of_a_leader_that_it_stepped_down_does_not_outlast_its_process() {
     let directory = led(false);
-    directory.has_stepped_down(&group(), &leader(), Term(3));
-    directory.failed(&leader(), clock::now().plus_millis(1), true);
-    assert_eq!(directory.stepped_down(&group()), Term(0));
+    directory.record_step_down(&group(), &leader(), Term(3));
+    directory.record_failure(&leader(), clock::now().plus_millis(1), true);
+    assert_eq!(directory.stepped_down_term(&group()), Term(0));
 }
 
 #[test]
 fn the_word_of_another_instance_is_not_touched() {
     let directory = led(false);
-    directory.has_stepped_down(&group(), &InstanceName::from("i-b"), Term(4));
+    directory.record_step_down(&group(), &InstanceName::from("i-b"), Term(4));
     directory.apply_record(record(2_000, true));
-    assert_eq!(directory.stepped_down(&group()), Term(4));
+    assert_eq!(directory.stepped_down_term(&group()), Term(4));
 }
 
 #[test]
 fn a_term_that_the_former_life_told_is_not_the_new_ones() {
     let directory = led(false);
-    directory.leads_term(&group(), &leader(), Term(7));
+    directory.record_announced_term(&group(), &leader(), Term(7));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
 
@@ -195,20 +199,20 @@
     );
     directory.apply_record(record(3_000, false));
     assert!(!directory.is_retired(&group(), &leader()));
-    directory.leads_term(&group(), &leader(), Term(4));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    directory.record_announced_term(&group(), &leader(), Term(4));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
 fn an_instance_that_was_forgotten_comes_back_with_no_beliefs() {
     let directory = led(false);
-    directory.leads_term(&group(), &leader(), Term(7));
-    directory.remove_record(&leader());
+    directory.record_announced_term(&group(), &leader(), Term(7));
+    directory.mark_removed(&leader());
     std::thread::sleep(Duration::from_millis(3));
-    assert_eq!(directory.forget_gone(0), [leader()]);
+    assert_eq!(directory.drop_removed(0), [leader()]);
     assert_eq!(directory.leader(&group()), None);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), later(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
--- a/crates/millwind-engine/tests/own_keys.rs
+++ b/crates/millwind-engine/tests/own_keys.rs
@@ -140,7 +140,7 @@
 }
 
 /// Bytes of an answer that holds `documents`.
-fn travelling_bytes(documents: DocumentList) -> usize {
+fn compressed_bytes(documents: DocumentList) -> usize {
     let answer = ExchangeReply::Catalog {
         config: Vec::new(),
         evacuations: Vec::new(),
@@ -181,7 +181,7 @@
         .iter()
         .map(|entry| entry.key.len() + entry.value.as_ref().map_or(0, Vec::len))
         .sum();
-    let travelling = travelling_bytes(teacher.documents_after(StoreRevision::NONE));
+    let travelling = compressed_bytes(teacher.documents_after(StoreRevision::NONE));
     assert!(travelling * 4 < plain, "{travelling} bytes for {plain}");
     assert_eq!(documents_after(&teacher, StoreRevision::NONE).len(), 1_000);
 }
--- a/crates/millwind-engine/tests/owner_links.rs
+++ b/crates/millwind-engine/tests/owner_links.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
-use millwind_engine::forward::{LinkDoubt, OwnerLink};
+use millwind_engine::forward::{LinkSuspicion, OwnerLink};
 use millwind_wire::forward::{
     ForwardReply, ForwardRequest, ForwardedAnswer, ForwardedOutcome, ForwardedRow, ForwardedStatement,
     decode_forward, encode_forward,
@@ -103,7 +103,7 @@
     });
     let stream = TcpStream::connect(address).await.unwrap();
     (
-        OwnerLink::start(address, stream, Arc::new(LinkDoubt::default())),
+        OwnerLink::start(address, stream, Arc::new(LinkSuspicion::default())),
         is_ended,
     )
 }
@@ -119,8 +119,8 @@
 #[tokio::test]
 async fn a_link_without_a_proof_takes_nothing_new_and_serves_what_it_has() {
     let (link, _ended) = linked(Owner::Mute).await;
-    assert!(!link.prove(PROOF).await, "the owner is mute");
-    assert!(!link.takes_leases());
+    assert!(!link.probe(PROOF).await, "the owner is mute");
+    assert!(!link.accepts_leases());
     let answered = link.call(1, statement(1));
     let answer = tokio::time::timeout(PATIENCE, answered).await.unwrap();
     assert!(answer.is_ok(), "an open transaction's statement was not run");
@@ -130,7 +130,7 @@
 async fn a_link_ends_with_its_last_holder() {
     let (link, ended) = linked(Owner::Mute).await;
     let lease = link.clone();
-    assert!(!link.prove(PROOF).await, "the owner is mute");
+    assert!(!link.probe(PROOF).await, "the owner is mute");
     drop(link);
     let answered = lease.call(1, statement(1));
     assert!(tokio::time::timeout(PATIENCE, answered).await.unwrap().is_ok());
