--- a/crates/millwind-engine/tests/permits.rs
+++ b/crates/millwind-engine/tests/permits.rs
@@ -40,7 +40,7 @@
 fn counts_leader(directory: &Directory, term: u64) -> bool {
     let group = GroupName::from("ledger");
     let instance = InstanceName::from("i-a");
-    directory.leader_proved(&group, &instance, clock::now(), Position::new(term, 1))
+    directory.record_leader_proof(&group, &instance, clock::now(), Position::new(term, 1))
 }
 
 fn listing(entries: Vec<Entry>) -> Listing {
@@ -62,9 +62,9 @@
     let before = clock::now();
     std::thread::sleep(std::time::Duration::from_millis(2));
     registry.record_written(OWN, record(None), StoreRevision::new(0, 5));
-    directory.confirm_terms(before);
+    directory.confirm_closed_terms(before);
     assert!(!counts_leader(&directory, 1));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(counts_leader(&directory, 1));
 }
 
@@ -73,7 +73,7 @@
     let (directory, registry) = node();
     let asked = clock::now();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(asked);
+    directory.confirm_closed_terms(asked);
     assert!(counts_leader(&directory, 1));
 }
 
@@ -83,7 +83,7 @@
     std::thread::sleep(std::time::Duration::from_millis(2));
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(before);
+    directory.confirm_closed_terms(before);
     assert!(!counts_leader(&directory, 1));
 }
 
@@ -91,10 +91,10 @@
 fn a_marked_node_gets_no_permit_until_it_has_registered_anew() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(Some(Departure::Unreachable), 5)]));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(!counts_leader(&directory, 1));
     registry.record_written(OWN, record(None), StoreRevision::new(0, 6));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(counts_leader(&directory, 1));
 }
 
@@ -102,14 +102,14 @@
 fn a_closed_term_is_no_longer_counted_and_a_later_one_is() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     let group = GroupName::from("ledger");
     let leader = InstanceName::from("i-a");
     assert!(counts_leader(&directory, 1));
     directory.close_term(&group, Term(1), Some(&leader));
     assert_eq!(directory.leader(&group), None);
     assert!(!directory.may_lead(&group, &leader, true));
-    directory.hand_back(&group, Term(1));
+    directory.release_permits(&group, Term(1));
     assert!(!counts_leader(&directory, 1));
     assert!(counts_leader(&directory, 2));
     assert!(directory.may_lead(&group, &leader, true));
@@ -138,10 +138,10 @@
 fn a_node_that_ends_takes_no_permits_any_more() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(counts_leader(&directory, 1));
     directory.drop_permits();
     registry.apply(vec![entry(None, 6)]);
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(!counts_leader(&directory, 1));
 }
--- a/crates/millwind-engine/tests/restored_duties.rs
+++ b/crates/millwind-engine/tests/restored_duties.rs
@@ -8,7 +8,7 @@
 use millwind_core::ids::{GroupName, InstanceName};
 use millwind_core::position::Term;
 use millwind_engine::directory::Directory;
-use millwind_engine::duty::{Claim, FailoverOwnership, FailoverRecord};
+use millwind_engine::failover_ownership::{Claim, FailoverOwnership, FailoverRecord};
 use millwind_engine::store_watch::Follower;
 use millwind_store::{
     Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, Watch, WatchReport, Write,
--- a/crates/millwind-engine/tests/turns.rs
+++ b/crates/millwind-engine/tests/turns.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use millwind_core::concurrency_limit::ExecutionEnd;
-use millwind_engine::backend::turns::{Turn, Turns};
-use millwind_engine::backend::{LinkError, Urgency};
+use millwind_engine::backend::turns::{ExecutionSlot, StatementAdmission};
+use millwind_engine::backend::{ExchangeError, Urgency};
 use millwind_engine::clock;
 use tokio::sync::mpsc;
 
 const SLOTS: u32 = 2;
 
-async fn take(turns: &Arc<Turns>, urgency: Urgency) -> Result<Turn, LinkError> {
+async fn take(turns: &Arc<StatementAdmission>, urgency: Urgency) -> Result<ExecutionSlot, ExchangeError> {
     let deadline = clock::now().plus_millis(1_000);
-    turns.take(urgency, deadline, deadline).await
+    turns.acquire(urgency, deadline, deadline).await
 }
 
 /// Takes all turns.
-async fn fill(turns: &Arc<Turns>) -> Vec<Turn> {
+async fn fill(turns: &Arc<StatementAdmission>) -> Vec<ExecutionSlot> {
     let mut taken = Vec::new();
     for _ in 0..SLOTS {
         taken.push(take(turns, Urgency::Priority(1)).await.unwrap());
@@ -26,7 +26,7 @@
 }
 
 /// Makes the mean time of a turn some `millis`.
-async fn teach(turns: &Arc<Turns>, millis: u64) {
+async fn teach(turns: &Arc<StatementAdmission>, millis: u64) {
     for _ in 0..60 {
         let turn = take(turns, Urgency::Priority(1)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -36,7 +36,7 @@
 
 #[tokio::test]
 async fn the_most_urgent_goes_first_when_a_turn_is_over() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     let mut taken = fill(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let urgencies = [Urgency::Priority(2), Urgency::Priority(0), Urgency::InTransaction];
@@ -57,25 +57,25 @@
 
 #[tokio::test]
 async fn a_statement_that_would_come_too_late_is_refused_at_once() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     teach(&turns, 20).await;
     let _taken = fill(&turns).await;
     let began = clock::now();
     let deadline = clock::now().plus_millis(5);
-    let refused = turns.take(Urgency::Priority(1), deadline, deadline).await;
-    assert_eq!(refused.err(), Some(LinkError::NoConnection));
+    let refused = turns.acquire(Urgency::Priority(1), deadline, deadline).await;
+    assert_eq!(refused.err(), Some(ExchangeError::QueueTimeout));
     let deadline = clock::now().plus_millis(5);
-    let in_transaction = turns.take(Urgency::InTransaction, deadline, deadline);
-    assert_eq!(in_transaction.await.err(), Some(LinkError::NoConnection));
+    let in_transaction = turns.acquire(Urgency::InTransaction, deadline, deadline);
+    assert_eq!(in_transaction.await.err(), Some(ExchangeError::QueueTimeout));
     assert!(clock::now().millis_since(began) >= 5, "an open transaction waits");
 }
 
 #[tokio::test]
 async fn a_turn_that_nobody_takes_any_more_goes_to_the_next() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     let mut taken = fill(&turns).await;
     let deadline = clock::now().plus_millis(10);
-    let given_up = turns.take(Urgency::Priority(0), deadline, deadline);
+    let given_up = turns.acquire(Urgency::Priority(0), deadline, deadline);
     assert!(given_up.await.is_err());
     taken.pop().unwrap().end(ExecutionEnd::Rejected);
     taken.pop().unwrap().end(ExecutionEnd::Unknown);
@@ -84,17 +84,17 @@
 
 #[tokio::test]
 async fn a_statement_that_will_be_late_waits_behind_those_that_can_be_in_time() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     teach(&turns, 20).await;
     let mut taken = fill(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let deadline = clock::now().plus_millis(2_000);
-    for (name, aim_ms) in [("late", 1), ("in time", 500)] {
+    for (name, target_latency_left_ms) in [("late", 1), ("in time", 500)] {
         let (turns, sender) = (turns.clone(), sender.clone());
-        let target_time = clock::now().plus_millis(aim_ms);
+        let target_time = clock::now().plus_millis(target_latency_left_ms);
         tokio::spawn(async move {
             let turn = turns
-                .take(Urgency::Priority(1), target_time, deadline)
+                .acquire(Urgency::Priority(1), target_time, deadline)
                 .await
                 .unwrap();
             sender.send(name).unwrap();
--- a/crates/millwind-lab/src/hollow/scene.rs
+++ b/crates/millwind-lab/src/hollow/scene.rs
@@ -595,7 +595,7 @@
 fn probe_bytes() -> usize {
     let mut question = bytes::BytesMut::new();
     // A constant message always encodes.
-    let _ = millwind_node::pg::status::put_status(&mut question);
+    let _ = millwind_node::pg::status::put_status_request(&mut question);
     let row = ["t", "1A/FFFFFFFF", "12", "1\t0/12345\tpromotion\n", "1A/FFFFFFFF"];
     let mut data = bytes::BytesMut::new();
     for value in row {
--- a/crates/millwind-lab/src/main.rs
+++ b/crates/millwind-lab/src/main.rs
@@ -232,7 +232,7 @@
         Ok(settings) => settings,
         Err(error) => return fail(&error),
     };
-    let _ = logging::start(log::LevelFilter::Info);
+    let _ = logging::init(log::LevelFilter::Info);
     match Instance::start(settings).await {
         Ok(_instance) => std::future::pending().await,
         Err(error) => fail(&error),
@@ -240,7 +240,7 @@
 }
 
 async fn run_platform(listen: SocketAddr, control: SocketAddr) -> ExitCode {
-    let _ = logging::start(log::LevelFilter::Info);
+    let _ = logging::init(log::LevelFilter::Info);
     match Platform::start(listen, control).await {
         Ok(_platform) => std::future::pending().await,
         Err(error) => fail(&error),
--- a/crates/millwind-node/src/admin.rs
+++ b/crates/millwind-node/src/admin.rs
@@ -125,7 +125,7 @@
         revision: gateway.control.config().revision,
         platform_age_ms: view.platform_age_ms(),
         relay: view.is_relay(),
-        sessions: gateway.sessions(),
+        sessions: gateway.open_session_count(),
         owner_load: gateway.owner.load(),
         zones,
     })
--- a/crates/millwind-node/src/admin_change.rs
+++ b/crates/millwind-node/src/admin_change.rs
@@ -5,7 +5,7 @@
 
 use millwind_core::config_state::{ConfigState, DocumentError};
 use millwind_store::pacing::Backoff;
-use millwind_store::{Condition, Store, StoreError, StoreRevision, Swap, USUAL_SILENCE, Write};
+use millwind_store::{Condition, DEFAULT_IDLE_TIMEOUT, Store, StoreError, StoreRevision, Swap, Write};
 use millwind_wire::control::WireDocument;
 use thiserror::Error;
 
@@ -109,7 +109,7 @@
     expected: &mut Option<u64>,
 ) -> Result<Step, TryError> {
     let listing = store
-        .list(keys.prefix(), USUAL_SILENCE)
+        .list(keys.prefix(), DEFAULT_IDLE_TIMEOUT)
         .await
         .map_err(|error| TryError::Store(error, false))?;
     let documents: Vec<WireDocument> = listing
@@ -136,14 +136,17 @@
         return Err(TryError::Final(ChangeError::NotFound(change.key.clone())));
     }
     check(&documents, listing.revision.number, change).map_err(|error| TryError::Final(error.into()))?;
-    let head = listing.entries.iter().find(|entry| entry.key == keys.head());
+    let head = listing
+        .entries
+        .iter()
+        .find(|entry| entry.key == keys.change_guard());
     let conditions = [
         Condition {
             key: keys.document(&change.key),
             revision: of_etcd(seen),
         },
         Condition {
-            key: keys.head(),
+            key: keys.change_guard(),
             revision: head.map_or(StoreRevision::NONE, |entry| entry.revision),
         },
     ];
@@ -188,7 +191,7 @@
             value: serde_json::to_vec(&stored).unwrap_or_default(),
         },
         Write {
-            key: keys.head(),
+            key: keys.change_guard(),
             value: change.change_id.clone().into_bytes(),
         },
     ]
--- a/crates/millwind-node/src/clock.rs
+++ b/crates/millwind-node/src/clock.rs
@@ -31,6 +31,6 @@
 }
 
 /// Returns the time until `deadline`, or zero if it has passed.
-pub fn until(deadline: Instant) -> Duration {
+pub fn time_until(deadline: Instant) -> Duration {
     Duration::from_micros(deadline.0.saturating_sub(now().0))
 }
--- a/crates/millwind-node/src/config_watch.rs
+++ b/crates/millwind-node/src/config_watch.rs
@@ -4,7 +4,7 @@
 use log::{info, warn};
 use millwind_core::config_state::DocumentKind;
 use millwind_store::pacing::Backoff;
-use millwind_store::{Entry, Store, StoreError, USUAL_SILENCE, Watch};
+use millwind_store::{DEFAULT_IDLE_TIMEOUT, Entry, Store, StoreError, Watch};
 use millwind_wire::control::WireDocument;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -52,8 +52,8 @@
 
     /// Returns the store key that every change writes, so that two changes validated
     /// against the same state cannot both succeed.
-    pub fn head(&self) -> String {
-        format!("{}head", self.prefix)
+    pub fn change_guard(&self) -> String {
+        format!("{}change_guard", self.prefix)
     }
 
     /// Returns the store key of a machine list entry.
@@ -129,7 +129,7 @@
     backoff: &mut Backoff,
 ) -> Result<(), StoreError> {
     let asked = clock::now();
-    let listing = store.list(keys.prefix(), USUAL_SILENCE).await?;
+    let listing = store.list(keys.prefix(), DEFAULT_IDLE_TIMEOUT).await?;
     let documents = documents(keys, &listing.entries);
     info!(
         "event=platform_listed revision={} documents={}",
--- a/crates/millwind-node/src/daemon.rs
+++ b/crates/millwind-node/src/daemon.rs
@@ -32,7 +32,7 @@
 
 /// Runs a node until it is told to stop.
 pub async fn run(settings: NodeSettings) -> ExitCode {
-    if let Err(error) = logging::start(settings.log_level) {
+    if let Err(error) = logging::init(settings.log_level) {
         return refuse(&error.to_string());
     }
     let mut node = match Node::start(settings).await {
--- a/crates/millwind-node/src/gateway/directory.rs
+++ b/crates/millwind-node/src/gateway/directory.rs
@@ -245,7 +245,7 @@
             }
         }
     };
-    tokio::time::timeout(clock::until(deadline), primary_found)
+    tokio::time::timeout(clock::time_until(deadline), primary_found)
         .await
         .ok()
         .flatten()
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -105,7 +105,7 @@
 
 impl Dispatch<'_> {
     fn request(&self, instance: &InstanceName, intent: Intent) -> ExecuteRequest {
-        let remaining = clock::until(self.options.deadline).as_millis();
+        let remaining = clock::time_until(self.options.deadline).as_millis();
         ExecuteRequest {
             request_id: self.gateway.links.next_request_id(),
             intent,
@@ -189,7 +189,7 @@
         owner: Option<SocketAddr>,
         request: ExecuteRequest,
     ) -> Result<BatchResponse, AttemptError> {
-        let limit = clock::until(self.options.deadline) + REPLY_TIMEOUT_MARGIN;
+        let limit = clock::time_until(self.options.deadline) + REPLY_TIMEOUT_MARGIN;
         let reply = match owner {
             None => self.send_local(request).await,
             Some(address) => {
@@ -336,7 +336,7 @@
     /// Returns how long a replica may wait to catch up: at most half of the remaining
     /// time.
     fn replica_wait_ms(&self) -> u64 {
-        let remaining = clock::until(self.options.deadline).as_millis() as u64;
+        let remaining = clock::time_until(self.options.deadline).as_millis() as u64;
         self.tenant.replica_wait_ms.min(remaining / 2)
     }
 
@@ -546,7 +546,7 @@
     }
 
     async fn resolve_on(&self, instance: &InstanceName) -> Option<ResolveResult> {
-        let remaining = clock::until(self.options.deadline);
+        let remaining = clock::time_until(self.options.deadline);
         let request = ResolveRequest {
             request_id: self.gateway.links.next_request_id(),
             group: self.spec.name.0.clone(),
--- a/crates/millwind-node/src/gateway/mod.rs
+++ b/crates/millwind-node/src/gateway/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// Returns the number of open client connections.
-    pub fn sessions(&self) -> usize {
+    pub fn open_session_count(&self) -> usize {
         self.open_sessions.load(Ordering::Relaxed)
     }
 
--- a/crates/millwind-node/src/logging.rs
+++ b/crates/millwind-node/src/logging.rs
@@ -5,7 +5,7 @@
 /// Installs a logger that writes to standard error: `level` and above from this
 /// project's crates, warnings and errors from dependencies. Fails if a logger is
 /// already installed.
-pub fn start(level: LevelFilter) -> Result<(), log::SetLoggerError> {
+pub fn init(level: LevelFilter) -> Result<(), log::SetLoggerError> {
     fern::Dispatch::new()
         .format(|out, message, record| {
             let time = humantime::format_rfc3339_millis(std::time::SystemTime::now());
--- a/crates/millwind-node/src/node.rs
+++ b/crates/millwind-node/src/node.rs
@@ -134,7 +134,7 @@
         self.gateway.drain();
         tokio::time::sleep(DRAIN_NOTICE.min(Duration::from_millis(self.settings.drain_ms / 2))).await;
         while tokio::time::Instant::now() < give_up {
-            if self.gateway.sessions() == 0 && self.gateway.owner.load() == 0 {
+            if self.gateway.open_session_count() == 0 && self.gateway.owner.load() == 0 {
                 let _ = self.control.actor.send(Depart).await;
                 tokio::time::sleep(GOODBYE_TIME).await;
                 info!("event=drain_finished node={}", self.settings.name);
@@ -145,7 +145,7 @@
         warn!(
             "event=drain_cut_short node={} sessions={} owner_load={}",
             self.settings.name,
-            self.gateway.sessions(),
+            self.gateway.open_session_count(),
             self.gateway.owner.load()
         );
         false
--- a/crates/millwind-node/src/owner/execute.rs
+++ b/crates/millwind-node/src/owner/execute.rs
@@ -21,7 +21,7 @@
 use crate::pg::STATUS_IDLE;
 use crate::pg::answer::Answer;
 use crate::pg::backend::{BackendConnection, BackendError};
-use crate::pg::status::{parse_status, put_status};
+use crate::pg::status::{parse_status, put_status_request};
 
 /// SQLSTATE of a write on an instance that only replays.
 const READ_ONLY_TRANSACTION: &str = "25006";
@@ -158,7 +158,7 @@
         let mut slot = self.acquire().await?;
         let mut connection = self.connection(&mut slot).await?;
         let work = self.read_with_position(&mut connection);
-        let (status, answer) = tokio::time::timeout(clock::until(self.deadline), work)
+        let (status, answer) = tokio::time::timeout(clock::time_until(self.deadline), work)
             .await
             .map_err(|_| Failure::not_sent(ErrorKind::DeadlineTooShort, "no answer in the window"))?
             .map_err(read_failure)?;
@@ -184,7 +184,7 @@
         connection: &mut BackendConnection,
     ) -> Result<(InstanceStatus, Answer), BackendError> {
         let mut bytes = BytesMut::new();
-        put_status(&mut bytes).map_err(encode_error)?;
+        put_status_request(&mut bytes).map_err(encode_error)?;
         bytes.extend_from_slice(&self.request.batch);
         connection.send(&bytes).await?;
         let status = read_status(connection).await?;
@@ -219,7 +219,7 @@
     /// Waits until the instance covers the session and is fresh enough.
     async fn await_coverage(&self) -> Result<(), Failure> {
         let mut view = self.monitor.view.clone();
-        let wait = Duration::from_millis(self.request.wait_ms.into()).min(clock::until(self.deadline));
+        let wait = Duration::from_millis(self.request.wait_ms.into()).min(clock::time_until(self.deadline));
         let give_up = tokio::time::Instant::now() + wait;
         let mut _awaited = None;
         loop {
@@ -275,7 +275,10 @@
         let _expected = self.monitor.expect_commit();
         let answered = self.run_read().await?;
         let position = answered.position.unwrap_or_default();
-        let verdict = self.monitor.confirm(position, clock::until(self.deadline)).await;
+        let verdict = self
+            .monitor
+            .confirm(position, clock::time_until(self.deadline))
+            .await;
         match verdict {
             Some(Verdict::Confirmed) => Ok(answered),
             _ => Err(Failure::not_sent(
@@ -290,7 +293,7 @@
         let mut slot = self.acquire().await?;
         let mut connection = self.connection(&mut slot).await?;
         let mut bytes = BytesMut::from(&self.request.batch[..]);
-        put_status(&mut bytes).map_err(|error| Failure::not_sent(ErrorKind::Unsupported, error))?;
+        put_status_request(&mut bytes).map_err(|error| Failure::not_sent(ErrorKind::Unsupported, error))?;
         let _expected = self.monitor.expect_commit();
         let exchange = async {
             connection.send(&bytes).await?;
@@ -315,7 +318,7 @@
         tokio::select! {
             result = exchange => result.map_err(Failure::sent),
             () = self.superseded(term) => Err(Failure::sent("a higher term was shown")),
-            () = tokio::time::sleep(clock::until(self.deadline)) => Err(Failure::sent("no answer in the window")),
+            () = tokio::time::sleep(clock::time_until(self.deadline)) => Err(Failure::sent("no answer in the window")),
         }
     }
 
@@ -354,7 +357,7 @@
         }
         let verdict = self
             .monitor
-            .confirm(status.position, clock::until(self.deadline))
+            .confirm(status.position, clock::time_until(self.deadline))
             .await;
         match verdict {
             Some(Verdict::Confirmed) => Ok(()),
@@ -524,7 +527,7 @@
 /// A failed read changed nothing, so it counts as not sent.
 fn read_failure(error: BackendError) -> Failure {
     let kind = match error {
-        BackendError::TooLarge => ErrorKind::AnswerTooLarge,
+        BackendError::AnswerTooLong => ErrorKind::AnswerTooLarge,
         _ => ErrorKind::BackEndUnreachable,
     };
     Failure::not_sent(kind, error)
--- a/crates/millwind-node/src/owner/ledger.rs
+++ b/crates/millwind-node/src/owner/ledger.rs
@@ -15,7 +15,7 @@
 use super::execute::{Answered, Execution, Failure, answered, is_refusal, read_status};
 use crate::pg::answer::{Answer, SqlError};
 use crate::pg::backend::{BackendConnection, BackendError};
-use crate::pg::status::{parse_status, put_status};
+use crate::pg::status::{parse_status, put_status_request};
 use crate::pg::{STATUS_IDLE, put_query};
 
 /// Table the operators create in each group's database.
@@ -77,7 +77,7 @@
 
 async fn ask_status(connection: &mut BackendConnection) -> Result<Answer, BackendError> {
     let mut bytes = BytesMut::new();
-    put_status(&mut bytes).map_err(|error| BackendError::Protocol(error.to_string()))?;
+    put_status_request(&mut bytes).map_err(|error| BackendError::Protocol(error.to_string()))?;
     connection.send(&bytes).await?;
     connection.next_answer().await
 }
@@ -182,7 +182,7 @@
     let recorded = complete(&execution.request.request_key, &to_hex(&answer.messages));
     put_query(&mut bytes, &recorded).map_err(encode)?;
     put_query(&mut bytes, "COMMIT").map_err(encode)?;
-    put_status(&mut bytes).map_err(encode)?;
+    put_status_request(&mut bytes).map_err(encode)?;
     connection.send(&bytes).await?;
     let updated = connection.next_answer().await?;
     let committed = connection.next_answer().await?;
@@ -252,7 +252,7 @@
         put_query(&mut bytes, &insert(key, STATE_DONE, &to_hex(&commit_answer()))).map_err(encode)?;
     }
     bytes.extend_from_slice(&execution.request.batch);
-    put_status(&mut bytes).map_err(encode)?;
+    put_status_request(&mut bytes).map_err(encode)?;
     let exchange = async {
         connection.send(&bytes).await?;
         let mut inserted = None;
--- a/crates/millwind-node/src/owner/monitor.rs
+++ b/crates/millwind-node/src/owner/monitor.rs
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::pg::answer::Answer;
 use crate::pg::backend::{BackendConnection, BackendError, BackendTarget};
-use crate::pg::status::{parse_status, put_status};
+use crate::pg::status::{parse_status, put_status_request};
 
 /// The primary is asked this often when nothing waits on it.
 const PRIMARY_INTERVAL: Duration = Duration::from_millis(200);
@@ -480,7 +480,7 @@
 
     async fn ask(&self, connection: &mut BackendConnection, in_flight: &mut InFlight) -> Result<(), String> {
         let mut question = bytes::BytesMut::new();
-        put_status(&mut question).map_err(|error| error.to_string())?;
+        put_status_request(&mut question).map_err(|error| error.to_string())?;
         let asked = self
             .monitor
             .send(DrawSequence)
--- a/crates/millwind-node/src/owner/pool.rs
+++ b/crates/millwind-node/src/owner/pool.rs
@@ -84,7 +84,7 @@
             .send(Admit { ticket })
             .await
             .map_err(|_| ErrorKind::BackEndUnreachable)?;
-        match tokio::time::timeout(clock::until(deadline), &mut granted).await {
+        match tokio::time::timeout(clock::time_until(deadline), &mut granted).await {
             Ok(Ok(grant)) => Ok(self.slot(grant?)),
             Ok(Err(_)) => Err(ErrorKind::BackEndUnreachable),
             Err(_) => {
--- a/crates/millwind-node/src/owner/service.rs
+++ b/crates/millwind-node/src/owner/service.rs
@@ -185,7 +185,7 @@
 
     fn target(&self, group: &GroupSpec, instance: &InstanceSpec) -> BackendTarget {
         BackendTarget {
-            address: self.settings.dial_address(instance.address),
+            address: self.settings.connect_address(instance.address),
             user: group.user.clone(),
             password: group.password.clone(),
             database: group.database.clone(),
--- a/crates/millwind-node/src/peer/mod.rs
+++ b/crates/millwind-node/src/peer/mod.rs
@@ -7,12 +7,12 @@
 pub use link::{CallError, DialMap, Patience, PeerLinks};
 pub use server::{InboundLink, PeerHandler, serve};
 
-use millwind_wire::MAXIMUM_FRAME_BYTES;
+use millwind_wire::MAX_FRAME_BYTES;
 use tokio_util::codec::LengthDelimitedCodec;
 
 /// The frame codec of every link.
 fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAXIMUM_FRAME_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
--- a/crates/millwind-node/src/pg/backend.rs
+++ b/crates/millwind-node/src/pg/backend.rs
@@ -61,7 +61,7 @@
     },
     /// The response exceeds [`MAXIMUM_ANSWER_BYTES`].
     #[error("answer is longer than {MAXIMUM_ANSWER_BYTES} bytes")]
-    TooLarge,
+    AnswerTooLong,
 }
 
 /// An authenticated connection to a back end.
@@ -225,7 +225,7 @@
                 return Ok(std::mem::take(&mut self.partial_answer));
             }
             if self.partial_answer.messages.len() > MAXIMUM_ANSWER_BYTES {
-                return Err(BackendError::TooLarge);
+                return Err(BackendError::AnswerTooLong);
             }
         }
     }
--- a/crates/millwind-node/src/pg/status.rs
+++ b/crates/millwind-node/src/pg/status.rs
@@ -35,7 +35,7 @@
 }
 
 /// Appends the messages that execute the prepared status query.
-pub fn put_status(out: &mut BytesMut) -> Result<(), PgWireError> {
+pub fn put_status_request(out: &mut BytesMut) -> Result<(), PgWireError> {
     let bind = Bind::new(
         None,
         Some(STATEMENT_NAME.to_owned()),
--- a/crates/millwind-node/src/settings.rs
+++ b/crates/millwind-node/src/settings.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns the address to connect to for an advertised address.
-    pub fn dial_address(&self, advertised: SocketAddr) -> SocketAddr {
+    pub fn connect_address(&self, advertised: SocketAddr) -> SocketAddr {
         self.dial.get(&advertised).copied().unwrap_or(advertised)
     }
 }
--- a/crates/millwind-node/tests/changes.rs
+++ b/crates/millwind-node/tests/changes.rs
@@ -167,7 +167,7 @@
         .await
         .expect("stored");
     let head = Write {
-        key: keys().head(),
+        key: keys().change_guard(),
         value: b"somebody".to_vec(),
     };
     store.content().interfere = vec![head];
--- a/crates/millwind-node/tests/settings.rs
+++ b/crates/millwind-node/tests/settings.rs
@@ -66,7 +66,10 @@
     let text = example().replace("# \"10.0.1.5:5432\"", "\"10.0.1.5:5432\"");
     let settings = read(&text).expect("valid");
     let advertised = "10.0.1.5:5432".parse().expect("an address");
-    assert_eq!(settings.dial_address(advertised).to_string(), "192.0.2.5:15432");
+    assert_eq!(
+        settings.connect_address(advertised).to_string(),
+        "192.0.2.5:15432"
+    );
 }
 
 proptest! {
--- a/crates/millwind-store/src/lib.rs
+++ b/crates/millwind-store/src/lib.rs
@@ -109,7 +109,7 @@
 }
 
 /// Default idle timeout of a listing.
-pub const USUAL_SILENCE: Duration = Duration::from_millis(2_000);
+pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A key-value store with revisions, watches and conditional writes.
 pub trait Store: Send + Sync {
--- a/crates/millwind-wire/src/compressed.rs
+++ b/crates/millwind-wire/src/compressed.rs
@@ -43,7 +43,7 @@
 
 impl Compressed {
     /// Compresses `uncompressed` at the fast level, which limits CPU use.
-    pub fn pack(uncompressed: &[u8]) -> Result<Self, std::io::Error> {
+    pub fn compress(uncompressed: &[u8]) -> Result<Self, std::io::Error> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(uncompressed)?;
         Ok(Compressed {
@@ -54,9 +54,9 @@
 
     /// Decompresses the data. At most one byte more than the declared length is read, so
     /// corrupt data cannot exhaust memory.
-    pub fn unpack(&self) -> Result<Vec<u8>, DecompressError> {
+    pub fn decompress(&self) -> Result<Vec<u8>, DecompressError> {
         let declared = self.uncompressed_len;
-        if declared as usize > crate::MAXIMUM_FRAME_BYTES {
+        if declared as usize > crate::MAX_FRAME_BYTES {
             return Err(DecompressError::TooLong { declared });
         }
         let mut uncompressed = Vec::new();
@@ -71,7 +71,7 @@
     }
 
     /// Returns the length of the compressed data in bytes.
-    pub fn travelling_bytes(&self) -> usize {
+    pub fn compressed_bytes(&self) -> usize {
         self.compressed.len()
     }
 }
--- a/crates/millwind-wire/src/exchange.rs
+++ b/crates/millwind-wire/src/exchange.rs
@@ -62,7 +62,7 @@
     let mut bytes = Cursor::new(Vec::new());
     let packed = PackedDocuments { documents };
     packed.write_be(&mut bytes).map_err(std::io::Error::other)?;
-    Compressed::pack(bytes.get_ref())
+    Compressed::compress(bytes.get_ref())
 }
 
 /// Why a [`DocumentList`] cannot be decoded.
@@ -86,7 +86,7 @@
     }
 
     /// Appends uncompressed documents.
-    pub fn followed_by(mut self, plain: Vec<StoredDocument>) -> Self {
+    pub fn append_plain(mut self, plain: Vec<StoredDocument>) -> Self {
         self.plain.extend(plain);
         self
     }
@@ -96,7 +96,7 @@
     pub fn into_documents(self) -> Result<Vec<StoredDocument>, DocumentListError> {
         let mut documents = Vec::new();
         for part in &self.packed {
-            let bytes = part.unpack()?;
+            let bytes = part.decompress()?;
             documents.extend(PackedDocuments::read_be(&mut Cursor::new(bytes))?.documents);
         }
         documents.extend(self.plain);
@@ -218,20 +218,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandPart {
     /// 1 if every region is allowed, else 0.
-    pub is_any: u8,
+    pub allows_any_region: u8,
     /// Allowed regions, if not every region is allowed.
     #[br(parse_with = text::read_list)]
     #[bw(write_with = text::write_list)]
-    pub regions: Vec<RegionText>,
+    pub regions: Vec<RegionEntry>,
     /// Total weight of the statements.
-    pub worth: u64,
+    pub total_weight: u64,
 }
 
 /// A region name, as an element of a list.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RegionText {
+pub struct RegionEntry {
     /// Name of the region.
     #[br(parse_with = text::read_text)]
     #[bw(write_with = text::write_text)]
@@ -327,7 +327,7 @@
     },
     /// Confirms that a demand report was received.
     #[brw(magic = 5u8)]
-    Noted,
+    DemandReceived,
 }
 
 /// Encodes a message with its version byte.
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -108,7 +108,7 @@
     pub priority: u8,
     /// Time left until the client's target latency, in milliseconds; zero if it has
     /// passed.
-    pub aim_ms: u32,
+    pub target_latency_left_ms: u32,
     /// Transaction to begin before the first statement.
     pub begin: ForwardedBegin,
     /// Lowest log position that the read must observe.
@@ -186,7 +186,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ForwardedSubject {
+pub enum LoanSubject {
     /// Operations from a tenant's quota.
     #[brw(magic = 1u8)]
     Tenant {
@@ -205,7 +205,7 @@
     },
     /// A promise to accept no other lender for an instance for a limited time.
     #[brw(magic = 3u8)]
-    Word {
+    LenderVote {
         /// Name of the instance.
         #[br(parse_with = text::read_text)]
         #[bw(write_with = text::write_text)]
@@ -221,25 +221,25 @@
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ForwardedBorrowing {
+pub struct LoanRequest {
     /// Number of the call, unique on the link.
     pub call: u64,
     /// Subject of the loan.
-    pub subject: ForwardedSubject,
+    pub subject: LoanSubject,
     /// Requested number of operations or statements.
     pub wanted: u32,
 }
 
-/// The reply to a [`ForwardedBorrowing`].
+/// The reply to a [`LoanRequest`].
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ForwardedLoan {
+pub struct LoanReply {
     /// Number of the call.
     pub call: u64,
     /// 1 if the node is the lender of the subject or gives the promise; if 0, the other
     /// fields have no meaning.
-    pub counts: u8,
+    pub is_granted: u8,
     /// Number of operations or statements that may be admitted.
     pub operations: u32,
     /// Delay after which rejected clients may retry, in milliseconds.
@@ -265,7 +265,7 @@
     Ping,
     /// Requests a loan.
     #[brw(magic = 4u8)]
-    Borrow(ForwardedBorrowing),
+    Borrow(LoanRequest),
 }
 
 /// A result row.
@@ -379,7 +379,7 @@
     Leaving,
     /// Reply to `Borrow`.
     #[brw(magic = 4u8)]
-    Loan(ForwardedLoan),
+    Loan(LoanReply),
 }
 
 /// Encodes a message with its version byte.
--- a/crates/millwind-wire/src/lib.rs
+++ b/crates/millwind-wire/src/lib.rs
@@ -26,7 +26,7 @@
 /// Version of the protocol between nodes; the first byte of every frame.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Longest frame in bytes, version byte included.
-pub const MAXIMUM_FRAME_BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 /// Identifies the sender; the first message on every connection.
 #[binrw]
--- a/crates/millwind-wire/src/text.rs
+++ b/crates/millwind-wire/src/text.rs
@@ -49,11 +49,11 @@
 pub(crate) fn read_bytes() -> BinResult<Vec<u8>> {
     let position = reader.stream_position()?;
     let length = u32::read_options(reader, endian, ())?;
-    if length as usize > crate::MAXIMUM_FRAME_BYTES {
+    if length as usize > crate::MAX_FRAME_BYTES {
         return Err(length_error(
             position,
             length.into(),
-            crate::MAXIMUM_FRAME_BYTES as u64,
+            crate::MAX_FRAME_BYTES as u64,
         ));
     }
     read_exactly(reader, length as usize)
--- a/crates/millwind-wire/tests/compressed.rs
+++ b/crates/millwind-wire/tests/compressed.rs
@@ -18,19 +18,19 @@
 #[test]
 fn large_configuration_compresses_to_less_than_a_sixth() {
     let uncompressed = config_document(2_866);
-    let compressed = Compressed::pack(&uncompressed).unwrap();
-    let size = compressed.travelling_bytes();
+    let compressed = Compressed::compress(&uncompressed).unwrap();
+    let size = compressed.compressed_bytes();
     assert!(size * 6 < uncompressed.len(), "{size} of {}", uncompressed.len());
-    assert_eq!(compressed.unpack().unwrap(), uncompressed);
+    assert_eq!(compressed.decompress().unwrap(), uncompressed);
 }
 
 proptest! {
     #[test]
     fn compression_round_trips(uncompressed in prop::collection::vec(any::<u8>(), 0..5_000)) {
-        let compressed = Compressed::pack(&uncompressed).unwrap();
+        let compressed = Compressed::compress(&uncompressed).unwrap();
         let message = encode_exchange(&compressed).unwrap();
         let decoded: Compressed = decode_exchange(&message).unwrap();
-        prop_assert_eq!(decoded.unpack().unwrap(), uncompressed);
+        prop_assert_eq!(decoded.decompress().unwrap(), uncompressed);
     }
 
     #[test]
@@ -39,14 +39,14 @@
         value in any::<u8>(),
     ) {
         let uncompressed = config_document(40);
-        let mut message = encode_exchange(&Compressed::pack(&uncompressed).unwrap()).unwrap();
+        let mut message = encode_exchange(&Compressed::compress(&uncompressed).unwrap()).unwrap();
         // Skips the version byte and the declared length.
         let index = 5 + offset % (message.len() - 5);
         message[index] = value;
         let Ok(decoded) = decode_exchange::<Compressed>(&message) else {
             return Ok(());
         };
-        if let Ok(bytes) = decoded.unpack() {
+        if let Ok(bytes) = decoded.decompress() {
             prop_assert_eq!(bytes.len(), uncompressed.len());
         }
     }
