--- a/crates/millwind-node/src/peer/link.rs
+++ b/crates/millwind-node/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! Outbound links: one per peer address, opened when first used.
+//! Outbound links, one per peer address, opened on first use.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,34 +18,36 @@
 use super::frame_codec;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A link with calls in flight is probed this often.
+/// Interval of keep-alive messages while calls are in flight.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(250);
-/// A link with calls in flight that is silent this long gets no further calls:
-/// they have truthfully not been sent, and another owner can take them.
-const SUSPICION_LIMIT: Duration = Duration::from_millis(600);
-/// A link with calls in flight that is silent this long is dropped.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
-const QUEUE_LENGTH: usize = 1_024;
+/// Silence after which a link with calls in flight accepts no new calls. New calls
+/// fail as not sent, so that another owner can run them.
+const SILENT_AFTER: Duration = Duration::from_millis(600);
+/// Silence after which a link with calls in flight is closed.
+const DISCONNECT_AFTER: Duration = Duration::from_secs(2);
+const COMMAND_QUEUE_LENGTH: usize = 1_024;
 
-/// Why a call got no reply.
+/// The reason why a call got no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The message was not given to the link: the peer has not seen it.
+    /// The message was not sent, so the peer has not received it.
     #[error("peer not reachable")]
     NotSent,
-    /// The link broke, or no reply came in time: the peer may have seen it.
+    /// The link failed or the call timed out; the peer may have received the message.
     #[error("link to peer lost")]
     Lost,
 }
 
 type CallReply = oneshot::Sender<Result<PeerMessage, CallError>>;
 
-/// How long a call waits on a link that has fallen silent.
+/// How long a call waits for its reply once the link is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Patience {
-    /// Until its own limit: its outcome matters, and the peer may still answer.
+    /// Waits until the call's own time limit. For calls whose effects make a repeat
+    /// unsafe.
     UntilLimit,
-    /// While the peer is heard: it can be run elsewhere instead.
+    /// Fails as soon as the link counts as silent. For calls that another node can
+    /// run instead.
     WhileHeard,
 }
 
@@ -55,15 +57,18 @@
     reply: CallReply,
 }
 
+/// An instruction to the task that runs a link.
 enum Command {
     Send(PeerMessage),
     Call(u64, PeerMessage, PendingCall),
-    Forget(u64),
+    /// Drops the pending call with this request id.
+    Cancel(u64),
 }
 
 #[derive(Debug, Clone)]
 struct Link {
     commands: mpsc::Sender<Command>,
+    /// Set while the peer has been silent for longer than [`SILENT_AFTER`].
     silent: Arc<AtomicBool>,
 }
 
@@ -71,26 +76,26 @@
 #[derive(Debug)]
 pub struct PeerLinks {
     hello: Hello,
-    dial: Box<dyn DialMap>,
+    dial: Box<dyn DialAddressMap>,
     links: Mutex<HashMap<SocketAddr, Link>>,
     next_request: AtomicU64,
 }
 
-/// Maps an advertised address to the one to dial.
-pub trait DialMap: Send + Sync + std::fmt::Debug {
-    /// The address to dial.
+/// Maps the advertised address of a peer to the address to connect to.
+pub trait DialAddressMap: Send + Sync + std::fmt::Debug {
+    /// Returns the address to connect to.
     fn dial_address(&self, advertised: SocketAddr) -> SocketAddr;
 }
 
-impl DialMap for crate::NodeSettings {
+impl DialAddressMap for crate::NodeSettings {
     fn dial_address(&self, advertised: SocketAddr) -> SocketAddr {
         crate::NodeSettings::dial_address(self, advertised)
     }
 }
 
 impl PeerLinks {
-    /// No links yet; each will open with `hello`.
-    pub fn new(hello: Hello, dial: Box<dyn DialMap>) -> Arc<Self> {
+    /// Creates an empty set of links. Each link sends `hello` when it opens.
+    pub fn new(hello: Hello, dial: Box<dyn DialAddressMap>) -> Arc<Self> {
         Arc::new(PeerLinks {
             hello,
             dial,
@@ -99,18 +104,18 @@
         })
     }
 
-    /// A request id, unique over this process.
+    /// Returns a request id that is unique in this process.
     pub fn next_request_id(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Sends a message that expects no reply; dropped when the peer cannot be
-    /// reached or its queue is full.
+    /// Sends a message that expects no reply. The message is dropped if the peer
+    /// cannot be reached or the link's queue is full.
     pub fn send(self: &Arc<Self>, address: SocketAddr, message: PeerMessage) {
         let _ = self.link(address).commands.try_send(Command::Send(message));
     }
 
-    /// Sends a request and waits for the reply that carries its id.
+    /// Sends a request and waits up to `limit` for the reply with its id.
     pub async fn call(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -133,7 +138,7 @@
             .map_err(|_| CallError::NotSent)?;
         let outcome = timeout(limit, receiver).await;
         if outcome.is_err() {
-            let _ = link.commands.try_send(Command::Forget(request_id));
+            let _ = link.commands.try_send(Command::Cancel(request_id));
         }
         match outcome {
             Ok(Ok(result)) => result,
@@ -141,6 +146,8 @@
         }
     }
 
+    /// Returns the link to an address; opens a new link if there is none or the old
+    /// link has closed.
     fn link(self: &Arc<Self>, address: SocketAddr) -> Link {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.get(&address)
@@ -148,7 +155,7 @@
         {
             return link.clone();
         }
-        let (commands, receiver) = mpsc::channel(QUEUE_LENGTH);
+        let (commands, receiver) = mpsc::channel(COMMAND_QUEUE_LENGTH);
         let silent = Arc::new(AtomicBool::new(false));
         let link = Link {
             commands,
@@ -161,6 +168,7 @@
     }
 }
 
+/// Connects to a peer and runs the link until it fails or falls silent.
 async fn run_link(
     address: SocketAddr,
     hello: Hello,
@@ -169,20 +177,23 @@
 ) {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(stream)) = connected else {
-        refuse_queued(&mut commands);
+        reject_queued_calls(&mut commands);
         return;
     };
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, frame_codec());
-    if feed(&mut framed, &PeerMessage::Hello(hello)).await.is_err() {
+    if send_message(&mut framed, &PeerMessage::Hello(hello))
+        .await
+        .is_err()
+    {
         return;
     }
     let mut pending: HashMap<u64, PendingCall> = HashMap::new();
     let mut last_heard = tokio::time::Instant::now();
-    // Bytes of an unfinished message at the last probe.
+    // Size of the partly received message at the previous keep-alive.
     let mut received_bytes = 0;
-    let mut probe = tokio::time::interval(KEEP_ALIVE_INTERVAL);
-    probe.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut keep_alive_timer = tokio::time::interval(KEEP_ALIVE_INTERVAL);
+    keep_alive_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             command = commands.recv() => {
@@ -199,27 +210,27 @@
                 last_heard = tokio::time::Instant::now();
                 silent.store(false, Ordering::Relaxed);
                 let Ok(message) = millwind_wire::decode(&frame) else { return };
-                if let Some(call) = request_id(&message).and_then(|id| pending.remove(&id)) {
+                if let Some(call) = reply_request_id(&message).and_then(|id| pending.remove(&id)) {
                     let _ = call.reply.send(Ok(message));
                 }
             }
-            _ = probe.tick(), if !pending.is_empty() => {
+            _ = keep_alive_timer.tick(), if !pending.is_empty() => {
                 pending.retain(|_, call| !call.reply.is_closed());
-                // A large result arrives in parts: a peer that sends one lives.
+                // A peer that is still sending a large message is not silent.
                 let received_before = received_bytes;
                 received_bytes = framed.read_buffer().len();
                 if received_bytes > received_before {
                     last_heard = tokio::time::Instant::now();
                 }
-                if last_heard.elapsed() > SUSPICION_LIMIT {
+                if last_heard.elapsed() > SILENT_AFTER {
                     silent.store(true, Ordering::Relaxed);
-                    // Dropped with their reply senders, which tells their callers.
+                    // Dropping a call's reply sender fails the call as lost.
                     pending.retain(|_, call| call.patience == Patience::UntilLimit);
                 }
-                if last_heard.elapsed() > SILENCE_LIMIT {
+                if last_heard.elapsed() > DISCONNECT_AFTER {
                     return;
                 }
-                if feed(&mut framed, &PeerMessage::KeepAlive).await.is_err() {
+                if send_message(&mut framed, &PeerMessage::KeepAlive).await.is_err() {
                     return;
                 }
             }
@@ -227,8 +238,8 @@
     }
 }
 
-/// Nothing was written: what is queued has truthfully not been sent.
-fn refuse_queued(commands: &mut mpsc::Receiver<Command>) {
+/// Fails the queued calls as not sent, because the connection was never opened.
+fn reject_queued_calls(commands: &mut mpsc::Receiver<Command>) {
     commands.close();
     while let Ok(command) = commands.try_recv() {
         if let Command::Call(_, _, call) = command {
@@ -237,7 +248,7 @@
     }
 }
 
-/// Writes a command and those already queued behind it, then flushes once.
+/// Runs a command and all commands already queued, then flushes once.
 async fn run_commands(
     first: Command,
     commands: &mut mpsc::Receiver<Command>,
@@ -252,7 +263,7 @@
                 pending.insert(id, call);
                 framed.feed(encode(&message)?).await?;
             }
-            Command::Forget(id) => {
+            Command::Cancel(id) => {
                 pending.remove(&id);
             }
         }
@@ -267,15 +278,15 @@
         .map_err(std::io::Error::other)
 }
 
-async fn feed(
+async fn send_message(
     framed: &mut Framed<TcpStream, tokio_util::codec::LengthDelimitedCodec>,
     message: &PeerMessage,
 ) -> Result<(), std::io::Error> {
     framed.send(encode(message)?).await
 }
 
-/// The request a reply belongs to.
-fn request_id(message: &PeerMessage) -> Option<u64> {
+/// Returns the id of the request that a reply answers.
+fn reply_request_id(message: &PeerMessage) -> Option<u64> {
     match message {
         PeerMessage::ExecuteReply(reply) => Some(reply.request_id),
         PeerMessage::ResolveReply(reply) => Some(reply.request_id),
--- a/crates/millwind-node/src/peer/mod.rs
+++ b/crates/millwind-node/src/peer/mod.rs
@@ -1,16 +1,16 @@
-//! Links between nodes: framed messages over TCP, with calls matched to their
-//! replies by request id and link.
+//! Links between nodes: length-delimited messages over TCP. Replies are matched to
+//! calls by request id on each link.
 
 mod link;
 mod server;
 
-pub use link::{CallError, DialMap, Patience, PeerLinks};
+pub use link::{CallError, DialAddressMap, Patience, PeerLinks};
 pub use server::{InboundLink, PeerHandler, serve};
 
 use millwind_wire::MAXIMUM_FRAME_BYTES;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// The frame codec of every link.
+/// Creates the codec that delimits messages on a link.
 fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAXIMUM_FRAME_BYTES)
--- a/crates/millwind-node/src/peer/server.rs
+++ b/crates/millwind-node/src/peer/server.rs
@@ -1,4 +1,5 @@
-//! Inbound links: reads messages of peers and sends replies back.
+//! Inbound links: accepts connections of peers, dispatches their messages and sends
+//! replies.
 
 use std::sync::Arc;
 
@@ -18,29 +19,30 @@
 /// The sending side of an inbound link.
 #[derive(Debug, Clone)]
 pub struct InboundLink {
-    /// Number of the link, unique over this process.
+    /// Id of the link, unique in this process.
     pub id: u64,
-    /// Name the peer gave in its hello.
+    /// Node name from the peer's hello message.
     pub peer: Arc<str>,
     replies: mpsc::Sender<PeerMessage>,
 }
 
 impl InboundLink {
-    /// Sends a reply; lost when the link is gone.
+    /// Queues a reply; the reply is dropped if the link has closed.
     pub async fn reply(&self, message: PeerMessage) {
         let _ = self.replies.send(message).await;
     }
 }
 
-/// What a node does with messages of its peers.
+/// Handles the messages of peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes in one message; must not wait for slow work.
+    /// Handles one message. Must not block, because messages of a link are handled
+    /// in sequence.
     fn handle(&self, link: &InboundLink, message: PeerMessage);
-    /// The link is gone: what it held must be given up.
+    /// Called when a link has closed; releases the resources held for the link.
     fn closed(&self, link: &InboundLink);
 }
 
-/// Accepts links until the listener fails.
+/// Accepts links forever; retries after a short pause if accepting fails.
 pub async fn serve(listener: TcpListener, handler: Arc<dyn PeerHandler>) {
     let mut next_id = 0;
     loop {
@@ -62,6 +64,7 @@
     }
 }
 
+/// Reads messages of one link until the link closes or sends an invalid frame.
 async fn serve_link(id: u64, stream: TcpStream, handler: Arc<dyn PeerHandler>) {
     let mut framed = Framed::new(stream, frame_codec());
     let Some(peer) = read_hello(&mut framed).await else {
@@ -90,7 +93,7 @@
     writer.abort();
 }
 
-/// The peer's name from its first message.
+/// Reads the hello message, which must come first, and returns the peer's name.
 async fn read_hello(framed: &mut Framed<TcpStream, LengthDelimitedCodec>) -> Option<Arc<str>> {
     let first = framed.next().await?.ok()?;
     match millwind_wire::decode(&first) {
@@ -103,7 +106,7 @@
     }
 }
 
-/// Writes replies, and flushes once for all that are queued.
+/// Writes replies and flushes once per batch of queued replies.
 async fn write_replies(
     mut sink: SplitSink<Framed<TcpStream, LengthDelimitedCodec>, Bytes>,
     mut outgoing: mpsc::Receiver<PeerMessage>,
--- a/crates/millwind-node/tests/links.rs
+++ b/crates/millwind-node/tests/links.rs
@@ -1,17 +1,17 @@
-//! Links to peers: what is said of calls to a peer that is gone or frozen.
+//! Calls over links to peers that are unreachable, frozen or slow.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use millwind_node::peer::{CallError, DialMap, Patience, PeerLinks};
+use millwind_node::peer::{CallError, DialAddressMap, Patience, PeerLinks};
 use millwind_wire::{AwaitPrimary, ExecuteReply, ExecuteResult, Hello, PeerMessage, WirePosition, encode};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
 #[derive(Debug)]
-struct Plain;
+struct IdentityMap;
 
-impl DialMap for Plain {
+impl DialAddressMap for IdentityMap {
     fn dial_address(&self, advertised: SocketAddr) -> SocketAddr {
         advertised
     }
@@ -24,7 +24,7 @@
     }
 }
 
-fn question(request_id: u64) -> PeerMessage {
+fn request(request_id: u64) -> PeerMessage {
     PeerMessage::AwaitPrimary(AwaitPrimary {
         request_id,
         group: "g".to_owned(),
@@ -34,36 +34,36 @@
 }
 
 #[tokio::test]
-async fn a_call_to_nobody_was_not_sent() {
+async fn a_call_without_a_listener_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let links = PeerLinks::new(hello(), Box::new(Plain));
+    let links = PeerLinks::new(hello(), Box::new(IdentityMap));
     let result = links
         .call(
             address,
             1,
-            question(1),
+            request(1),
             Duration::from_secs(10),
             Patience::UntilLimit,
         )
         .await;
-    assert_eq!(result.expect_err("nobody listens"), CallError::NotSent);
+    assert_eq!(result.expect_err("nothing listens"), CallError::NotSent);
 }
 
-/// A frozen process keeps its sockets open. The call under way may have been
-/// seen; those behind it are kept from the silent link and were not sent.
+/// A frozen process keeps its sockets open. The call in flight may have been
+/// received, but later calls must fail as not sent.
 #[tokio::test]
 async fn a_silent_peer_gets_no_further_calls() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
-    let links = PeerLinks::new(hello(), Box::new(Plain));
-    let under_way = {
+    let links = PeerLinks::new(hello(), Box::new(IdentityMap));
+    let in_flight = {
         let links = links.clone();
         let limit = Duration::from_secs(30);
         tokio::spawn(async move {
             links
-                .call(address, 1, question(1), limit, Patience::UntilLimit)
+                .call(address, 1, request(1), limit, Patience::UntilLimit)
                 .await
         })
     };
@@ -73,7 +73,7 @@
         let call = links.call(
             address,
             request_id,
-            question(request_id),
+            request(request_id),
             Duration::from_millis(50),
             Patience::UntilLimit,
         );
@@ -86,22 +86,22 @@
             Ok(_) => panic!("a frozen peer answered"),
         }
     }
-    assert!(not_sent, "every call was given to the silent link");
-    let result = under_way.await.expect("joins");
+    assert!(not_sent, "no call failed as not sent on the silent link");
+    let result = in_flight.await.expect("joins");
     assert_eq!(result.expect_err("no answer"), CallError::Lost);
 }
 
-/// A read can run elsewhere: it is given up as soon as the peer falls silent,
-/// not only with the link.
+/// A read can run on another node, so the call must fail as soon as the peer is
+/// silent, before the link is closed.
 #[tokio::test]
 async fn a_read_does_not_wait_for_a_silent_peer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
-    let links = PeerLinks::new(hello(), Box::new(Plain));
+    let links = PeerLinks::new(hello(), Box::new(IdentityMap));
     let call = |id, patience| {
         let links = links.clone();
         let limit = Duration::from_secs(30);
-        tokio::spawn(async move { links.call(address, id, question(id), limit, patience).await })
+        tokio::spawn(async move { links.call(address, id, request(id), limit, patience).await })
     };
     let write = call(1, Patience::UntilLimit);
     let read = call(2, Patience::WhileHeard);
@@ -112,11 +112,12 @@
     write.abort();
 }
 
-/// Size of a large result, and of the parts in which it arrives.
+/// Size of a large result.
 const RESULT_BYTES: usize = 480_000;
+/// Size of the parts in which the result arrives.
 const PART_BYTES: usize = 20_000;
-/// Between two parts: the whole takes 2.4 s, beyond the silence after which a link
-/// is dropped.
+/// Pause before each part. The whole result takes 2.4 s, longer than the silence
+/// after which a link is closed.
 const PART_PAUSE: Duration = Duration::from_millis(100);
 
 fn large_result(request_id: u64) -> PeerMessage {
@@ -139,12 +140,12 @@
     })
 }
 
-/// A large result over a narrow link is no silence.
+/// A link must not count as silent while a large message is arriving.
 #[tokio::test]
-async fn a_result_that_keeps_arriving_keeps_its_link() {
+async fn a_slow_large_result_keeps_the_link_open() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
     let address = listener.local_addr().expect("an address");
-    let links = PeerLinks::new(hello(), Box::new(Plain));
+    let links = PeerLinks::new(hello(), Box::new(IdentityMap));
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("the link opens");
         let message = encode(&large_result(1)).expect("encodes");
@@ -158,10 +159,10 @@
     });
     let limit = Duration::from_secs(30);
     let result = links
-        .call(address, 1, question(1), limit, Patience::WhileHeard)
+        .call(address, 1, request(1), limit, Patience::WhileHeard)
         .await;
     assert!(
         matches!(result, Ok(PeerMessage::ExecuteReply(_))),
-        "the link was given up"
+        "the link was closed while the result arrived"
     );
 }
