--- a/crates/millwind-node/src/admin.rs
+++ b/crates/millwind-node/src/admin.rs
@@ -1,4 +1,4 @@
-//! Administration over HTTP and JSON, and metrics.
+//! The admin API: status, configuration and metrics over HTTP.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use millwind_wire::control::Liveness;
 use serde::{Deserialize, Serialize};
 
-use crate::admin_change::{Change, ChangeError, change};
+use crate::admin_change::{Change, ChangeError, store_change};
 use crate::clock;
 use crate::config_watch::KeySpace;
-use crate::control::AskStandings;
+use crate::control::GetStandings;
 use crate::gateway::Gateway;
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Debug)]
 pub struct AdminState<S> {
     /// The node's gateway.
     pub gateway: Arc<Gateway>,
     /// The platform's store.
     pub store: S,
-    /// Where documents lie in the store.
+    /// Keys of the documents in the store.
     pub keys: KeySpace,
-    /// Asks the node to stop.
+    /// Requests a drain of the node.
     pub drain: tokio::sync::mpsc::Sender<()>,
 }
 
-type Shared<S> = State<Arc<AdminState<S>>>;
+type SharedState<S> = State<Arc<AdminState<S>>>;
 
-/// The routes of the administration listener.
+/// The routes of the admin API.
 pub fn router<S: Store + 'static>(state: Arc<AdminState<S>>) -> Router {
     Router::new()
         .route("/status", get(status::<S>))
@@ -61,48 +61,50 @@
         .with_state(state)
 }
 
-/// What an operator sees first.
+/// A summary of the node's state.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
-    /// `serving`, `draining`, or why it does not serve.
+    /// `serving`, `draining`, or the reason why the node does not serve.
     pub state: String,
-    /// Revision in force.
+    /// Configuration revision in force.
     pub revision: u64,
-    /// Time since the platform was heard, in milliseconds.
+    /// Time since the latest contact with the platform, in milliseconds.
     pub platform_age_ms: u32,
-    /// Whether the node is a relay of its zone.
+    /// Whether the node is a configuration relay of its zone.
     pub relay: bool,
-    /// Callers connected.
+    /// Number of client sessions.
     pub sessions: usize,
-    /// Requests running and transactions open on instances it owns.
+    /// Number of running requests and open transactions that the node serves as
+    /// owner.
     pub owner_load: u64,
-    /// What the zones last reported.
+    /// Latest report of each zone.
     pub zones: Vec<ZoneRow>,
 }
 
-/// What a zone last reported.
+/// The latest report of a zone.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ZoneRow {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Its region.
+    /// Region of the zone.
     pub region: String,
     /// Age of the report, in milliseconds.
     pub age_ms: u32,
-    /// Age of the zone's contact with the platform then, in milliseconds.
+    /// Time between the zone's latest contact with the platform and the report, in
+    /// milliseconds.
     pub platform_age_ms: u32,
 }
 
-async fn status<S: Store>(State(state): Shared<S>) -> Json<StatusReport> {
+async fn status<S: Store>(State(state): SharedState<S>) -> Json<StatusReport> {
     let gateway = &state.gateway;
     let view = gateway.control.view();
-    let condition = match view.may_serve(clock::now()) {
+    let serving_state = match view.may_serve(clock::now()) {
         _ if gateway.is_draining() => "draining".to_owned(),
         Ok(()) => "serving".to_owned(),
         Err(reason) => reason.to_string(),
@@ -121,7 +123,7 @@
         node: gateway.settings.name.clone(),
         zone: gateway.settings.zone.clone(),
         region: gateway.settings.region.clone(),
-        state: condition,
+        state: serving_state,
         revision: gateway.control.config().revision,
         platform_age_ms: view.platform_age_ms(),
         relay: view.is_relay(),
@@ -131,7 +133,7 @@
     })
 }
 
-async fn ready<S: Store>(State(state): Shared<S>) -> Response {
+async fn ready<S: Store>(State(state): SharedState<S>) -> Response {
     let gateway = &state.gateway;
     match gateway.control.view().may_serve(clock::now()) {
         Ok(()) if !gateway.is_draining() => (StatusCode::OK, "ready\n").into_response(),
@@ -140,26 +142,26 @@
     }
 }
 
-/// A member as this node sees it.
+/// A cluster member as this node sees it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// The node.
+    /// Name of the member.
     pub node: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
-    /// Its peer address.
+    /// Advertised peer address.
     pub address: String,
     /// `alive`, `suspect` or `dead`.
     pub liveness: String,
-    /// Whether it takes no new work.
+    /// Whether the member is leaving and gets no new work.
     pub leaving: bool,
-    /// Its incarnation.
+    /// Incarnation number, which grows with each restart.
     pub incarnation: u64,
 }
 
-async fn nodes<S: Store>(State(state): Shared<S>) -> Json<Vec<NodeRow>> {
+async fn nodes<S: Store>(State(state): SharedState<S>) -> Json<Vec<NodeRow>> {
     let view = state.gateway.control.view();
     let rows = view.members().iter().map(|record| NodeRow {
         node: record.node.clone(),
@@ -178,28 +180,28 @@
     Json(rows.collect())
 }
 
-/// An instance as this node sees it.
+/// A back-end instance as this node sees it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct InstanceRow {
     /// Database group.
     pub group: String,
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Zone it runs in.
+    /// Zone of the instance.
     pub zone: String,
-    /// Node that owns it.
+    /// Node that owns the instance; empty if there is none.
     pub owner: String,
     /// `primary`, `replica` or `unknown`.
     pub role: String,
-    /// Its position, as term:position.
+    /// Log position, formatted as `term:position`; empty if unknown.
     pub position: String,
-    /// How far it is behind the primary, in milliseconds.
+    /// Replication lag behind the primary, in milliseconds.
     pub lag_ms: Option<u64>,
-    /// Whether it gets no new work.
+    /// Whether the instance is leaving and gets no new work.
     pub leaving: bool,
 }
 
-async fn groups<S: Store>(State(state): Shared<S>) -> Json<Vec<InstanceRow>> {
+async fn groups<S: Store>(State(state): SharedState<S>) -> Json<Vec<InstanceRow>> {
     let gateway = &state.gateway;
     let config = gateway.control.config();
     let view = gateway.control.view();
@@ -241,22 +243,22 @@
     Json(rows)
 }
 
-/// A pool this node keeps.
+/// The connection pool of an instance on this node.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PoolRow {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Statements it may run at the same time.
+    /// Maximum number of batches running at the same time.
     pub slots: u32,
-    /// Connections it may hold.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Statements running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub queued: usize,
 }
 
-async fn pools<S: Store>(State(state): Shared<S>) -> Json<Vec<PoolRow>> {
+async fn pools<S: Store>(State(state): SharedState<S>) -> Json<Vec<PoolRow>> {
     let mut rows = Vec::new();
     for (instance, pool) in state.gateway.owner.pools() {
         let (running, queued) = pool.load().await;
@@ -271,28 +273,28 @@
     Json(rows)
 }
 
-/// A tenant's settings in force.
+/// The effective settings of a tenant.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TenantRow {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Its database group.
+    /// Database group of the tenant.
     pub group: String,
-    /// Staleness bound, in milliseconds.
+    /// Maximum staleness of reads, in milliseconds.
     pub staleness_ms: u64,
-    /// Longest wait for a replica, in milliseconds.
+    /// Maximum wait for a replica to catch up, in milliseconds.
     pub replica_wait_ms: u64,
-    /// Longest wait for a primary, in milliseconds.
+    /// Maximum wait for a primary, in milliseconds.
     pub hold_ms: u64,
-    /// Weight in the queues.
+    /// Weight in the admission queues.
     pub weight: u32,
-    /// Which instances serve reads.
+    /// Policy that selects the instances for reads.
     pub read_policy: ReadPolicy,
-    /// Regions in which its statements may run, `any` for all.
+    /// Regions in which the tenant's statements may run; `any` for all.
     pub allowed_regions: String,
 }
 
-async fn tenants<S: Store>(State(state): Shared<S>) -> Json<Vec<TenantRow>> {
+async fn tenants<S: Store>(State(state): SharedState<S>) -> Json<Vec<TenantRow>> {
     let config = state.gateway.control.config();
     let rows = config.tenants.values().map(|settings| TenantRow {
         tenant: settings.name.0.clone(),
@@ -310,31 +312,31 @@
 /// A configuration document.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct DocumentRow {
-    /// Kind and name.
+    /// Kind and name, as `kind/name`.
     pub key: String,
-    /// Revision of its last change.
+    /// Revision of the latest change.
     pub revision: u64,
-    /// TOML text.
+    /// Content as TOML.
     pub body: String,
 }
 
-/// An error as operators get it.
+/// The body of an error response.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong.
+    /// Error message.
     pub error: String,
-    /// Revision stored now, for conflicts.
+    /// On a conflict, the document's current revision.
     #[serde(default)]
     pub current_revision: Option<u64>,
-    /// Text stored now, for conflicts.
+    /// On a conflict, the document's current content.
     #[serde(default)]
     pub current: Option<String>,
-    /// Text asked for, for conflicts.
+    /// On a conflict, the rejected content.
     #[serde(default)]
     pub wanted: Option<String>,
 }
 
-fn plain_error(status: StatusCode, error: String) -> Response {
+fn error_response(status: StatusCode, error: String) -> Response {
     let body = ErrorBody {
         error,
         current_revision: None,
@@ -346,10 +348,10 @@
 
 fn unknown_kind(kind: &str) -> Response {
     let error = format!("kind {kind:?} is not one of group, template, tenant");
-    plain_error(StatusCode::NOT_FOUND, error)
+    error_response(StatusCode::NOT_FOUND, error)
 }
 
-async fn list_documents<S: Store>(State(state): Shared<S>, Path(kind): Path<String>) -> Response {
+async fn list_documents<S: Store>(State(state): SharedState<S>, Path(kind): Path<String>) -> Response {
     let Some(kind) = DocumentKind::from_name(&kind) else {
         return unknown_kind(&kind);
     };
@@ -367,7 +369,7 @@
 }
 
 async fn get_document<S: Store>(
-    State(state): Shared<S>,
+    State(state): SharedState<S>,
     Path((kind, name)): Path<(String, String)>,
 ) -> Response {
     let Some(kind) = DocumentKind::from_name(&kind) else {
@@ -381,33 +383,33 @@
             body: document.body.clone(),
         })
         .into_response(),
-        None => plain_error(StatusCode::NOT_FOUND, format!("no {} named {name}", kind.name())),
+        None => error_response(StatusCode::NOT_FOUND, format!("no {} named {name}", kind.name())),
     }
 }
 
-/// A change as operators send it.
+/// The body of a request to change a document.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeBody {
-    /// Names the change.
+    /// Identifies the change, so that a repeated request is not applied twice.
     pub change_id: String,
-    /// Revision the operator saw.
+    /// Revision that the change is based on; none for the revision stored now.
     #[serde(default)]
     pub expected_revision: Option<u64>,
-    /// New TOML text; none to delete.
+    /// New content as TOML; none to delete the document.
     #[serde(default)]
     pub body: Option<String>,
 }
 
-/// A change that was stored.
+/// The response to a stored change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredBody {
-    /// Revision that must come into force.
+    /// Revision that the change created.
     pub revision: u64,
 }
 
 async fn put_document<S: Store>(
-    State(state): Shared<S>,
+    State(state): SharedState<S>,
     Path((kind, name)): Path<(String, String)>,
     Json(body): Json<ChangeBody>,
 ) -> Response {
@@ -416,15 +418,15 @@
         _ => return unknown_kind(&kind),
     };
     if body.change_id.is_empty() {
-        return plain_error(StatusCode::BAD_REQUEST, "change_id must not be empty".to_owned());
+        return error_response(StatusCode::BAD_REQUEST, "change_id must not be empty".to_owned());
     }
-    let wanted = Change {
+    let requested = Change {
         key: kind.key(&name),
         change_id: body.change_id,
         expected_revision: body.expected_revision,
         body: body.body,
     };
-    match change(&state.store, &state.keys, &wanted).await {
+    match store_change(&state.store, &state.keys, &requested).await {
         Ok(revision) => Json(StoredBody { revision }).into_response(),
         Err(error) => change_error(error),
     }
@@ -433,10 +435,10 @@
 fn change_error(error: ChangeError) -> Response {
     let text = error.to_string();
     match error {
-        ChangeError::Invalid(_) => plain_error(StatusCode::UNPROCESSABLE_ENTITY, text),
-        ChangeError::NotFound(_) => plain_error(StatusCode::NOT_FOUND, text),
-        ChangeError::Unavailable(_) => plain_error(StatusCode::SERVICE_UNAVAILABLE, text),
-        ChangeError::Unknown { .. } => plain_error(StatusCode::GATEWAY_TIMEOUT, text),
+        ChangeError::Invalid(_) => error_response(StatusCode::UNPROCESSABLE_ENTITY, text),
+        ChangeError::NotFound(_) => error_response(StatusCode::NOT_FOUND, text),
+        ChangeError::Unavailable(_) => error_response(StatusCode::SERVICE_UNAVAILABLE, text),
+        ChangeError::Unknown { .. } => error_response(StatusCode::GATEWAY_TIMEOUT, text),
         ChangeError::Conflict {
             current_revision,
             current,
@@ -453,30 +455,30 @@
     }
 }
 
-/// Which revision to report on.
+/// Query parameters of `/standings`.
 #[derive(Debug, Deserialize)]
 pub struct StandingsQuery {
-    /// The revision.
+    /// Revision to report on.
     pub revision: u64,
 }
 
-/// How far a revision has come into force.
+/// The rollout state of a configuration revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StandingsReport {
-    /// Nodes that have it in force.
+    /// Number of nodes that have the revision in force.
     pub in_force: usize,
-    /// Nodes that have stopped serving instead.
+    /// Number of nodes without the revision that have stopped serving.
     pub stopped: usize,
-    /// Names of nodes of which neither is known.
+    /// Names of nodes not known to have the revision or to have stopped.
     pub pending: Vec<String>,
 }
 
-async fn standings<S: Store>(State(state): Shared<S>, Query(query): Query<StandingsQuery>) -> Response {
-    let ask = AskStandings {
+async fn standings<S: Store>(State(state): SharedState<S>, Query(query): Query<StandingsQuery>) -> Response {
+    let standings_query = GetStandings {
         revision: query.revision,
     };
-    let Ok(standings) = state.gateway.control.actor.send(ask).await else {
-        return plain_error(StatusCode::SERVICE_UNAVAILABLE, "node is stopping".to_owned());
+    let Ok(standings) = state.gateway.control.actor.send(standings_query).await else {
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "node is stopping".to_owned());
     };
     let count = |wanted| standings.values().filter(|standing| **standing == wanted).count();
     Json(StandingsReport {
@@ -491,28 +493,28 @@
     .into_response()
 }
 
-/// A statement to explain.
+/// The body of a request to explain a routing decision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ExplainBody {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The statement.
+    /// SQL statement to explain.
     pub statement: String,
 }
 
-async fn explain<S: Store>(State(state): Shared<S>, Json(body): Json<ExplainBody>) -> Response {
+async fn explain<S: Store>(State(state): SharedState<S>, Json(body): Json<ExplainBody>) -> Response {
     match state.gateway.explain(&body.tenant, &body.statement) {
         Some(explanation) => Json(explanation).into_response(),
-        None => plain_error(StatusCode::NOT_FOUND, format!("no tenant named {}", body.tenant)),
+        None => error_response(StatusCode::NOT_FOUND, format!("no tenant named {}", body.tenant)),
     }
 }
 
-async fn drain<S: Store>(State(state): Shared<S>) -> StatusCode {
+async fn drain<S: Store>(State(state): SharedState<S>) -> StatusCode {
     let _ = state.drain.try_send(());
     StatusCode::ACCEPTED
 }
 
-async fn decisions<S: Store>(State(state): Shared<S>) -> Response {
+async fn decisions<S: Store>(State(state): SharedState<S>) -> Response {
     let receiver = state.gateway.decisions.subscribe();
     let stream = futures::stream::unfold(receiver, |mut receiver| async move {
         loop {
@@ -530,6 +532,6 @@
     Body::from_stream(stream.boxed()).into_response()
 }
 
-async fn metrics<S: Store>(State(state): Shared<S>) -> String {
+async fn metrics<S: Store>(State(state): SharedState<S>) -> String {
     state.gateway.metrics.encode()
 }
--- a/crates/millwind-node/src/admin_change.rs
+++ b/crates/millwind-node/src/admin_change.rs
@@ -1,5 +1,6 @@
-//! Changes of the configuration: checked against the store's own content, then
-//! written by compare-and-swap, with an id that recognises a lost answer.
+//! Stores configuration changes. Each change is validated against the documents in
+//! the store and written by compare-and-swap. Its change id makes retries after a
+//! lost answer idempotent.
 
 use std::time::Duration;
 
@@ -11,72 +12,76 @@
 
 use crate::config_watch::{KeySpace, StoredDocument};
 
-/// A change is tried for this long before its outcome is called unknown.
+/// Time after which a change is no longer retried.
 const CHANGE_LIMIT: Duration = Duration::from_secs(10);
 
-/// A change an operator asks for.
+/// A requested change of one document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// Key of the document.
     pub key: String,
-    /// Names the change; asking again with the same id changes nothing twice.
+    /// Identifies the change; repeated requests with one id are applied once.
     pub change_id: String,
-    /// Revision the operator saw; none to change whatever is there now.
+    /// Revision that the change is based on; none for the revision stored now.
     pub expected_revision: Option<u64>,
-    /// New TOML text; none to delete.
+    /// New content as TOML; none to delete the document.
     pub body: Option<String>,
 }
 
-/// Why a change was not stored.
+/// The reason why a change was not stored.
 #[derive(Debug, Error)]
 pub enum ChangeError {
-    /// The document is not valid.
+    /// The document is invalid or conflicts with other documents.
     #[error("{0}")]
     Invalid(#[from] DocumentError),
-    /// There is nothing of this name to delete.
+    /// The document to delete does not exist.
     #[error("{0}: there is no such document")]
     NotFound(String),
-    /// Somebody else changed the document first.
+    /// The document has changed since the expected revision.
     #[error("document is at revision {current_revision}, not the one you saw")]
     Conflict {
-        /// Revision stored now.
+        /// Current revision of the document.
         current_revision: u64,
-        /// Text stored now.
+        /// Current content of the document.
         current: String,
-        /// Text asked for.
+        /// Rejected content.
         wanted: String,
     },
-    /// The store cannot be reached; nothing was changed.
+    /// The store is unavailable; the change was not stored.
     #[error("platform unavailable, nothing was changed: {0}")]
     Unavailable(String),
-    /// The store gave no answer; ask again with the same change id.
-    #[error("platform gave no answer; ask again with change id {change_id}: {detail}")]
+    /// The store did not answer; the change may have been stored. A retry with the
+    /// same change id is safe.
+    #[error(
+        "platform did not answer, the change may have been stored; retry with change id {change_id}: {detail}"
+    )]
     Unknown {
         /// Id of the change.
         change_id: String,
-        /// Why.
+        /// Error of the store.
         detail: String,
     },
 }
 
-/// Stores a change; returns the revision that must come into force.
-pub async fn change<S: Store>(store: &S, keys: &KeySpace, change: &Change) -> Result<u64, ChangeError> {
-    let give_up = tokio::time::Instant::now() + CHANGE_LIMIT;
+/// Stores a change and returns the revision that it created. Store errors and lost
+/// compare-and-swap races are retried for up to [`CHANGE_LIMIT`].
+pub async fn store_change<S: Store>(store: &S, keys: &KeySpace, change: &Change) -> Result<u64, ChangeError> {
+    let deadline = tokio::time::Instant::now() + CHANGE_LIMIT;
     let mut backoff = Backoff::default();
     let mut expected = change.expected_revision;
     let mut may_have_run = false;
     loop {
-        let error = match try_change(store, keys, change, &mut expected).await {
-            Ok(Step::Stored(revision)) => return Ok(revision),
-            Ok(Step::Retry) => continue,
-            Err(TryError::Final(error)) => return Err(error),
-            Err(TryError::Store(error, ran)) => {
-                may_have_run |= ran;
+        let error = match attempt_change(store, keys, change, &mut expected).await {
+            Ok(Attempt::Stored(revision)) => return Ok(revision),
+            Ok(Attempt::Retry) => continue,
+            Err(AttemptError::Final(error)) => return Err(error),
+            Err(AttemptError::Store(error, swap_may_have_run)) => {
+                may_have_run |= swap_may_have_run;
                 error
             }
         };
         let delay = backoff.next_delay();
-        if tokio::time::Instant::now() + delay > give_up {
+        if tokio::time::Instant::now() + delay > deadline {
             let detail = error.to_string();
             return Err(if may_have_run {
                 ChangeError::Unknown {
@@ -91,41 +96,45 @@
     }
 }
 
-enum Step {
+/// The result of an attempt to store a change.
+enum Attempt {
     Stored(u64),
+    /// Another write changed the store since it was read.
     Retry,
 }
 
-enum TryError {
+/// The reason why an attempt failed.
+enum AttemptError {
+    /// The change is rejected.
     Final(ChangeError),
-    /// True when the failed call may have taken effect.
+    /// The store failed; the flag tells whether the write may have taken effect.
     Store(StoreError, bool),
 }
 
-async fn try_change<S: Store>(
+async fn attempt_change<S: Store>(
     store: &S,
     keys: &KeySpace,
     change: &Change,
     expected: &mut Option<u64>,
-) -> Result<Step, TryError> {
+) -> Result<Attempt, AttemptError> {
     let listing = store
         .list(keys.prefix(), USUAL_SILENCE)
         .await
-        .map_err(|error| TryError::Store(error, false))?;
+        .map_err(|error| AttemptError::Store(error, false))?;
     let documents: Vec<WireDocument> = listing
         .entries
         .iter()
         .filter_map(|entry| keys.parse(entry))
         .collect();
     let current = documents.iter().find(|document| document.key == change.key);
-    // An earlier try took effect and its answer was lost.
+    // An earlier attempt was stored and its answer was lost.
     if let Some(stored) = current.filter(|stored| stored.change_id == change.change_id) {
-        return Ok(Step::Stored(stored.revision));
+        return Ok(Attempt::Stored(stored.revision));
     }
     let current_revision = current.map_or(0, |document| document.revision);
     let seen = *expected.get_or_insert(current_revision);
     if seen != current_revision {
-        return Err(TryError::Final(ChangeError::Conflict {
+        return Err(AttemptError::Final(ChangeError::Conflict {
             current_revision,
             current: current.map(|document| document.body.clone()).unwrap_or_default(),
             wanted: change.body.clone().unwrap_or_default(),
@@ -133,14 +142,15 @@
     }
     let exists = current.is_some_and(|document| document.deleted == 0);
     if change.body.is_none() && !exists {
-        return Err(TryError::Final(ChangeError::NotFound(change.key.clone())));
+        return Err(AttemptError::Final(ChangeError::NotFound(change.key.clone())));
     }
-    check(&documents, listing.revision.number, change).map_err(|error| TryError::Final(error.into()))?;
+    validate(&documents, listing.revision.number, change)
+        .map_err(|error| AttemptError::Final(error.into()))?;
     let head = listing.entries.iter().find(|entry| entry.key == keys.head());
     let conditions = [
         Condition {
             key: keys.document(&change.key),
-            revision: of_etcd(seen),
+            revision: etcd_revision(seen),
         },
         Condition {
             key: keys.head(),
@@ -149,21 +159,23 @@
     ];
     let swapped = store.swap(&conditions, &writes(keys, change)).await;
     match swapped {
-        Ok(Swap::Done { revision }) => Ok(Step::Stored(revision.number)),
-        Ok(Swap::Conflict { .. }) => Ok(Step::Retry),
+        Ok(Swap::Done { revision }) => Ok(Attempt::Stored(revision.number)),
+        Ok(Swap::Conflict { .. }) => Ok(Attempt::Retry),
         Err(error) => {
             let may_have_run = matches!(error, StoreError::NoAnswer(_));
-            Err(TryError::Store(error, may_have_run))
+            Err(AttemptError::Store(error, may_have_run))
         }
     }
 }
 
-/// A revision of etcd, which does not tell of restores.
-fn of_etcd(number: u64) -> StoreRevision {
+/// Converts an etcd revision. etcd does not report restores, so their number is
+/// zero.
+fn etcd_revision(number: u64) -> StoreRevision {
     StoreRevision::new(0, number)
 }
 
-fn check(documents: &[WireDocument], revision: u64, change: &Change) -> Result<(), DocumentError> {
+/// Validates the change together with all documents in the store.
+fn validate(documents: &[WireDocument], revision: u64, change: &Change) -> Result<(), DocumentError> {
     let mut state = ConfigState::default();
     state.apply_snapshot(revision, documents);
     state.check_change(&WireDocument {
@@ -184,7 +196,7 @@
     [
         Write {
             key: keys.document(&change.key),
-            // A plain struct of texts always serializes.
+            // Serializing a struct of strings and booleans cannot fail.
             value: serde_json::to_vec(&stored).unwrap_or_default(),
         },
         Write {
--- a/crates/millwind-node/src/control.rs
+++ b/crates/millwind-node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control actor: drives the core's control plane and publishes what the
-//! request path needs of it.
+//! The control actor: drives the control plane of `millwind-core` and publishes
+//! snapshots of its state for the request path.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -22,11 +22,13 @@
 use crate::clock;
 use crate::peer::PeerLinks;
 
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the control plane's timers run.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What follows from the member table; made anew only when it changes.
+/// Data derived from the member table, rebuilt when members or reachable zones
+/// change.
 #[derive(Debug, Default)]
-struct MembersView {
+struct MembershipView {
     records: Vec<MemberRecord>,
     addresses: HashMap<String, SocketAddr>,
     relays: Vec<NodeName>,
@@ -35,7 +37,7 @@
     owner_cache: Mutex<HashMap<InstanceName, Option<NodeName>>>,
 }
 
-impl MembersView {
+impl MembershipView {
     fn new(plane: &ControlPlane) -> Self {
         let membership = plane.membership();
         let records: Vec<MemberRecord> = membership.records().cloned().collect();
@@ -44,7 +46,7 @@
             .filter_map(|record| Some((record.node.clone(), record.address.parse().ok()?)))
             .collect();
         let zones = membership.zones();
-        MembersView {
+        MembershipView {
             addresses,
             relays: zones.keys().flat_map(|zone| membership.relays(zone)).collect(),
             is_relay: membership.is_relay(),
@@ -55,17 +57,17 @@
     }
 }
 
-/// What the request path reads of the control plane.
+/// A snapshot of the control plane for the request path.
 #[derive(Debug, Clone)]
 pub struct ControlView {
     own_name: Arc<str>,
-    members: Arc<MembersView>,
+    members: Arc<MembershipView>,
     gate: ServingGate,
     config: Arc<ConfigState>,
 }
 
 impl ControlView {
-    /// Whether requests may be served now.
+    /// Fails with the reason if requests must not be served at `now`.
     pub fn may_serve(&self, now: Instant) -> Result<(), NotServing> {
         self.gate.may_serve(now, self.config.revision() > 0)
     }
@@ -75,7 +77,7 @@
         &self.own_name
     }
 
-    /// The node that owns `instance`.
+    /// The node that owns `instance`; none if no node can.
     pub fn owner(&self, instance: &InstanceName, zone: &ZoneName, region: &RegionName) -> Option<NodeName> {
         let mut cache = self
             .members
@@ -90,24 +92,24 @@
         owner
     }
 
-    /// The node that owns `instance` when these could not be reached.
+    /// The node that owns `instance` when the nodes in `excluded` are left out.
     pub fn owner_except(
         &self,
         instance: &InstanceName,
         zone: &ZoneName,
         region: &RegionName,
-        avoided: &BTreeSet<NodeName>,
+        excluded: &BTreeSet<NodeName>,
     ) -> Option<NodeName> {
-        if avoided.is_empty() {
+        if excluded.is_empty() {
             return self.owner(instance, zone, region);
         }
         self.members
             .owners
-            .owner_except(instance, zone, region, avoided)
+            .owner_except(instance, zone, region, excluded)
             .cloned()
     }
 
-    /// Peer address of a member.
+    /// Advertised peer address of a member.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
         self.members.addresses.get(node).copied()
     }
@@ -117,77 +119,78 @@
         &self.members.records
     }
 
-    /// What the zones last reported.
+    /// Latest report of each zone.
     pub fn zone_reports(&self) -> Vec<ZoneReport> {
         self.gate.reports(clock::now())
     }
 
-    /// The relays of every zone.
+    /// Configuration relays of all zones.
     pub fn relays(&self) -> &[NodeName] {
         &self.members.relays
     }
 
-    /// Whether this node is a relay of its zone.
+    /// Whether this node is a configuration relay of its zone.
     pub fn is_relay(&self) -> bool {
         self.members.is_relay
     }
 
-    /// The documents in force.
+    /// Configuration documents in force.
     pub fn config(&self) -> &ConfigState {
         &self.config
     }
 
-    /// Age of the newest contact with the platform, in milliseconds.
+    /// Time since the latest contact with the platform, in milliseconds.
     pub fn platform_age_ms(&self) -> u32 {
         self.gate.platform_age_ms(clock::now())
     }
 }
 
-/// Receivers of what the control actor publishes.
+/// Handle to the control actor and to the state that it publishes.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
-    /// The actor.
+    /// Address of the control actor.
     pub actor: Address<ControlActor>,
-    /// The control plane as last published.
+    /// Latest snapshot of the control plane.
     pub view: watch::Receiver<Arc<ControlView>>,
-    /// The configuration in force.
+    /// Resolved configuration in force.
     pub config: watch::Receiver<Arc<ResolvedConfig>>,
 }
 
 impl ControlHandle {
-    /// The control plane as last published.
+    /// The latest snapshot of the control plane.
     pub fn view(&self) -> Arc<ControlView> {
         self.view.borrow().clone()
     }
 
-    /// The configuration in force.
+    /// The resolved configuration in force.
     pub fn config(&self) -> Arc<ResolvedConfig> {
         self.config.borrow().clone()
     }
 }
 
-/// Drives the control plane.
+/// Feeds messages and timer ticks to the control plane and publishes its state.
 #[derive(xtra::Actor)]
 pub struct ControlActor {
     plane: ControlPlane,
     links: Arc<PeerLinks>,
     view: watch::Sender<Arc<ControlView>>,
     config: watch::Sender<Arc<ResolvedConfig>>,
+    /// Configuration revision reported by each node, with the time of the report.
     revisions: BTreeMap<String, (Instant, NodeRevision)>,
     sequence: u64,
     serving: Option<Result<(), NotServing>>,
     reachable_zones: BTreeSet<String>,
 }
 
-/// Starts the control actor and its timer.
+/// Starts the control actor and the timer that drives it.
 pub fn start(plane: ControlPlane, links: Arc<PeerLinks>) -> ControlHandle {
-    let first = ControlView {
+    let initial = ControlView {
         own_name: Arc::from(plane.membership().own().node.as_str()),
-        members: Arc::new(MembersView::new(&plane)),
+        members: Arc::new(MembershipView::new(&plane)),
         gate: plane.gate().clone(),
         config: Arc::new(plane.config().clone()),
     };
-    let (view_sender, view) = watch::channel(Arc::new(first));
+    let (view_sender, view) = watch::channel(Arc::new(initial));
     let (config_sender, config) = watch::channel(Arc::new(ResolvedConfig::default()));
     let actor = ControlActor {
         plane,
@@ -200,13 +203,13 @@
         reachable_zones: BTreeSet::new(),
     };
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-    let ticker = address.clone();
+    let timer = address.clone();
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(TICK);
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
-            if ticker.send(Tick).await.is_err() {
+            if timer.send(Tick).await.is_err() {
                 return;
             }
         }
@@ -227,6 +230,7 @@
         }
     }
 
+    /// Publishes a new snapshot, and the configuration if it has changed.
     fn publish(&mut self) {
         let now = clock::now();
         let mut view = ControlView::clone(&self.view.borrow());
@@ -237,13 +241,14 @@
         let reachable = self.plane.reachable_zones(now);
         if self.plane.take_members_changed() || reachable != self.reachable_zones {
             self.reachable_zones = reachable;
-            view.members = Arc::new(MembersView::new(&self.plane));
+            view.members = Arc::new(MembershipView::new(&self.plane));
         }
         view.gate = self.plane.gate().clone();
         self.view.send_replace(Arc::new(view));
         self.log_serving(now);
     }
 
+    /// Logs when the node starts or stops serving.
     fn log_serving(&mut self, now: Instant) {
         let serving = self.plane.may_serve(now);
         if self.serving == Some(serving) {
@@ -259,6 +264,8 @@
         }
     }
 
+    /// Resolves the configuration documents and publishes the result. A document
+    /// that does not resolve is logged.
     fn publish_config(&mut self) {
         let previous = self.config.borrow().clone();
         let (resolved, errors) = self.plane.config().resolve(&previous);
@@ -275,7 +282,7 @@
     }
 }
 
-/// Lets time pass.
+/// Runs the control plane's timers.
 struct Tick;
 
 impl Handler<Tick> for ControlActor {
@@ -288,61 +295,63 @@
     }
 }
 
-/// A control message of a peer.
-pub struct FromPeer {
-    /// The peer.
+/// A control message received from a peer.
+pub struct PeerControlMessage {
+    /// Name of the peer.
     pub peer: Arc<str>,
-    /// What it said.
+    /// Received message.
     pub message: ControlMessage,
 }
 
-impl Handler<FromPeer> for ControlActor {
+impl Handler<PeerControlMessage> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, from: FromPeer, _context: &mut Context<Self>) {
+    async fn handle(&mut self, received: PeerControlMessage, _context: &mut Context<Self>) {
         let now = clock::now();
-        if let ControlMessage::Revisions { nodes, .. } = &from.message {
+        if let ControlMessage::Revisions { nodes, .. } = &received.message {
             for node in nodes {
                 self.merge_revision(now, node);
             }
             return;
         }
-        let outgoing = self.plane.receive(now, &from.peer, &from.message);
+        let outgoing = self.plane.receive(now, &received.peer, &received.message);
         self.send_all(outgoing);
         self.publish();
     }
 }
 
 impl ControlActor {
+    /// Keeps the highest revision and the latest report time of a node.
     fn merge_revision(&mut self, now: Instant, node: &NodeRevision) {
-        let made = Instant(now.0.saturating_sub(u64::from(node.age_ms) * 1_000));
+        let reported_at = Instant(now.0.saturating_sub(u64::from(node.age_ms) * 1_000));
         let entry = self
             .revisions
             .entry(node.node.clone())
-            .or_insert((made, node.clone()));
+            .or_insert((reported_at, node.clone()));
         entry.1.revision = entry.1.revision.max(node.revision);
-        entry.0 = entry.0.max(made);
+        entry.0 = entry.0.max(reported_at);
     }
 }
 
-/// News from the platform's store.
+/// An update from the platform's configuration store.
 pub enum FromPlatform {
-    /// The whole content at a revision.
+    /// All documents at a revision.
     Snapshot {
-        /// When it was asked for.
+        /// Time at which the snapshot was requested.
         asked: Instant,
-        /// The revision.
+        /// Store revision of the snapshot.
         revision: u64,
-        /// The content.
+        /// All documents at the revision.
         documents: Vec<WireDocument>,
     },
-    /// Changes up to a revision; none for a sign of life.
+    /// Documents changed up to a revision; empty if the store only confirms that
+    /// it is reachable.
     Changes {
-        /// When a sign of life was asked for.
+        /// Time at which the store was asked to confirm its revision, if it was.
         asked: Option<Instant>,
-        /// The revision.
+        /// Latest store revision.
         revision: u64,
-        /// The changes.
+        /// Changed documents.
         documents: Vec<WireDocument>,
     },
 }
@@ -350,9 +359,9 @@
 impl Handler<FromPlatform> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, news: FromPlatform, _context: &mut Context<Self>) {
+    async fn handle(&mut self, update: FromPlatform, _context: &mut Context<Self>) {
         let now = clock::now();
-        let outgoing = match news {
+        let outgoing = match update {
             FromPlatform::Snapshot {
                 asked,
                 revision,
@@ -375,7 +384,7 @@
     }
 }
 
-/// Marks the node as leaving.
+/// Marks the node as leaving, so that it gets no new work.
 pub struct Leave;
 
 impl Handler<Leave> for ControlActor {
@@ -387,7 +396,7 @@
     }
 }
 
-/// Says goodbye: the node has stopped serving.
+/// Tells the peers that the node has stopped.
 pub struct Depart;
 
 impl Handler<Depart> for ControlActor {
@@ -399,17 +408,17 @@
     }
 }
 
-/// Where every node stands with respect to a revision; also asks the relays
-/// again, so that the next call knows more.
-pub struct AskStandings {
-    /// The revision.
+/// Returns the standing of every node with respect to a revision. Also requests
+/// the nodes' revisions from the relays; the answers count in later calls.
+pub struct GetStandings {
+    /// Configuration revision to report on.
     pub revision: u64,
 }
 
-impl Handler<AskStandings> for ControlActor {
+impl Handler<GetStandings> for ControlActor {
     type Return = BTreeMap<String, Standing>;
 
-    async fn handle(&mut self, ask: AskStandings, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, query: GetStandings, _context: &mut Context<Self>) -> Self::Return {
         let now = clock::now();
         self.sequence += 1;
         let request = ControlMessage::RevisionsRequest {
@@ -427,8 +436,8 @@
         let reports = self
             .revisions
             .iter()
-            .map(|(name, (made, revision))| {
-                let age_ms = u32::try_from(now.millis_since(*made)).unwrap_or(u32::MAX);
+            .map(|(name, (reported_at, revision))| {
+                let age_ms = u32::try_from(now.millis_since(*reported_at)).unwrap_or(u32::MAX);
                 (
                     name.clone(),
                     NodeRevision {
@@ -438,6 +447,6 @@
                 )
             })
             .collect();
-        self.plane.standings(now, ask.revision, &reports)
+        self.plane.standings(now, query.revision, &reports)
     }
 }
--- a/crates/millwind-node/src/owner/execute.rs
+++ b/crates/millwind-node/src/owner/execute.rs
@@ -1,4 +1,4 @@
-//! Runs one batch on one instance.
+//! Runs one batch of statements on one back-end instance.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 use super::ledger;
 use super::monitor::MonitorHandle;
-use super::pins::{PinTable, Pinned};
+use super::pins::{PinTable, PinnedConnection};
 use super::pool::{PoolHandle, Slot};
 use crate::clock;
 use crate::pg::STATUS_IDLE;
@@ -23,38 +23,39 @@
 use crate::pg::backend::{BackendConnection, BackendError};
 use crate::pg::status::{parse_status, put_status};
 
-/// SQLSTATE of a write on an instance that only replays.
+/// SQLSTATE of a write on a read-only instance, such as a replica.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE of a statement on an instance that is stopping or starting.
+/// SQLSTATE returned while the instance starts or stops.
 const CANNOT_CONNECT_NOW: &str = "57P03";
-const SHUTDOWN: &str = "57P01";
+/// SQLSTATE of a statement that an instance shutdown terminated.
+const ADMIN_SHUTDOWN: &str = "57P01";
 
-/// A batch that was answered.
+/// The back end's reply to a batch.
 #[derive(Debug)]
-pub struct Answered {
-    /// Position after a write, or before a read.
+pub struct BatchReply {
+    /// Log position after a write or before a read; none if it was not queried.
     pub position: Option<Position>,
-    /// Transaction status byte.
+    /// Transaction status byte of the last `ReadyForQuery` message.
     pub transaction_status: u8,
-    /// Pinned connection, zero for none.
+    /// Id of the connection pinned to the open transaction, or zero.
     pub pin: u64,
     /// Encoded backend messages.
     pub messages: Vec<u8>,
 }
 
-/// A batch that was refused or failed.
+/// The reason why a batch got no reply.
 #[derive(Debug)]
 pub struct Failure {
-    /// What the caller is told, unless the gateway finds a way around.
+    /// Error kind reported to the client if the gateway does not retry.
     pub kind: ErrorKind,
-    /// How far the batch got.
+    /// Whether the batch may have taken effect.
     pub progress: Progress,
-    /// Detail for people.
+    /// Human-readable description.
     pub detail: String,
 }
 
 impl Failure {
-    /// A refusal before anything was sent.
+    /// A failure before anything was sent to the back end.
     pub fn not_sent(kind: ErrorKind, detail: impl ToString) -> Self {
         Failure {
             kind,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// A failure after the batch may have reached the back end.
-    pub fn sent(detail: impl ToString) -> Self {
+    /// A failure after which the batch may or may not have taken effect.
+    pub fn outcome_unknown(detail: impl ToString) -> Self {
         Failure {
             kind: ErrorKind::OutcomeUnknown,
             progress: Progress::Sent,
@@ -72,8 +73,8 @@
         }
     }
 
-    /// A failure whose transaction is proven undone.
-    pub fn undone(kind: ErrorKind, detail: impl ToString) -> Self {
+    /// A failure whose transaction is known to have had no effect.
+    pub fn rolled_back(kind: ErrorKind, detail: impl ToString) -> Self {
         Failure {
             kind,
             progress: Progress::ProvenUndone,
@@ -82,31 +83,31 @@
     }
 }
 
-/// Everything one execution needs.
+/// The context in which one request runs.
 #[derive(Debug)]
 pub struct Execution<'a> {
-    /// Watches the group.
+    /// Monitor of the instance's group.
     pub monitor: &'a MonitorHandle,
-    /// Pool of the instance.
+    /// Connection pool of the instance.
     pub pool: &'a PoolHandle,
-    /// Pinned connections of the node.
+    /// Connections pinned to open transactions on this node.
     pub pins: &'a PinTable,
-    /// Link the request came by.
+    /// Id of the peer link that the request arrived on.
     pub link: u64,
-    /// The instance.
+    /// Instance that runs the batch.
     pub instance: InstanceName,
-    /// When the answer must be there.
+    /// Time by which the request must be answered.
     pub deadline: Instant,
-    /// The request.
+    /// Request to run.
     pub request: &'a ExecuteRequest,
 }
 
 impl Execution<'_> {
-    /// Runs the batch.
-    pub async fn run(&self) -> Result<Answered, Failure> {
+    /// Runs the batch as its intent requires.
+    pub async fn run(&self) -> Result<BatchReply, Failure> {
         match self.request.intent {
             Intent::Read | Intent::Describe => self.run_read().await,
-            Intent::Floor => self.run_floor().await,
+            Intent::Floor => self.run_position_query().await,
             Intent::Write if self.request.request_key.is_empty() => self.run_write().await,
             Intent::Write => ledger::run_write(self).await,
             Intent::Begin => self.run_begin().await,
@@ -115,13 +116,15 @@
         }
     }
 
-    fn token(&self) -> Option<Position> {
+    /// The position that the session must see, if it has one.
+    fn session_token(&self) -> Option<Position> {
         let WirePosition { term, log_position } = self.request.token;
         (term > 0).then(|| Position::new(term, log_position))
     }
 
-    /// Takes a slot of the instance.
-    pub async fn acquire(&self) -> Result<Slot, Failure> {
+    /// Waits for an execution slot of the instance; fails when the admission queue
+    /// rejects the request or the deadline passes.
+    pub async fn acquire_slot(&self) -> Result<Slot, Failure> {
         let ticket = Ticket {
             id: self.request.request_id,
             tenant: TenantName::from(self.request.tenant.as_str()),
@@ -132,42 +135,45 @@
         self.pool
             .acquire(ticket)
             .await
-            .map_err(|kind| Failure::not_sent(kind, "admission"))
+            .map_err(|kind| Failure::not_sent(kind, "not admitted to the instance"))
     }
 
-    /// Opens or reuses a connection; nothing has been sent on failure.
+    /// Reuses the slot's idle connection or opens a new one.
     pub async fn connection(&self, slot: &mut Slot) -> Result<BackendConnection, Failure> {
         slot.connection()
             .await
             .map_err(|error| Failure::not_sent(ErrorKind::BackEndUnreachable, error))
     }
 
-    /// The term this instance leads, or a refusal.
+    /// The term in which this instance is primary; fails if it is not the primary.
     pub fn leading_term(&self) -> Result<Term, Failure> {
         match self.monitor.snapshot().primary(clock::now()) {
             Some((primary, term)) if *primary == self.instance => Ok(term),
-            Some(_) => Err(Failure::not_sent(ErrorKind::NotPrimary, "another instance leads")),
-            None => Err(Failure::not_sent(ErrorKind::NoPrimary, "no instance leads")),
+            Some(_) => Err(Failure::not_sent(
+                ErrorKind::NotPrimary,
+                "another instance is primary",
+            )),
+            None => Err(Failure::not_sent(ErrorKind::NoPrimary, "no instance is primary")),
         }
     }
 
-    async fn run_read(&self) -> Result<Answered, Failure> {
+    async fn run_read(&self) -> Result<BatchReply, Failure> {
         if self.request.intent == Intent::Read {
             self.await_coverage().await?;
         }
-        let mut slot = self.acquire().await?;
+        let mut slot = self.acquire_slot().await?;
         let mut connection = self.connection(&mut slot).await?;
         let work = self.read_with_position(&mut connection);
         let (status, answer) = tokio::time::timeout(clock::until(self.deadline), work)
             .await
-            .map_err(|_| Failure::not_sent(ErrorKind::WindowTooShort, "no answer in the window"))?
+            .map_err(|_| Failure::not_sent(ErrorKind::WindowTooShort, "no answer before the deadline"))?
             .map_err(read_failure)?;
         self.monitor.observe(&self.instance, status.clone()).await;
         if answer.transaction_status == STATUS_IDLE {
             slot.finish(connection);
         }
-        self.check_read(&status)?;
-        Ok(Answered {
+        self.check_session_position(&status)?;
+        Ok(BatchReply {
             position: Some(status.position),
             transaction_status: answer.transaction_status,
             pin: 0,
@@ -175,10 +181,10 @@
         })
     }
 
-    /// Asks for the position and runs the batch behind it, in one go.
+    /// Queries the instance's status and runs the batch, pipelined in that order.
     ///
-    /// Must hold because the read is released on that position: it was taken
-    /// before the read on the same connection, so the read saw at least that.
+    /// The status query runs first on the same connection, so the batch sees at
+    /// least the position it returns. Session consistency relies on this order.
     async fn read_with_position(
         &self,
         connection: &mut BackendConnection,
@@ -199,7 +205,8 @@
         Ok((status, answer))
     }
 
-    fn check_read(&self, status: &InstanceStatus) -> Result<(), Failure> {
+    /// Fails if a read ran at a position that does not cover the session's.
+    fn check_session_position(&self, status: &InstanceStatus) -> Result<(), Failure> {
         if self.request.intent != Intent::Read {
             return Ok(());
         }
@@ -207,41 +214,45 @@
             Coverage::Covered => Ok(()),
             Coverage::Behind => Err(Failure::not_sent(
                 ErrorKind::ReplicaBehind,
-                "position does not cover the session",
+                "the instance does not cover the session's position",
             )),
             Coverage::Discarded => Err(Failure::not_sent(
                 ErrorKind::SessionDiscarded,
-                "a later term discarded it",
+                "a later term discarded the session's position",
             )),
         }
     }
 
-    /// Waits until the instance covers the session and is fresh enough.
+    /// Waits until the instance covers the session's position and meets the
+    /// staleness bound; fails if it cannot or does not in time.
     async fn await_coverage(&self) -> Result<(), Failure> {
         let mut view = self.monitor.view.clone();
         let wait = Duration::from_millis(self.request.wait_ms.into()).min(clock::until(self.deadline));
-        let give_up = tokio::time::Instant::now() + wait;
-        let mut _awaited = None;
+        let wait_until = tokio::time::Instant::now() + wait;
+        let mut _catch_up_wait = None;
         loop {
-            let obstacle = match self.obstacle(&view.borrow_and_update()) {
+            let rejection = match self.read_rejection(&view.borrow_and_update()) {
                 None => return Ok(()),
                 Some(kind) => kind,
             };
-            if obstacle != ErrorKind::ReplicaBehind {
-                return Err(Failure::not_sent(obstacle, "instance cannot serve the read"));
+            if rejection != ErrorKind::ReplicaBehind {
+                return Err(Failure::not_sent(rejection, "the instance cannot serve the read"));
             }
-            if _awaited.is_none() {
-                _awaited = self.monitor.await_instance(&self.instance);
+            if _catch_up_wait.is_none() {
+                _catch_up_wait = self.monitor.begin_catch_up_wait(&self.instance);
             }
-            let changed = tokio::time::timeout_at(give_up, view.changed()).await;
+            let changed = tokio::time::timeout_at(wait_until, view.changed()).await;
             if !matches!(changed, Ok(Ok(()))) {
-                return Err(Failure::not_sent(obstacle, "instance did not catch up in time"));
+                return Err(Failure::not_sent(
+                    rejection,
+                    "the instance did not catch up in time",
+                ));
             }
         }
     }
 
-    /// What keeps the instance from serving this read, by the view.
-    fn obstacle(&self, view: &millwind_core::group_view::GroupView) -> Option<ErrorKind> {
+    /// Returns why the instance cannot serve this read, according to the view.
+    fn read_rejection(&self, view: &millwind_core::group_view::GroupView) -> Option<ErrorKind> {
         let now = clock::now();
         if view.is_leaving(&self.instance) {
             return Some(ErrorKind::BackEndUnreachable);
@@ -255,7 +266,7 @@
                 .is_some_and(|(primary, _)| *primary == self.instance);
             return (!leads).then_some(ErrorKind::NotPrimary);
         }
-        if let Some(token) = self.token() {
+        if let Some(token) = self.session_token() {
             match coverage(status.position, &status.history, token) {
                 Coverage::Covered => {}
                 Coverage::Behind => return Some(ErrorKind::ReplicaBehind),
@@ -267,17 +278,18 @@
         (!fresh).then_some(ErrorKind::ReplicaBehind)
     }
 
-    /// The position a session without a token must see: the primary's own, and
-    /// confirmed as a commit is, lest an old primary name one that lacks what
-    /// its successor has acknowledged.
-    async fn run_floor(&self) -> Result<Answered, Failure> {
+    /// Returns the primary's position, for a session that has no token yet.
+    ///
+    /// The position is confirmed by a majority as a commit is, because a deposed
+    /// primary may lack writes that its successor has acknowledged.
+    async fn run_position_query(&self) -> Result<BatchReply, Failure> {
         self.leading_term()?;
-        let _expected = self.monitor.expect_commit();
-        let answered = self.run_read().await?;
-        let position = answered.position.unwrap_or_default();
+        let _announcement = self.monitor.announce_commit();
+        let reply = self.run_read().await?;
+        let position = reply.position.unwrap_or_default();
         let verdict = self.monitor.confirm(position, clock::until(self.deadline)).await;
         match verdict {
-            Some(Verdict::Confirmed) => Ok(answered),
+            Some(Verdict::Confirmed) => Ok(reply),
             _ => Err(Failure::not_sent(
                 ErrorKind::NoPrimary,
                 "the primary's position was not confirmed",
@@ -285,41 +297,43 @@
         }
     }
 
-    async fn run_write(&self) -> Result<Answered, Failure> {
+    /// Runs a write in a transaction of its own and confirms its commit.
+    async fn run_write(&self) -> Result<BatchReply, Failure> {
         let term = self.leading_term()?;
-        let mut slot = self.acquire().await?;
+        let mut slot = self.acquire_slot().await?;
         let mut connection = self.connection(&mut slot).await?;
         let mut bytes = BytesMut::from(&self.request.batch[..]);
         put_status(&mut bytes).map_err(|error| Failure::not_sent(ErrorKind::Unsupported, error))?;
-        let _expected = self.monitor.expect_commit();
+        let _announcement = self.monitor.announce_commit();
         let exchange = async {
             connection.send(&bytes).await?;
             let answer = connection.next_answer().await?;
             let status = read_status(&mut connection).await?;
             Ok((answer, status))
         };
-        let (answer, status) = self.guarded(term, exchange).await?;
+        let (answer, status) = self.run_in_term(term, exchange).await?;
         if answer.transaction_status == STATUS_IDLE {
             slot.finish(connection);
         }
-        self.conclude_write(answer, status).await
+        self.finish_write(answer, status).await
     }
 
-    /// Runs an exchange until it ends, the deadline passes, or a higher term
-    /// shows that its primary is an old one.
-    pub async fn guarded<T>(
+    /// Runs an exchange with the primary of `term`. The outcome is unknown if the
+    /// deadline passes or an instance reports a higher term first.
+    pub async fn run_in_term<T>(
         &self,
         term: Term,
         exchange: impl Future<Output = Result<T, BackendError>>,
     ) -> Result<T, Failure> {
         tokio::select! {
-            result = exchange => result.map_err(Failure::sent),
-            () = self.superseded(term) => Err(Failure::sent("a higher term was shown")),
-            () = tokio::time::sleep(clock::until(self.deadline)) => Err(Failure::sent("no answer in the window")),
+            result = exchange => result.map_err(Failure::outcome_unknown),
+            () = self.higher_term_observed(term) => Err(Failure::outcome_unknown("a higher term was observed")),
+            () = tokio::time::sleep(clock::until(self.deadline)) => Err(Failure::outcome_unknown("no answer before the deadline")),
         }
     }
 
-    async fn superseded(&self, term: Term) {
+    /// Completes when an instance reports a term above `term`.
+    async fn higher_term_observed(&self, term: Term) {
         let mut view = self.monitor.view.clone();
         loop {
             if view.borrow_and_update().highest_term() > term {
@@ -331,26 +345,27 @@
         }
     }
 
-    /// Decides what may be said of a write that the back end has answered.
-    async fn conclude_write(&self, answer: Answer, status: InstanceStatus) -> Result<Answered, Failure> {
+    /// Turns the back end's answer to a write into a reply or a failure.
+    async fn finish_write(&self, answer: Answer, status: InstanceStatus) -> Result<BatchReply, Failure> {
         if let Some(error) = &answer.error {
-            if is_refusal(&error.sqlstate) {
-                return Err(Failure::undone(ErrorKind::NotPrimary, &error.message));
+            if is_write_rejection(&error.sqlstate) {
+                return Err(Failure::rolled_back(ErrorKind::NotPrimary, &error.message));
             }
-            // The statement failed by itself; there is nothing to confirm.
-            return Ok(answered(answer, None, 0));
+            // The statement failed, so no commit needs confirmation.
+            return Ok(batch_reply(answer, None, 0));
         }
         self.confirm(&status).await?;
-        Ok(answered(answer, Some(status.position), 0))
+        Ok(batch_reply(answer, Some(status.position), 0))
     }
 
-    /// Confirms a finished commit before anything is said of it.
+    /// Waits until a majority confirms a finished commit.
     ///
-    /// Must hold because no write is acknowledged by an old primary.
+    /// A commit must be confirmed before it is acknowledged: a deposed primary
+    /// may have accepted it.
     pub async fn confirm(&self, status: &InstanceStatus) -> Result<(), Failure> {
         self.monitor.observe(&self.instance, status.clone()).await;
         if status.role != Role::Primary {
-            return Err(Failure::sent("the instance stopped leading"));
+            return Err(Failure::outcome_unknown("the instance is no longer primary"));
         }
         let verdict = self
             .monitor
@@ -358,12 +373,17 @@
             .await;
         match verdict {
             Some(Verdict::Confirmed) => Ok(()),
-            Some(Verdict::Superseded) => Err(Failure::sent("a higher term was shown after the commit")),
-            None => Err(Failure::sent("no majority answered in the window")),
+            Some(Verdict::Superseded) => Err(Failure::outcome_unknown(
+                "a higher term was observed after the commit",
+            )),
+            None => Err(Failure::outcome_unknown(
+                "no majority confirmed the commit before the deadline",
+            )),
         }
     }
 
-    async fn run_begin(&self) -> Result<Answered, Failure> {
+    /// Begins a transaction and pins its connection to the link.
+    async fn run_begin(&self) -> Result<BatchReply, Failure> {
         let term = self.leading_term()?;
         let limit = self
             .pool
@@ -371,126 +391,142 @@
             .connections
             .saturating_sub(self.pool.limits.slots)
             .max(1);
-        let mut slot = self.acquire().await?;
+        let mut slot = self.acquire_slot().await?;
         let Some(pin) = self.pins.reserve(&self.instance, self.link, limit as usize) else {
             return Err(Failure::not_sent(
                 ErrorKind::QueueFull,
                 "too many open transactions",
             ));
         };
-        let begun = self.begin_on(&mut slot, term).await;
-        let (connection, answer) = match begun {
+        let begin_result = self.begin_transaction(&mut slot, term).await;
+        let (connection, answer) = match begin_result {
             Ok(begun) => begun,
             Err(failure) => {
-                self.pins.free(pin);
+                self.pins.release(pin);
                 return Err(failure);
             }
         };
         if answer.transaction_status == STATUS_IDLE {
-            self.pins.free(pin);
+            self.pins.release(pin);
             slot.finish(connection);
-            return Ok(answered(answer, None, 0));
+            return Ok(batch_reply(answer, None, 0));
         }
-        // The slot goes back: an open transaction must not keep others waiting.
+        // An idle transaction must not block the admission queue.
         drop(slot);
-        self.pins.put(pin, self.pinned(connection));
-        Ok(answered(answer, None, pin))
+        self.pins.put_back(pin, self.pinned(connection));
+        Ok(batch_reply(answer, None, pin))
     }
 
-    /// Begins a transaction behind a position question, in one go.
+    /// Queries the instance's status and begins a transaction, pipelined.
     ///
-    /// Must hold because a transaction also reads: it begins only where the
-    /// session's own writes are, not on an old primary that lacks them.
-    async fn begin_on(&self, slot: &mut Slot, term: Term) -> Result<(BackendConnection, Answer), Failure> {
+    /// Fails if the instance does not cover the session's position: reads in the
+    /// transaction must see the session's own writes.
+    async fn begin_transaction(
+        &self,
+        slot: &mut Slot,
+        term: Term,
+    ) -> Result<(BackendConnection, Answer), Failure> {
         let mut connection = self.connection(slot).await?;
-        // Nothing can be committed before a commit is sent.
+        // No COMMIT was sent, so the transaction cannot have committed.
         let (status, answer) = self
-            .guarded(term, self.read_with_position(&mut connection))
+            .run_in_term(term, self.read_with_position(&mut connection))
             .await
-            .map_err(|failure| Failure::undone(ErrorKind::TransactionLost, failure.detail))?;
-        if let Some(error) = answer.error.as_ref().filter(|error| is_refusal(&error.sqlstate)) {
-            return Err(Failure::undone(ErrorKind::NotPrimary, &error.message));
+            .map_err(|failure| Failure::rolled_back(ErrorKind::TransactionLost, failure.detail))?;
+        if let Some(error) = answer
+            .error
+            .as_ref()
+            .filter(|error| is_write_rejection(&error.sqlstate))
+        {
+            return Err(Failure::rolled_back(ErrorKind::NotPrimary, &error.message));
         }
         match self.token_coverage(&status) {
             Coverage::Covered => Ok((connection, answer)),
-            Coverage::Behind => Err(Failure::undone(
+            Coverage::Behind => Err(Failure::rolled_back(
                 ErrorKind::NotPrimary,
-                "it lacks the session's writes",
+                "the instance lacks the session's writes",
             )),
-            Coverage::Discarded => Err(Failure::undone(
+            Coverage::Discarded => Err(Failure::rolled_back(
                 ErrorKind::SessionDiscarded,
-                "a later term discarded it",
+                "a later term discarded the session's position",
             )),
         }
     }
 
-    /// Whether an instance at `status` holds what the session must see.
+    /// Whether an instance at `status` covers the session's position.
     fn token_coverage(&self, status: &InstanceStatus) -> Coverage {
-        self.token().map_or(Coverage::Covered, |token| {
+        self.session_token().map_or(Coverage::Covered, |token| {
             coverage(status.position, &status.history, token)
         })
     }
 
-    fn pinned(&self, connection: BackendConnection) -> Pinned {
-        Pinned {
+    fn pinned(&self, connection: BackendConnection) -> PinnedConnection {
+        PinnedConnection {
             connection,
             instance: self.instance.clone(),
             link: self.link,
         }
     }
 
-    fn take_pin(&self) -> Result<BackendConnection, Failure> {
+    fn take_pinned_connection(&self) -> Result<BackendConnection, Failure> {
         self.pins
             .take(self.request.pin, self.link)
             .map(|pinned| pinned.connection)
-            .ok_or_else(|| Failure::undone(ErrorKind::TransactionLost, "its connection is gone"))
+            .ok_or_else(|| {
+                Failure::rolled_back(
+                    ErrorKind::TransactionLost,
+                    "the transaction's connection is closed",
+                )
+            })
     }
 
-    async fn run_continue(&self) -> Result<Answered, Failure> {
+    /// Runs a batch in the open transaction of a pinned connection.
+    async fn run_continue(&self) -> Result<BatchReply, Failure> {
         let pin = self.request.pin;
-        let mut connection = self.take_pin()?;
+        let mut connection = self.take_pinned_connection()?;
         let term = self.monitor.snapshot().highest_term();
         let exchange = async {
             connection.send(&self.request.batch).await?;
             connection.next_answer().await
         };
-        let answer = match self.guarded(term, exchange).await {
+        let answer = match self.run_in_term(term, exchange).await {
             Ok(answer) => answer,
             Err(failure) => {
-                self.pins.free(pin);
-                // No commit was sent: closing the connection rolls back.
-                return Err(Failure::undone(ErrorKind::TransactionLost, failure.detail));
+                self.pins.release(pin);
+                // No COMMIT was sent; closing the connection rolls back.
+                return Err(Failure::rolled_back(ErrorKind::TransactionLost, failure.detail));
             }
         };
         if answer.transaction_status == STATUS_IDLE {
-            self.pins.free(pin);
-            self.pool.deposit(connection).await;
-            return Ok(answered(answer, None, 0));
+            self.pins.release(pin);
+            self.pool.return_connection(connection).await;
+            return Ok(batch_reply(answer, None, 0));
         }
-        self.pins.put(pin, self.pinned(connection));
-        Ok(answered(answer, None, pin))
+        self.pins.put_back(pin, self.pinned(connection));
+        Ok(batch_reply(answer, None, pin))
     }
 
-    async fn run_commit(&self) -> Result<Answered, Failure> {
+    /// Commits the transaction of a pinned connection and confirms the commit.
+    async fn run_commit(&self) -> Result<BatchReply, Failure> {
         let pin = self.request.pin;
-        let mut connection = self.take_pin()?;
+        let mut connection = self.take_pinned_connection()?;
         let term = self.monitor.snapshot().highest_term();
-        let _expected = self.monitor.expect_commit();
+        let _announcement = self.monitor.announce_commit();
         let result = ledger::commit(self, &mut connection, term).await;
-        self.pins.free(pin);
+        self.pins.release(pin);
         let (answer, status) = result?;
         if answer.transaction_status == STATUS_IDLE {
-            self.pool.deposit(connection).await;
+            self.pool.return_connection(connection).await;
         }
         if !is_commit(&answer) {
-            return Ok(answered(answer, None, 0));
+            return Ok(batch_reply(answer, None, 0));
         }
         self.confirm(&status).await?;
-        Ok(answered(answer, Some(status.position), 0))
+        Ok(batch_reply(answer, Some(status.position), 0))
     }
 }
 
-/// Whether the answer says that a transaction was committed.
+/// Whether the answer contains the command tag `COMMIT` and no error; a failed
+/// transaction is answered with `ROLLBACK`.
 fn is_commit(answer: &Answer) -> bool {
     const COMMIT_TAG: &[u8] = b"COMMIT\0";
     answer.error.is_none()
@@ -500,20 +536,20 @@
             .any(|window| window == COMMIT_TAG)
 }
 
-/// Whether an error means that the instance takes no writes at all.
-pub fn is_refusal(sqlstate: &str) -> bool {
-    [READ_ONLY_TRANSACTION, CANNOT_CONNECT_NOW, SHUTDOWN].contains(&sqlstate)
+/// Whether an error means that the instance accepts no writes at all.
+pub fn is_write_rejection(sqlstate: &str) -> bool {
+    [READ_ONLY_TRANSACTION, CANNOT_CONNECT_NOW, ADMIN_SHUTDOWN].contains(&sqlstate)
 }
 
-/// Reads the answer to a status question.
+/// Reads the answer to a status query.
 pub async fn read_status(connection: &mut BackendConnection) -> Result<InstanceStatus, BackendError> {
     let answer = connection.next_answer().await?;
     parse_status(&answer).map_err(|error| BackendError::Protocol(error.to_string()))
 }
 
-/// An answer with its position and pin.
-pub fn answered(answer: Answer, position: Option<Position>, pin: u64) -> Answered {
-    Answered {
+/// Builds the reply from a back-end answer, its position and its pin.
+pub fn batch_reply(answer: Answer, position: Option<Position>, pin: u64) -> BatchReply {
+    BatchReply {
         position,
         transaction_status: answer.transaction_status,
         pin,
@@ -521,7 +557,8 @@
     }
 }
 
-/// A failed read changed nothing, so it counts as not sent.
+/// Converts the error of a read. A read has no effects, so the request may be
+/// repeated as if it had not been sent.
 fn read_failure(error: BackendError) -> Failure {
     let kind = match error {
         BackendError::TooLarge => ErrorKind::AnswerTooLarge,
--- a/crates/millwind-node/src/owner/mod.rs
+++ b/crates/millwind-node/src/owner/mod.rs
@@ -1,5 +1,6 @@
-//! The owner of back-end instances: holds their connections and admission
-//! queues, runs batches, confirms writes and settles request ids.
+//! The node's role as owner of back-end instances: keeps their connection pools
+//! and admission queues, runs batches, confirms commits and resolves requests
+//! whose outcome is unknown.
 
 mod execute;
 mod ledger;
--- a/crates/millwind-node/src/owner/monitor.rs
+++ b/crates/millwind-node/src/owner/monitor.rs
@@ -1,5 +1,5 @@
-//! Watches one database group: asks every instance for its status, keeps the
-//! view, and confirms writes.
+//! Monitors one database group: polls the status of every instance, publishes the
+//! group view and confirms commits.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -20,79 +20,82 @@
 use crate::pg::backend::{BackendConnection, BackendError, BackendTarget};
 use crate::pg::status::{parse_status, put_status};
 
-/// The primary is asked this often when nothing waits on it.
+/// Polling interval of the primary when no commit or read waits for a status.
 const PRIMARY_INTERVAL: Duration = Duration::from_millis(200);
-/// A replica this node owns is asked this often.
+/// Polling interval of replicas that this node owns.
 const OWNED_INTERVAL: Duration = Duration::from_millis(500);
-/// Other instances are asked this often.
-const DISTANT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// While a read waits for a replica, it is asked this often.
-const AWAITED_INTERVAL: Duration = Duration::from_millis(10);
-/// Between two tries to connect.
+/// Polling interval of replicas that other nodes own.
+const UNOWNED_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Polling interval of a replica while a read waits for it to catch up.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause between connection attempts.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// While the group shows no primary it is asked this often.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(10);
-/// While commits are on their way, instances are asked this often.
+/// Polling interval of all instances while the group has no known primary.
+const NO_PRIMARY_INTERVAL: Duration = Duration::from_millis(10);
+/// Polling interval of all instances while commits are pending.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(5);
-/// An instance that does not answer within this is unreachable.
+/// Time after which an instance that has not answered counts as unreachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Status questions in flight on one connection at most.
+/// Maximum number of status queries in flight on one connection.
 const MAXIMUM_IN_FLIGHT: usize = 8;
 
-/// The view as last published.
+/// An immutable copy of a group's view.
 pub type GroupSnapshot = Arc<GroupView>;
 
-/// Access to a group's monitor.
+/// Handle to the monitor of a group.
 #[derive(Debug, Clone)]
 pub struct MonitorHandle {
     actor: Address<MonitorActor>,
-    /// The view, changing with every status.
+    /// The latest view, updated with every status received.
     pub view: watch::Receiver<GroupSnapshot>,
-    commits: Arc<Commits>,
+    demand: Arc<PollingDemand>,
     probes: Arc<Vec<JoinHandle<()>>>,
 }
 
 impl MonitorHandle {
-    /// Confirms a commit at `position` that has finished; none when the monitor
-    /// is gone or gives no verdict before `limit`.
+    /// Waits for the verdict on a finished commit at `position`. Returns none if
+    /// the monitor has stopped or `limit` passes first.
     pub async fn confirm(&self, position: Position, limit: Duration) -> Option<Verdict> {
         let (id, receiver) = self.actor.send(Confirm { position }).await.ok()?;
         match tokio::time::timeout(limit, receiver).await {
             Ok(verdict) => verdict.ok(),
             Err(_) => {
-                let _ = self.actor.send(Forget { id }).await;
+                let _ = self.actor.send(CancelConfirm { id }).await;
                 None
             }
         }
     }
 
-    /// Announces a commit, so that the questions which confirm it run ahead of
-    /// the primary's answer; end it with the commit.
-    pub fn expect_commit(&self) -> ExpectedCommit {
-        self.commits.count.fetch_add(1, Ordering::Relaxed);
-        self.commits.wake_all();
-        ExpectedCommit {
-            commits: self.commits.clone(),
+    /// Polls instances at the confirmation interval until the returned guard is
+    /// dropped. Taken before a commit is sent, so that status answers are already
+    /// under way when the primary answers.
+    pub fn announce_commit(&self) -> CommitAnnouncement {
+        self.demand.pending_commits.fetch_add(1, Ordering::Relaxed);
+        self.demand.wake_all();
+        CommitAnnouncement {
+            demand: self.demand.clone(),
         }
     }
 
-    /// Takes in a status that rode on another answer.
+    /// Records a status that was received along with a batch.
     pub async fn observe(&self, instance: &InstanceName, status: InstanceStatus) {
         let _ = self
             .actor
-            .send(Observed {
+            .send(ObservedStatus {
                 instance: instance.clone(),
-                asked: None,
+                sequence: None,
                 status,
             })
             .await;
     }
 
-    /// Marks an instance as one this node owns.
+    /// Marks an instance as owned by this node.
     pub fn set_owned(&self, instance: &InstanceName) {
         if let Some(index) = self.index(instance) {
-            self.commits.interests[index].owned.store(true, Ordering::Relaxed);
+            self.demand.by_instance[index]
+                .owned
+                .store(true, Ordering::Relaxed);
         }
     }
 
@@ -100,29 +103,30 @@
         self.snapshot().instances().position(|name| name == instance)
     }
 
-    /// Announces a read that waits for an instance to catch up.
-    pub fn await_instance(&self, instance: &InstanceName) -> Option<AwaitedInstance> {
+    /// Polls an instance at the catch-up interval until the returned guard is
+    /// dropped. Returns none if the group has no such instance.
+    pub fn begin_catch_up_wait(&self, instance: &InstanceName) -> Option<CatchUpWait> {
         let index = self.index(instance)?;
-        let interest = &self.commits.interests[index];
-        interest.awaited.fetch_add(1, Ordering::Relaxed);
-        interest.wake.notify_one();
-        Some(AwaitedInstance {
-            commits: self.commits.clone(),
+        let instance_demand = &self.demand.by_instance[index];
+        instance_demand.waiting_reads.fetch_add(1, Ordering::Relaxed);
+        instance_demand.wake.notify_one();
+        Some(CatchUpWait {
+            demand: self.demand.clone(),
             index,
         })
     }
 
-    /// Marks instances as leaving.
+    /// Sets or clears the leaving mark of instances.
     pub async fn set_leaving(&self, leaving: Vec<(InstanceName, bool)>) {
         let _ = self.actor.send(SetLeaving { leaving }).await;
     }
 
-    /// The view as last published.
+    /// The latest view.
     pub fn snapshot(&self) -> GroupSnapshot {
         self.view.borrow().clone()
     }
 
-    /// Ends the probes.
+    /// Stops polling.
     pub fn stop(&self) {
         for probe in self.probes.iter() {
             probe.abort();
@@ -130,99 +134,99 @@
     }
 }
 
-/// Keeps the view of one group.
+/// Maintains the view of one group and its unconfirmed commits.
 #[derive(xtra::Actor)]
 struct MonitorActor {
     group: GroupName,
     view: GroupView,
     tracker: ConfirmationTracker,
-    waiting: HashMap<u64, oneshot::Sender<Verdict>>,
+    waiters: HashMap<u64, oneshot::Sender<Verdict>>,
     next_id: u64,
     published: watch::Sender<GroupSnapshot>,
-    commits: Arc<Commits>,
+    demand: Arc<PollingDemand>,
     primary: Option<(InstanceName, Term)>,
 }
 
-/// Commits on their way to their confirmation. While there are any, instances
-/// are asked often, ahead of the primary's answer.
+/// What requires probes to poll more often; shared by the probes and the guards.
 #[derive(Debug)]
-struct Commits {
-    count: AtomicUsize,
-    interests: Vec<Interest>,
+struct PollingDemand {
+    /// Number of commits that were announced and are not yet confirmed.
+    pending_commits: AtomicUsize,
+    by_instance: Vec<InstanceDemand>,
 }
 
-/// What this node wants of one instance.
+/// Polling requirements of one instance.
 #[derive(Debug, Default)]
-struct Interest {
-    /// Asks the instance now.
+struct InstanceDemand {
+    /// Triggers a status query at once.
     wake: Notify,
-    /// This node owns the instance.
+    /// Whether this node owns the instance.
     owned: AtomicBool,
-    /// Reads that wait for the instance to catch up.
-    awaited: AtomicUsize,
+    /// Number of reads that wait for the instance to catch up.
+    waiting_reads: AtomicUsize,
 }
 
-/// Held while a read waits for an instance to catch up.
+/// Guard that is held while a read waits for an instance to catch up.
 #[derive(Debug)]
-pub struct AwaitedInstance {
-    commits: Arc<Commits>,
+pub struct CatchUpWait {
+    demand: Arc<PollingDemand>,
     index: usize,
 }
 
-impl Drop for AwaitedInstance {
+impl Drop for CatchUpWait {
     fn drop(&mut self) {
-        self.commits.interests[self.index]
-            .awaited
+        self.demand.by_instance[self.index]
+            .waiting_reads
             .fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Commits {
+impl PollingDemand {
     fn wake_all(&self) {
-        for interest in &self.interests {
-            interest.wake.notify_one();
+        for instance_demand in &self.by_instance {
+            instance_demand.wake.notify_one();
         }
     }
 
-    fn are_expected(&self) -> bool {
-        self.count.load(Ordering::Relaxed) > 0
+    fn has_pending_commits(&self) -> bool {
+        self.pending_commits.load(Ordering::Relaxed) > 0
     }
 }
 
-/// Held while a commit is on its way.
+/// Guard that is held until a commit is confirmed or has failed.
 #[derive(Debug)]
-pub struct ExpectedCommit {
-    commits: Arc<Commits>,
+pub struct CommitAnnouncement {
+    demand: Arc<PollingDemand>,
 }
 
-impl Drop for ExpectedCommit {
+impl Drop for CommitAnnouncement {
     fn drop(&mut self) {
-        self.commits.count.fetch_sub(1, Ordering::Relaxed);
+        self.demand.pending_commits.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Starts watching a group.
+/// Starts the monitor of a group and a probe for each instance.
 pub fn start(
     group: GroupName,
     rule: ConfirmationRule,
     mut targets: Vec<(InstanceName, BackendTarget)>,
 ) -> MonitorHandle {
-    // The view lists instances by name; probes are numbered alike.
+    // `GroupView` sorts instances by name, and probe indices follow its order.
     targets.sort_by(|left, right| left.0.cmp(&right.0));
     let view = GroupView::new(targets.iter().map(|(name, _)| name.clone()));
     let (published, receiver) = watch::channel(Arc::new(view.clone()));
-    let commits = Arc::new(Commits {
-        count: AtomicUsize::new(0),
-        interests: targets.iter().map(|_| Interest::default()).collect(),
+    let demand = Arc::new(PollingDemand {
+        pending_commits: AtomicUsize::new(0),
+        by_instance: targets.iter().map(|_| InstanceDemand::default()).collect(),
     });
     let actor = MonitorActor {
         group,
         view,
         tracker: ConfirmationTracker::new(targets.len(), rule),
-        waiting: HashMap::new(),
+        waiters: HashMap::new(),
         next_id: 0,
         published,
-        commits: commits.clone(),
+        demand: demand.clone(),
         primary: None,
     };
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
@@ -234,7 +238,7 @@
                 instance,
                 target,
                 index,
-                commits: commits.clone(),
+                demand: demand.clone(),
                 monitor: address.clone(),
                 view: receiver.clone(),
             };
@@ -244,7 +248,7 @@
     MonitorHandle {
         actor: address,
         view: receiver,
-        commits,
+        demand,
         probes: Arc::new(probes),
     }
 }
@@ -263,8 +267,8 @@
                 }
                 None => {
                     warn!("event=primary_lost group={}", self.group);
-                    // Questions planned for later are asked now.
-                    self.commits.wake_all();
+                    // Probes query at once instead of after their interval.
+                    self.demand.wake_all();
                 }
             }
             self.primary = primary;
@@ -272,9 +276,10 @@
         self.published.send_replace(Arc::new(self.view.clone()));
     }
 
-    fn decide(&mut self, decided: Vec<(u64, Verdict)>) {
-        for (id, verdict) in decided {
-            if let Some(waiter) = self.waiting.remove(&id) {
+    /// Sends verdicts to the commits that wait for them.
+    fn deliver_verdicts(&mut self, verdicts: Vec<(u64, Verdict)>) {
+        for (id, verdict) in verdicts {
+            if let Some(waiter) = self.waiters.remove(&id) {
                 let _ = waiter.send(verdict);
             }
         }
@@ -288,84 +293,84 @@
 impl Handler<Confirm> for MonitorActor {
     type Return = (u64, oneshot::Receiver<Verdict>);
 
-    async fn handle(&mut self, confirm: Confirm, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, commit: Confirm, _context: &mut Context<Self>) -> Self::Return {
         self.next_id += 1;
         let id = self.next_id;
         let (sender, receiver) = oneshot::channel();
-        match self.tracker.register(id, confirm.position) {
+        match self.tracker.register(id, commit.position) {
             Some(verdict) => {
                 let _ = sender.send(verdict);
             }
             None => {
-                self.waiting.insert(id, sender);
-                self.commits.wake_all();
+                self.waiters.insert(id, sender);
+                self.demand.wake_all();
             }
         }
         (id, receiver)
     }
 }
 
-struct Forget {
+struct CancelConfirm {
     id: u64,
 }
 
-impl Handler<Forget> for MonitorActor {
+impl Handler<CancelConfirm> for MonitorActor {
     type Return = ();
 
-    async fn handle(&mut self, forget: Forget, _context: &mut Context<Self>) {
-        self.tracker.forget(forget.id);
-        self.waiting.remove(&forget.id);
+    async fn handle(&mut self, cancel: CancelConfirm, _context: &mut Context<Self>) {
+        self.tracker.forget(cancel.id);
+        self.waiters.remove(&cancel.id);
     }
 }
 
-struct DrawSequence;
+struct NextSequence;
 
-impl Handler<DrawSequence> for MonitorActor {
+impl Handler<NextSequence> for MonitorActor {
     type Return = Sequence;
 
-    async fn handle(&mut self, _draw: DrawSequence, _context: &mut Context<Self>) -> Sequence {
+    async fn handle(&mut self, _next: NextSequence, _context: &mut Context<Self>) -> Sequence {
         self.tracker.draw()
     }
 }
 
-struct Observed {
+struct ObservedStatus {
     instance: InstanceName,
-    asked: Option<Sequence>,
+    sequence: Option<Sequence>,
     status: InstanceStatus,
 }
 
-impl Handler<Observed> for MonitorActor {
+impl Handler<ObservedStatus> for MonitorActor {
     type Return = ();
 
-    async fn handle(&mut self, observed: Observed, _context: &mut Context<Self>) {
+    async fn handle(&mut self, observed: ObservedStatus, _context: &mut Context<Self>) {
         let term = observed.status.position.term;
         let received = observed.status.received;
         self.view
             .observe(clock::now(), &observed.instance, observed.status);
-        if let Some(asked) = observed.asked {
-            let decided = self.tracker.observe(&observed.instance, asked, term, received);
-            self.decide(decided);
+        if let Some(sequence) = observed.sequence {
+            let verdicts = self.tracker.observe(&observed.instance, sequence, term, received);
+            self.deliver_verdicts(verdicts);
         }
         self.publish();
     }
 }
 
-struct Unreachable {
+struct InstanceUnreachable {
     instance: InstanceName,
     error: String,
 }
 
-impl Handler<Unreachable> for MonitorActor {
+impl Handler<InstanceUnreachable> for MonitorActor {
     type Return = ();
 
-    async fn handle(&mut self, lost: Unreachable, _context: &mut Context<Self>) {
-        if self.view.status(&lost.instance).is_some() {
+    async fn handle(&mut self, unreachable: InstanceUnreachable, _context: &mut Context<Self>) {
+        if self.view.status(&unreachable.instance).is_some() {
             warn!(
                 "event=instance_unreachable group={} instance={} error={:?}",
-                self.group, lost.instance, lost.error
+                self.group, unreachable.instance, unreachable.error
             );
         }
-        self.view.unreachable(&lost.instance);
+        self.view.unreachable(&unreachable.instance);
         self.publish();
     }
 }
@@ -377,20 +382,20 @@
 impl Handler<SetLeaving> for MonitorActor {
     type Return = ();
 
-    async fn handle(&mut self, set: SetLeaving, _context: &mut Context<Self>) {
-        for (instance, leaving) in &set.leaving {
+    async fn handle(&mut self, update: SetLeaving, _context: &mut Context<Self>) {
+        for (instance, leaving) in &update.leaving {
             self.view.set_leaving(instance, *leaving);
         }
         self.publish();
     }
 }
 
-/// Asks one instance for its status, over and over.
+/// Polls the status of one instance and reconnects when the connection fails.
 struct Probe {
     instance: InstanceName,
     target: BackendTarget,
     index: usize,
-    commits: Arc<Commits>,
+    demand: Arc<PollingDemand>,
     monitor: Address<MonitorActor>,
     view: watch::Receiver<GroupSnapshot>,
 }
@@ -399,14 +404,14 @@
     async fn run(self) {
         loop {
             let error = match BackendConnection::connect(&self.target, CONNECT_TIMEOUT).await {
-                Ok(connection) => self.ask_until_lost(connection).await,
+                Ok(connection) => self.poll_until_disconnected(connection).await,
                 Err(error) => error.to_string(),
             };
-            let lost = Unreachable {
+            let unreachable = InstanceUnreachable {
                 instance: self.instance.clone(),
                 error,
             };
-            if self.monitor.send(lost).await.is_err() {
+            if self.monitor.send(unreachable).await.is_err() {
                 return;
             }
             tokio::time::sleep(RECONNECT_PAUSE).await;
@@ -414,94 +419,98 @@
     }
 
     fn interval(&self) -> Duration {
-        if self.commits.are_expected() {
+        if self.demand.has_pending_commits() {
             return CONFIRM_INTERVAL;
         }
-        let interest = &self.commits.interests[self.index];
-        if interest.awaited.load(Ordering::Relaxed) > 0 {
-            return AWAITED_INTERVAL;
+        let instance_demand = &self.demand.by_instance[self.index];
+        if instance_demand.waiting_reads.load(Ordering::Relaxed) > 0 {
+            return CATCH_UP_INTERVAL;
         }
         match self.view.borrow().primary(clock::now()) {
-            None => SEARCH_INTERVAL,
+            None => NO_PRIMARY_INTERVAL,
             Some((primary, _)) if *primary == self.instance => PRIMARY_INTERVAL,
-            Some(_) if interest.owned.load(Ordering::Relaxed) => OWNED_INTERVAL,
-            Some(_) => DISTANT_INTERVAL,
+            Some(_) if instance_demand.owned.load(Ordering::Relaxed) => OWNED_INTERVAL,
+            Some(_) => UNOWNED_INTERVAL,
         }
     }
 
-    /// Whether a status came lately by another way, so that asking is needless.
-    fn is_needless(&self) -> bool {
-        if self.commits.are_expected() {
+    /// Whether a batch delivered a status so recently that the next query can be
+    /// skipped.
+    fn is_status_recent(&self) -> bool {
+        if self.demand.has_pending_commits() {
             return false;
         }
-        // Before the view is borrowed: it must not be borrowed twice.
+        // `interval` borrows the view itself, so this call must precede the borrow
+        // below: nested borrows of a watch channel can deadlock.
         let interval = self.interval().as_millis();
         let view = self.view.borrow();
-        let heard = view.status(&self.instance).map(|(heard, _)| *heard);
-        heard.is_some_and(|heard| u128::from(clock::now().millis_since(heard)) < interval / 2)
+        let received_at = view.status(&self.instance).map(|(received_at, _)| *received_at);
+        received_at
+            .is_some_and(|received_at| u128::from(clock::now().millis_since(received_at)) < interval / 2)
     }
 
-    /// Asks until the connection is lost; returns why.
-    async fn ask_until_lost(&self, mut connection: BackendConnection) -> String {
+    /// Polls until the connection fails; returns the error.
+    async fn poll_until_disconnected(&self, mut connection: BackendConnection) -> String {
         let mut in_flight = InFlight::new();
-        let mut next_ask = tokio::time::Instant::now();
+        let mut next_poll = tokio::time::Instant::now();
         loop {
             let oldest = in_flight.front().map(|(_, sent)| *sent);
-            let give_up = oldest.unwrap_or_else(tokio::time::Instant::now) + PROBE_TIMEOUT;
-            let may_ask = in_flight.len() < MAXIMUM_IN_FLIGHT;
-            let may_ask_ahead = in_flight.is_empty() || self.commits.are_expected();
+            let answer_deadline = oldest.unwrap_or_else(tokio::time::Instant::now) + PROBE_TIMEOUT;
+            let has_capacity = in_flight.len() < MAXIMUM_IN_FLIGHT;
+            let may_poll = in_flight.is_empty() || self.demand.has_pending_commits();
             let step = tokio::select! {
                 answer = connection.next_answer(), if !in_flight.is_empty() => {
-                    self.take_answer(answer, &mut in_flight).await.map(|()| false)
+                    self.handle_answer(answer, &mut in_flight).await.map(|()| false)
                 }
-                () = tokio::time::sleep_until(give_up), if oldest.is_some() => {
-                    Err("no answer to the status question".to_owned())
+                () = tokio::time::sleep_until(answer_deadline), if oldest.is_some() => {
+                    Err("status query timed out".to_owned())
                 }
-                () = self.commits.interests[self.index].wake.notified(), if may_ask => Ok(true),
-                () = tokio::time::sleep_until(next_ask), if may_ask && may_ask_ahead => {
-                    next_ask = tokio::time::Instant::now() + self.interval();
-                    Ok(!self.is_needless())
+                () = self.demand.by_instance[self.index].wake.notified(), if has_capacity => Ok(true),
+                () = tokio::time::sleep_until(next_poll), if has_capacity && may_poll => {
+                    next_poll = tokio::time::Instant::now() + self.interval();
+                    Ok(!self.is_status_recent())
                 }
             };
-            let asks = match step {
-                Ok(asks) => asks,
+            let should_query = match step {
+                Ok(should_query) => should_query,
                 Err(error) => return error,
             };
-            if asks {
-                if let Err(error) = self.ask(&mut connection, &mut in_flight).await {
+            if should_query {
+                if let Err(error) = self.send_query(&mut connection, &mut in_flight).await {
                     return error;
                 }
-                next_ask = tokio::time::Instant::now() + self.interval();
+                next_poll = tokio::time::Instant::now() + self.interval();
             }
         }
     }
 
-    async fn ask(&self, connection: &mut BackendConnection, in_flight: &mut InFlight) -> Result<(), String> {
-        let mut question = bytes::BytesMut::new();
-        put_status(&mut question).map_err(|error| error.to_string())?;
-        let asked = self
+    async fn send_query(
+        &self,
+        connection: &mut BackendConnection,
+        in_flight: &mut InFlight,
+    ) -> Result<(), String> {
+        let mut query = bytes::BytesMut::new();
+        put_status(&mut query).map_err(|error| error.to_string())?;
+        let sequence = self
             .monitor
-            .send(DrawSequence)
-            .await
-            .map_err(|error| error.to_string())?;
-        connection
-            .send(&question)
+            .send(NextSequence)
             .await
             .map_err(|error| error.to_string())?;
-        in_flight.push_back((asked, tokio::time::Instant::now()));
+        connection.send(&query).await.map_err(|error| error.to_string())?;
+        in_flight.push_back((sequence, tokio::time::Instant::now()));
         Ok(())
     }
 
-    async fn take_answer(
+    async fn handle_answer(
         &self,
         answer: Result<Answer, BackendError>,
         in_flight: &mut InFlight,
     ) -> Result<(), String> {
         let answer = answer.map_err(|error| error.to_string())?;
         let status = parse_status(&answer).map_err(|error| error.to_string())?;
-        let observed = Observed {
+        let observed = ObservedStatus {
             instance: self.instance.clone(),
-            asked: in_flight.pop_front().map(|(asked, _)| asked),
+            sequence: in_flight.pop_front().map(|(sequence, _)| sequence),
             status,
         };
         self.monitor
@@ -511,5 +520,5 @@
     }
 }
 
-/// Questions without an answer yet, oldest first, and when they were sent.
+/// Status queries without an answer, oldest first, with their send times.
 type InFlight = VecDeque<(Sequence, tokio::time::Instant)>;
--- a/crates/millwind-node/src/owner/pins.rs
+++ b/crates/millwind-node/src/owner/pins.rs
@@ -1,8 +1,9 @@
-//! Connections pinned to open transactions.
+//! Back-end connections pinned to open transactions.
 //!
-//! Must hold because transactions never mix: a pinned connection serves only
-//! the link and pin that opened it, and goes back to the pool only when its
-//! transaction has ended and its answer is wholly read.
+//! A pinned connection serves only the link that opened its transaction, and
+//! returns to the pool only after the transaction has ended and its answer was
+//! read completely. Otherwise statements could run in another session's
+//! transaction.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,70 +13,68 @@
 
 use crate::pg::backend::BackendConnection;
 
-/// A connection with an open transaction.
+/// A back-end connection with an open transaction.
 #[derive(Debug)]
-pub struct Pinned {
-    /// The connection.
+pub struct PinnedConnection {
+    /// Back-end connection.
     pub connection: BackendConnection,
-    /// Instance it leads to.
+    /// Instance that the connection belongs to.
     pub instance: InstanceName,
-    /// Link that opened it.
+    /// Id of the link that opened the transaction.
     pub link: u64,
 }
 
 #[derive(Debug)]
 enum Entry {
-    Resting(Box<Pinned>),
-    /// A batch is running on it.
-    Busy {
-        instance: InstanceName,
-        link: u64,
-    },
+    /// The connection waits for the transaction's next batch.
+    Idle(Box<PinnedConnection>),
+    /// A batch has taken the connection, or the transaction is being opened.
+    Busy { instance: InstanceName, link: u64 },
 }
 
-/// All pinned connections of a node.
+/// The pinned connections of a node by pin id.
 #[derive(Debug)]
 pub struct PinTable {
     entries: Mutex<HashMap<u64, Entry>>,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl Default for PinTable {
-    /// An empty table whose pins start at a random number, so that a pin of an
-    /// earlier process never names a transaction of this one.
+    /// An empty table. Pin ids start at a random number, so that ids issued before
+    /// a restart do not match new transactions.
     fn default() -> Self {
         PinTable {
             entries: Mutex::default(),
-            next: AtomicU64::new(rand::random::<u64>() >> 1),
+            next_id: AtomicU64::new(rand::random::<u64>() >> 1),
         }
     }
 }
 
 impl PinTable {
-    /// Number of pins on an instance.
+    /// Number of pins that an instance has.
     pub fn count(&self, instance: &InstanceName) -> usize {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries
             .values()
             .filter(|entry| match entry {
-                Entry::Resting(pinned) => pinned.instance == *instance,
+                Entry::Idle(pinned) => pinned.instance == *instance,
                 Entry::Busy { instance: busy, .. } => busy == instance,
             })
             .count()
     }
 
-    /// Number of pins in all.
+    /// Number of pins on all instances.
     pub fn len(&self) -> usize {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// Reserves a pin for a transaction that is about to begin; none when the
-    /// instance already has `limit` of them.
+    /// Reserves a pin for a transaction that is about to begin. Returns none if the
+    /// instance already has `limit` pins.
     pub fn reserve(&self, instance: &InstanceName, link: u64, limit: usize) -> Option<u64> {
         if self.count(instance) >= limit {
             return None;
         }
-        let id = self.next.fetch_add(1, Ordering::Relaxed) + 1;
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
         let busy = Entry::Busy {
             instance: instance.clone(),
             link,
@@ -87,11 +86,12 @@
         Some(id)
     }
 
-    /// Takes the pinned connection out for one batch; only its own link may.
-    pub fn take(&self, id: u64, link: u64) -> Option<Pinned> {
+    /// Takes the pinned connection for one batch. Returns none if the pin does not
+    /// exist, is in use or belongs to another link.
+    pub fn take(&self, id: u64, link: u64) -> Option<PinnedConnection> {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         match entries.remove(&id)? {
-            Entry::Resting(pinned) if pinned.link == link => {
+            Entry::Idle(pinned) if pinned.link == link => {
                 let busy = Entry::Busy {
                     instance: pinned.instance.clone(),
                     link,
@@ -106,25 +106,25 @@
         }
     }
 
-    /// Puts the connection back after a batch; dropped when the pin was freed
-    /// meanwhile, which closes it and so rolls the transaction back.
-    pub fn put(&self, id: u64, pinned: Pinned) {
+    /// Puts the connection back after a batch. If the pin was released meanwhile,
+    /// the connection is closed and its transaction rolls back.
+    pub fn put_back(&self, id: u64, pinned: PinnedConnection) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         if entries.contains_key(&id) {
-            entries.insert(id, Entry::Resting(Box::new(pinned)));
+            entries.insert(id, Entry::Idle(Box::new(pinned)));
         }
     }
 
-    /// Frees a pin; a resting connection is closed.
-    pub fn free(&self, id: u64) {
+    /// Releases a pin and closes its connection unless a batch is using it.
+    pub fn release(&self, id: u64) {
         self.entries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&id);
     }
 
-    /// Frees a pin if it belongs to `link`.
-    pub fn free_owned(&self, id: u64, link: u64) {
+    /// Releases a pin if it belongs to `link`.
+    pub fn release_owned(&self, id: u64, link: u64) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let owned = entries.get(&id).is_some_and(|entry| entry_link(entry) == link);
         if owned {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Frees every pin of a link that is gone.
-    pub fn free_link(&self, link: u64) {
+    /// Releases all pins of a closed link.
+    pub fn release_link(&self, link: u64) {
         self.entries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -143,7 +143,7 @@
 
 fn entry_link(entry: &Entry) -> u64 {
     match entry {
-        Entry::Resting(pinned) => pinned.link,
+        Entry::Idle(pinned) => pinned.link,
         Entry::Busy { link, .. } => *link,
     }
 }
--- a/crates/millwind-node/src/owner/pool.rs
+++ b/crates/millwind-node/src/owner/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of one instance: its admission queue and its idle connections.
+//! Connection pool of one instance: an admission queue and idle connections.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,42 +17,44 @@
 use crate::pg::backend::{BackendConnection, BackendError, BackendTarget};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Waiting requests per slot.
+/// Maximum number of queued requests per slot.
 const QUEUE_PER_SLOT: usize = 64;
-/// Between two connections that are opened ahead of need.
-const PREOPEN_PACE: Duration = Duration::from_millis(5);
+/// Pause between connections that are opened in advance.
+const PREOPEN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Limits of a pool.
+/// Concurrency limits of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Statements at the same time.
+    /// Maximum number of batches running at the same time.
     pub slots: u32,
-    /// Connections in all, pinned ones included.
+    /// Maximum number of connections, including pinned ones.
     pub connections: u32,
 }
 
-/// Access to a pool.
+/// Handle to a pool.
 #[derive(Debug, Clone)]
 pub struct PoolHandle {
     actor: Address<PoolActor>,
     target: Arc<BackendTarget>,
     next_ticket: Arc<AtomicU64>,
-    /// Limits of the pool.
+    /// Concurrency limits.
     pub limits: PoolLimits,
 }
 
+/// The answer to an admission request: a slot, with an idle connection if one
+/// exists, or the reason for rejection.
 type Grant = Result<Option<BackendConnection>, ErrorKind>;
 
-/// Keeps one instance's queue and idle connections.
+/// Owns the admission queue and the idle connections.
 #[derive(xtra::Actor)]
 struct PoolActor {
     queue: AdmissionQueue,
     idle: Vec<BackendConnection>,
-    keep_idle: usize,
-    waiting: HashMap<u64, oneshot::Sender<Grant>>,
+    maximum_idle: usize,
+    waiters: HashMap<u64, oneshot::Sender<Grant>>,
 }
 
-/// Starts a pool.
+/// Starts a pool without connections.
 pub fn start(target: BackendTarget, limits: PoolLimits) -> PoolHandle {
     let admission = AdmissionLimits {
         slots: limits.slots,
@@ -61,8 +63,8 @@
     let actor = PoolActor {
         queue: AdmissionQueue::new(admission),
         idle: Vec::new(),
-        keep_idle: limits.slots as usize,
-        waiting: HashMap::new(),
+        maximum_idle: limits.slots as usize,
+        waiters: HashMap::new(),
     };
     PoolHandle {
         actor: xtra::spawn_tokio(actor, Mailbox::unbounded()),
@@ -73,8 +75,8 @@
 }
 
 impl PoolHandle {
-    /// Waits for a slot until the ticket's deadline. The ticket gets a number of
-    /// the pool's own: numbers of requests repeat between links.
+    /// Waits for a slot until the ticket's deadline. The ticket's id is replaced by
+    /// one unique in the pool, because links number their requests independently.
     pub async fn acquire(&self, mut ticket: Ticket) -> Result<Slot, ErrorKind> {
         let id = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         ticket.id = id;
@@ -88,8 +90,8 @@
             Ok(Ok(grant)) => Ok(self.slot(grant?)),
             Ok(Err(_)) => Err(ErrorKind::BackEndUnreachable),
             Err(_) => {
-                let _ = self.actor.send(Abandon { id }).await;
-                // Granted in the same moment: the slot must go back.
+                let _ = self.actor.send(CancelAdmission { id }).await;
+                // The slot may have been granted before the cancellation arrived.
                 if let Ok(Ok(connection)) = granted.try_recv() {
                     drop(self.slot(connection));
                 }
@@ -102,22 +104,23 @@
         Slot {
             pool: self.clone(),
             connection,
-            since: clock::now(),
+            acquired_at: clock::now(),
             released: false,
         }
     }
 
-    /// Takes back a connection that is idle and wholly read, without a slot.
-    pub async fn deposit(&self, connection: BackendConnection) {
-        let _ = self.actor.send(Deposit { connection }).await;
+    /// Returns a connection that holds no slot. The connection must be idle and its
+    /// answers read completely.
+    pub async fn return_connection(&self, connection: BackendConnection) {
+        let _ = self.actor.send(ReturnConnection { connection }).await;
     }
 
-    /// Opens connections ahead of need, one after another.
+    /// Opens one idle connection per slot, in sequence; stops at the first failure.
     pub async fn preopen(&self) {
         for _ in 0..self.limits.slots {
             match BackendConnection::connect(&self.target, CONNECT_TIMEOUT).await {
                 Ok(connection) => {
-                    let _ = self.actor.send(Deposit { connection }).await;
+                    let _ = self.actor.send(ReturnConnection { connection }).await;
                 }
                 Err(error) => {
                     debug!(
@@ -128,37 +131,37 @@
                     return;
                 }
             }
-            tokio::time::sleep(PREOPEN_PACE).await;
+            tokio::time::sleep(PREOPEN_INTERVAL).await;
         }
     }
 
-    /// How to reach the instance.
+    /// Address and credentials of the instance.
     pub fn target(&self) -> &BackendTarget {
         &self.target
     }
 
-    /// Opens a connection outside the queue.
+    /// Opens a connection without a slot.
     pub async fn connect(&self) -> Result<BackendConnection, BackendError> {
         BackendConnection::connect(&self.target, CONNECT_TIMEOUT).await
     }
 
-    /// Requests running and waiting.
+    /// Numbers of running and queued requests.
     pub async fn load(&self) -> (u32, usize) {
-        self.actor.send(Load).await.unwrap_or_default()
+        self.actor.send(GetLoad).await.unwrap_or_default()
     }
 }
 
-/// A slot of the instance, given back when dropped.
+/// Permission to run one batch on the instance; released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     pool: PoolHandle,
     connection: Option<BackendConnection>,
-    since: Instant,
+    acquired_at: Instant,
     released: bool,
 }
 
 impl Slot {
-    /// The connection to use: an idle one, or a new one.
+    /// Returns the idle connection that came with the slot, or opens a new one.
     pub async fn connection(&mut self) -> Result<BackendConnection, BackendError> {
         if let Some(connection) = self.connection.take()
             && connection.is_usable()
@@ -168,7 +171,8 @@
         self.pool.connect().await
     }
 
-    /// Gives the slot back with a connection that is idle and wholly read.
+    /// Releases the slot and returns its connection, which must be idle and its
+    /// answers read completely.
     pub fn finish(mut self, connection: BackendConnection) {
         self.release(Some(connection));
     }
@@ -178,8 +182,8 @@
             return;
         }
         self.released = true;
-        let held_us = clock::now().0.saturating_sub(self.since.0);
-        // Queued at once: the mailbox is unbounded.
+        let held_us = clock::now().0.saturating_sub(self.acquired_at.0);
+        // The mailbox is unbounded, so the first poll enqueues the message.
         let _ = self
             .pool
             .actor
@@ -208,26 +212,27 @@
 
     fn grant(&mut self, id: u64) {
         let connection = self.take_idle();
-        let Some(waiter) = self.waiting.remove(&id) else {
-            self.keep(connection);
+        let Some(waiter) = self.waiters.remove(&id) else {
+            self.store_idle(connection);
             return;
         };
         if let Err(Ok(unused)) = waiter.send(Ok(connection)) {
-            // The caller has gone between the grant and now.
-            self.keep(unused);
+            // The request was cancelled before the grant reached it.
+            self.store_idle(unused);
             self.release_slot(0);
         }
     }
 
-    fn refuse(&mut self, id: u64, kind: ErrorKind) {
-        if let Some(waiter) = self.waiting.remove(&id) {
+    fn reject(&mut self, id: u64, kind: ErrorKind) {
+        if let Some(waiter) = self.waiters.remove(&id) {
             let _ = waiter.send(Err(kind));
         }
     }
 
-    fn keep(&mut self, connection: Option<BackendConnection>) {
+    /// Keeps a connection for reuse, or closes it if enough are idle.
+    fn store_idle(&mut self, connection: Option<BackendConnection>) {
         if let Some(connection) = connection
-            && self.idle.len() < self.keep_idle
+            && self.idle.len() < self.maximum_idle
         {
             self.idle.push(connection);
         }
@@ -237,7 +242,7 @@
         let mut expired = Vec::new();
         let next = self.queue.release(clock::now(), held_us, &mut expired);
         for id in expired {
-            self.refuse(id, ErrorKind::WindowTooShort);
+            self.reject(id, ErrorKind::WindowTooShort);
         }
         if let Some(ticket) = next {
             self.grant(ticket.id);
@@ -255,31 +260,31 @@
     async fn handle(&mut self, admit: Admit, _context: &mut Context<Self>) -> Self::Return {
         let (sender, receiver) = oneshot::channel();
         let id = admit.ticket.id;
-        self.waiting.insert(id, sender);
+        self.waiters.insert(id, sender);
         let mut displaced = Vec::new();
         let admission = self.queue.admit(clock::now(), admit.ticket, &mut displaced);
         for id in displaced {
-            self.refuse(id, ErrorKind::QueueFull);
+            self.reject(id, ErrorKind::QueueFull);
         }
         match admission {
             Admission::Granted => self.grant(id),
             Admission::Queued => {}
-            Admission::Refused(kind) => self.refuse(id, kind),
+            Admission::Refused(kind) => self.reject(id, kind),
         }
         receiver
     }
 }
 
-struct Abandon {
+struct CancelAdmission {
     id: u64,
 }
 
-impl Handler<Abandon> for PoolActor {
+impl Handler<CancelAdmission> for PoolActor {
     type Return = ();
 
-    async fn handle(&mut self, abandon: Abandon, _context: &mut Context<Self>) {
-        if self.queue.cancel(abandon.id) {
-            self.waiting.remove(&abandon.id);
+    async fn handle(&mut self, cancel: CancelAdmission, _context: &mut Context<Self>) {
+        if self.queue.cancel(cancel.id) {
+            self.waiters.remove(&cancel.id);
         }
     }
 }
@@ -293,29 +298,29 @@
     type Return = ();
 
     async fn handle(&mut self, release: Release, _context: &mut Context<Self>) {
-        self.keep(release.connection);
+        self.store_idle(release.connection);
         self.release_slot(release.held_us);
     }
 }
 
-struct Deposit {
+struct ReturnConnection {
     connection: BackendConnection,
 }
 
-impl Handler<Deposit> for PoolActor {
+impl Handler<ReturnConnection> for PoolActor {
     type Return = ();
 
-    async fn handle(&mut self, deposit: Deposit, _context: &mut Context<Self>) {
-        self.keep(Some(deposit.connection));
+    async fn handle(&mut self, returned: ReturnConnection, _context: &mut Context<Self>) {
+        self.store_idle(Some(returned.connection));
     }
 }
 
-struct Load;
+struct GetLoad;
 
-impl Handler<Load> for PoolActor {
+impl Handler<GetLoad> for PoolActor {
     type Return = (u32, usize);
 
-    async fn handle(&mut self, _load: Load, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _get: GetLoad, _context: &mut Context<Self>) -> Self::Return {
         (self.queue.running(), self.queue.queued())
     }
 }
--- a/crates/millwind-node/src/owner/service.rs
+++ b/crates/millwind-node/src/owner/service.rs
@@ -1,5 +1,5 @@
-//! Serves requests for instances: to peers over links, and to the node's own
-//! gateway directly.
+//! Serves requests on back-end instances, for peers over links and for the node's
+//! own gateway by direct calls.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,71 +19,74 @@
     MemberStatus, PeerMessage, ResolveReply, ResolveRequest, ResolveResult, WirePosition, WireTermStart,
 };
 
-use super::execute::{Answered, Execution, Failure};
+use super::execute::{BatchReply, Execution, Failure};
 use super::ledger;
 use super::monitor::{self, MonitorHandle};
 use super::pins::PinTable;
 use super::pool::{self, PoolHandle, PoolLimits};
 use crate::NodeSettings;
 use crate::clock;
-use crate::control::{ControlHandle, FromPeer};
+use crate::control::{ControlHandle, PeerControlMessage};
 use crate::peer::{InboundLink, PeerHandler};
 use crate::pg::backend::BackendTarget;
 
-/// Link number of the node's own gateway.
+/// Link id of requests from the node's own gateway.
 pub const LOCAL_LINK: u64 = 0;
+/// Interval at which ownership and leaving marks are checked.
 const OWNERSHIP_INTERVAL: Duration = Duration::from_millis(200);
-/// A group that was not needed for this long is no longer watched.
-const UNNEEDED_MS: u64 = 30_000;
-/// Longest wait of one `AwaitPrimary`.
-const MAXIMUM_AWAIT: Duration = Duration::from_secs(2);
+/// Time without use, in milliseconds, after which a group's monitor stops.
+const UNUSED_GROUP_MS: u64 = 30_000;
+/// Maximum wait of an `AwaitPrimary` request.
+const MAXIMUM_PRIMARY_WAIT: Duration = Duration::from_secs(2);
 
+/// The running monitor and pools of one group.
 #[derive(Debug)]
 struct GroupRuntime {
     spec: Arc<GroupSpec>,
     monitor: MonitorHandle,
     pools: HashMap<InstanceName, PoolHandle>,
+    /// Owned instances whose pools have been asked to open idle connections.
     preopened: Vec<InstanceName>,
-    /// When the group was last needed here.
-    needed: Instant,
+    /// Time at which a request or an owned instance last used the group.
+    last_used: Instant,
 }
 
-/// Monitors and pools of the groups this node deals with.
+/// Monitors and pools of the groups in use on this node.
 #[derive(Debug, Default)]
-pub struct InstanceTable {
+pub struct GroupTable {
     groups: Mutex<HashMap<GroupName, GroupRuntime>>,
 }
 
-/// Serves requests for instances.
+/// Runs requests on back-end instances.
 #[derive(Debug)]
 pub struct OwnerService {
     settings: Arc<NodeSettings>,
     control: ControlHandle,
-    table: InstanceTable,
+    table: GroupTable,
     pins: PinTable,
-    active: AtomicU64,
+    running: AtomicU64,
 }
 
 impl OwnerService {
-    /// A service that starts monitors and pools as they are needed.
+    /// Creates a service that starts monitors and pools on first use.
     pub fn start(settings: Arc<NodeSettings>, control: ControlHandle) -> Arc<Self> {
         let service = Arc::new(OwnerService {
             settings,
             control,
-            table: InstanceTable::default(),
+            table: GroupTable::default(),
             pins: PinTable::default(),
-            active: AtomicU64::new(0),
+            running: AtomicU64::new(0),
         });
-        tokio::spawn(service.clone().follow_ownership());
+        tokio::spawn(service.clone().maintain_owned_instances());
         service
     }
 
-    /// Requests running and pinned transactions held.
+    /// Number of running requests and open pinned transactions.
     pub fn load(&self) -> u64 {
-        self.active.load(Ordering::Relaxed) + self.pins.len() as u64
+        self.running.load(Ordering::Relaxed) + self.pins.len() as u64
     }
 
-    /// The monitors running, for the operators' tables.
+    /// The running monitors by group.
     pub fn monitors(&self) -> Vec<(GroupName, MonitorHandle)> {
         let groups = self.table.groups.lock().unwrap_or_else(PoisonError::into_inner);
         groups
@@ -92,7 +95,7 @@
             .collect()
     }
 
-    /// The pools running, for the operators' tables.
+    /// The running pools by instance.
     pub fn pools(&self) -> Vec<(InstanceName, PoolHandle)> {
         let groups = self.table.groups.lock().unwrap_or_else(PoisonError::into_inner);
         groups
@@ -102,8 +105,9 @@
             .collect()
     }
 
-    /// Keeps ready what this node owns, and passes on leaving marks.
-    async fn follow_ownership(self: Arc<Self>) {
+    /// Periodically starts pools of owned instances, passes leaving marks to the
+    /// monitors and stops unused groups.
+    async fn maintain_owned_instances(self: Arc<Self>) {
         let mut interval = tokio::time::interval(OWNERSHIP_INTERVAL);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -114,32 +118,33 @@
                 for instance in &group.instances {
                     let owner = view.owner(&instance.name, &instance.zone, &instance.region);
                     if owner.is_some_and(|owner| owner.as_str() == view.own_name()) {
-                        self.own(group, instance).await;
+                        self.start_owned_instance(group, instance).await;
                     }
                 }
             }
-            self.refresh_leaving().await;
-            self.stop_unneeded();
+            self.update_leaving().await;
+            self.stop_unused_groups();
         }
     }
 
-    /// Stops watching groups that were not needed here for long: after many
-    /// changes of ownership, stray watchers would use up connections.
-    fn stop_unneeded(&self) {
+    /// Drops unused groups and stops their monitors. After ownership changes,
+    /// leftover monitors would otherwise exhaust the instances' connections.
+    fn stop_unused_groups(&self) {
         let now = clock::now();
         let mut groups = self.table.groups.lock().unwrap_or_else(PoisonError::into_inner);
         groups.retain(|name, runtime| {
-            let open = runtime.pools.keys().any(|instance| self.pins.count(instance) > 0);
-            let needed = open || now.millis_since(runtime.needed) < UNNEEDED_MS;
-            if !needed {
+            let has_transactions = runtime.pools.keys().any(|instance| self.pins.count(instance) > 0);
+            let in_use = has_transactions || now.millis_since(runtime.last_used) < UNUSED_GROUP_MS;
+            if !in_use {
                 info!("event=group_released group={name}");
                 runtime.monitor.stop();
             }
-            needed
+            in_use
         });
     }
 
-    async fn own(&self, group: &Arc<GroupSpec>, instance: &InstanceSpec) {
+    /// Starts the pool of an owned instance and opens its idle connections once.
+    async fn start_owned_instance(&self, group: &Arc<GroupSpec>, instance: &InstanceSpec) {
         let Some(pool) = self.pool(group, &instance.name) else {
             return;
         };
@@ -163,7 +168,8 @@
         }
     }
 
-    async fn refresh_leaving(&self) {
+    /// Passes changed leaving marks of the configuration to the monitors.
+    async fn update_leaving(&self) {
         let config = self.control.config();
         for (name, monitor) in self.monitors() {
             let Some(spec) = config.groups.get(&name) else {
@@ -192,14 +198,14 @@
         }
     }
 
-    /// The group's monitor, started when first needed or when the group's
-    /// description changed.
+    /// Returns the group's monitor. Starts a monitor if none runs or if the group's
+    /// specification has changed.
     fn monitor(&self, spec: &Arc<GroupSpec>) -> MonitorHandle {
         let mut groups = self.table.groups.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(runtime) = groups.get_mut(&spec.name) {
-            if same_targets(&runtime.spec, spec) {
+            if same_except_leaving(&runtime.spec, spec) {
                 runtime.spec = spec.clone();
-                runtime.needed = clock::now();
+                runtime.last_used = clock::now();
                 return runtime.monitor.clone();
             }
             runtime.monitor.stop();
@@ -215,13 +221,14 @@
             monitor: monitor.clone(),
             pools: HashMap::new(),
             preopened: Vec::new(),
-            needed: clock::now(),
+            last_used: clock::now(),
         };
         groups.insert(spec.name.clone(), runtime);
         monitor
     }
 
-    /// The instance's pool, started when first needed.
+    /// Returns the instance's pool, started on first use; none if the group has no
+    /// such instance.
     fn pool(&self, spec: &Arc<GroupSpec>, instance: &InstanceName) -> Option<PoolHandle> {
         self.monitor(spec);
         let entry = spec.instances.iter().find(|entry| entry.name == *instance)?;
@@ -242,11 +249,11 @@
         Some(pool)
     }
 
-    /// Runs a request of `link`.
+    /// Runs a request that arrived on `link`.
     pub async fn execute(&self, link: u64, request: ExecuteRequest) -> ExecuteReply {
-        self.active.fetch_add(1, Ordering::Relaxed);
+        self.running.fetch_add(1, Ordering::Relaxed);
         let result = self.try_execute(link, &request).await;
-        self.active.fetch_sub(1, Ordering::Relaxed);
+        self.running.fetch_sub(1, Ordering::Relaxed);
         let mut reply = ExecuteReply {
             request_id: request.request_id,
             result: wire_result(result),
@@ -255,32 +262,37 @@
             history: Vec::new(),
             lag_ms: 0,
         };
-        self.fill_hints(&request, &mut reply);
+        self.add_routing_hints(&request, &mut reply);
         reply
     }
 
-    async fn try_execute(&self, link: u64, request: &ExecuteRequest) -> Result<Answered, Failure> {
+    async fn try_execute(&self, link: u64, request: &ExecuteRequest) -> Result<BatchReply, Failure> {
         let group = GroupName::from(request.group.as_str());
         let instance = InstanceName::from(request.instance.as_str());
         let config = self.control.config();
-        let spec = config
-            .groups
-            .get(&group)
-            .ok_or_else(|| Failure::not_sent(ErrorKind::BackEndUnreachable, "group unknown here"))?;
+        let spec = config.groups.get(&group).ok_or_else(|| {
+            Failure::not_sent(ErrorKind::BackEndUnreachable, "the owner does not know the group")
+        })?;
         let new_work = !matches!(request.intent, Intent::Continue | Intent::Commit);
         if new_work && config.is_leaving(&group, &instance) {
             return Err(Failure::not_sent(
                 ErrorKind::BackEndUnreachable,
-                "instance is leaving",
+                "the instance is leaving",
             ));
         }
         if new_work && self.control.view().may_serve(clock::now()).is_err() {
-            return Err(Failure::not_sent(ErrorKind::NotServing, "owner does not serve"));
+            return Err(Failure::not_sent(
+                ErrorKind::NotServing,
+                "the owner is not serving requests",
+            ));
         }
         let monitor = self.monitor(spec);
-        let pool = self
-            .pool(spec, &instance)
-            .ok_or_else(|| Failure::not_sent(ErrorKind::BackEndUnreachable, "instance unknown here"))?;
+        let pool = self.pool(spec, &instance).ok_or_else(|| {
+            Failure::not_sent(
+                ErrorKind::BackEndUnreachable,
+                "the owner does not know the instance",
+            )
+        })?;
         let execution = Execution {
             monitor: &monitor,
             pool: &pool,
@@ -293,7 +305,9 @@
         execution.run().await
     }
 
-    fn fill_hints(&self, request: &ExecuteRequest, reply: &mut ExecuteReply) {
+    /// Adds what the monitor knows of the instance, which the gateway uses to
+    /// route later requests.
+    fn add_routing_hints(&self, request: &ExecuteRequest, reply: &mut ExecuteReply) {
         let group = GroupName::from(request.group.as_str());
         let instance = InstanceName::from(request.instance.as_str());
         let snapshot = {
@@ -312,7 +326,7 @@
         }
     }
 
-    /// Settles a request id.
+    /// Resolves a request whose outcome is unknown.
     pub async fn resolve(&self, request: ResolveRequest) -> ResolveReply {
         let result = self.try_resolve(&request).await.unwrap_or_else(|failure| {
             warn!(
@@ -329,7 +343,12 @@
 
     async fn try_resolve(&self, request: &ResolveRequest) -> Result<ResolveResult, Failure> {
         let config = self.control.config();
-        let unknown = || Failure::not_sent(ErrorKind::BackEndUnreachable, "group or instance unknown here");
+        let unknown = || {
+            Failure::not_sent(
+                ErrorKind::BackEndUnreachable,
+                "the owner does not know the group or instance",
+            )
+        };
         let spec = config
             .groups
             .get(&GroupName::from(request.group.as_str()))
@@ -337,7 +356,7 @@
         let instance = InstanceName::from(request.instance.as_str());
         let monitor = self.monitor(spec);
         let pool = self.pool(spec, &instance).ok_or_else(unknown)?;
-        let carrier = ExecuteRequest {
+        let ledger_request = ExecuteRequest {
             request_id: request.request_id,
             intent: Intent::Write,
             tenant: String::new(),
@@ -360,12 +379,13 @@
             link: LOCAL_LINK,
             instance,
             deadline: clock::now().plus_millis(request.window_ms.into()),
-            request: &carrier,
+            request: &ledger_request,
         };
         ledger::resolve(&execution, &request.request_key).await
     }
 
-    /// Waits for a primary and describes the group.
+    /// Waits for a primary with a term above the requested one, then returns the
+    /// group's status. Returns the status without such a primary on timeout.
     pub async fn await_primary(&self, request: AwaitPrimary) -> GroupStatus {
         let group = GroupName::from(request.group.as_str());
         let config = self.control.config();
@@ -378,38 +398,44 @@
             };
         };
         let monitor = self.monitor(spec);
-        let limit = Duration::from_millis(request.wait_ms.into()).min(MAXIMUM_AWAIT);
-        let give_up = tokio::time::Instant::now() + limit;
+        let limit = Duration::from_millis(request.wait_ms.into()).min(MAXIMUM_PRIMARY_WAIT);
+        let wait_until = tokio::time::Instant::now() + limit;
         let mut view = monitor.view.clone();
         loop {
-            let found = view
+            let has_primary = view
                 .borrow_and_update()
                 .primary(clock::now())
                 .is_some_and(|(_, term)| term.0 > request.above_term);
-            if found || !matches!(tokio::time::timeout_at(give_up, view.changed()).await, Ok(Ok(()))) {
+            if has_primary
+                || !matches!(
+                    tokio::time::timeout_at(wait_until, view.changed()).await,
+                    Ok(Ok(()))
+                )
+            {
                 break;
             }
         }
         group_status(request.request_id, &monitor)
     }
 
-    /// Cancels a request or frees a pin of `link`.
+    /// Releases the pin named by the request if it belongs to `link`.
     pub fn cancel(&self, link: u64, request: &CancelRequest) {
         if request.pin > 0 {
-            self.pins.free_owned(request.pin, link);
+            self.pins.release_owned(request.pin, link);
         }
     }
 }
 
-fn same_targets(left: &GroupSpec, right: &GroupSpec) -> bool {
-    let plain = |spec: &GroupSpec| {
+/// Whether two specifications differ at most in their leaving marks.
+fn same_except_leaving(left: &GroupSpec, right: &GroupSpec) -> bool {
+    let without_leaving = |spec: &GroupSpec| {
         let mut spec = spec.clone();
         spec.instances
             .iter_mut()
             .for_each(|instance| instance.leaving = false);
         spec
     };
-    plain(left) == plain(right)
+    without_leaving(left) == without_leaving(right)
 }
 
 fn group_status(request_id: u64, monitor: &MonitorHandle) -> GroupStatus {
@@ -432,8 +458,8 @@
                 position: status
                     .map(|(_, status)| wire_position(status.position))
                     .unwrap_or_default(),
-                age_ms: status.map_or(u32::MAX, |(heard, _)| {
-                    u32::try_from(now.millis_since(*heard)).unwrap_or(u32::MAX)
+                age_ms: status.map_or(u32::MAX, |(received_at, _)| {
+                    u32::try_from(now.millis_since(*received_at)).unwrap_or(u32::MAX)
                 }),
             }
         })
@@ -463,13 +489,13 @@
         .collect()
 }
 
-fn wire_result(result: Result<Answered, Failure>) -> ExecuteResult {
+fn wire_result(result: Result<BatchReply, Failure>) -> ExecuteResult {
     match result {
-        Ok(answered) => ExecuteResult::Answered {
-            position: answered.position.map(wire_position).unwrap_or_default(),
-            transaction_status: answered.transaction_status,
-            pin: answered.pin,
-            batch: answered.messages,
+        Ok(reply) => ExecuteResult::Answered {
+            position: reply.position.map(wire_position).unwrap_or_default(),
+            transaction_status: reply.transaction_status,
+            pin: reply.pin,
+            batch: reply.messages,
         },
         Err(failure) => ExecuteResult::Failed {
             kind: failure.kind.code(),
@@ -483,12 +509,12 @@
     }
 }
 
-/// Serves peers by an [`OwnerService`] and the control actor.
+/// Passes peer messages to the [`OwnerService`] or the control actor.
 #[derive(Debug)]
 pub struct PeerService {
-    /// Serves requests.
+    /// Handles requests on instances.
     pub owner: Arc<OwnerService>,
-    /// Takes control messages.
+    /// Handles control messages.
     pub control: ControlHandle,
 }
 
@@ -498,12 +524,12 @@
         let link = link.clone();
         match message {
             PeerMessage::Control(message) => {
-                let from = FromPeer {
+                let received = PeerControlMessage {
                     peer: link.peer.clone(),
                     message,
                 };
                 let actor = self.control.actor.clone();
-                let _ = futures::FutureExt::now_or_never(actor.send(from).detach());
+                let _ = futures::FutureExt::now_or_never(actor.send(received).detach());
             }
             PeerMessage::Execute(request) => {
                 tokio::spawn(async move {
@@ -529,6 +555,6 @@
     }
 
     fn closed(&self, link: &InboundLink) {
-        self.owner.pins.free_link(link.id);
+        self.owner.pins.release_link(link.id);
     }
 }
--- a/crates/millwind-node/tests/changes.rs
+++ b/crates/millwind-node/tests/changes.rs
@@ -1,11 +1,11 @@
-//! Changes of the configuration against a store that loses answers, refuses
-//! calls, and is changed by somebody else meanwhile.
+//! Configuration changes against a store that loses answers, rejects calls or is
+//! written concurrently.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use millwind_node::admin_change::{Change, ChangeError, change};
+use millwind_node::admin_change::{Change, ChangeError, store_change};
 use millwind_node::config_watch::KeySpace;
 use millwind_store::{
     Condition, Entry, Listing, Store, StoreError, StoreRevision, Swap, Watch, WatchReport, Write,
@@ -17,12 +17,12 @@
 struct Content {
     revision: u64,
     keys: BTreeMap<String, (Vec<u8>, u64)>,
-    /// Swaps that take effect without an answer.
+    /// Number of next swaps that take effect but return no answer.
     lose_answers: u32,
-    /// Calls that are refused.
-    refuse: u32,
-    /// Changes by somebody else, each just before a swap.
-    interfere: Vec<Write>,
+    /// Number of next list calls that are rejected.
+    reject: u32,
+    /// Concurrent writes, each applied just before a swap.
+    concurrent_writes: Vec<Write>,
     swaps: u32,
 }
 
@@ -31,6 +31,7 @@
     content: Mutex<Content>,
 }
 
+/// A watch that ends at once; changes do not use watches.
 struct NoWatch;
 
 impl Watch for NoWatch {
@@ -61,8 +62,8 @@
 
     async fn list(&self, prefix: &str, _silence: Duration) -> Result<Listing, StoreError> {
         let mut content = self.content();
-        if content.refuse > 0 {
-            content.refuse -= 1;
+        if content.reject > 0 {
+            content.reject -= 1;
             return Err(StoreError::Refused("rate limit".into()));
         }
         let entries = content
@@ -88,13 +89,13 @@
     async fn swap(&self, conditions: &[Condition], writes: &[Write]) -> Result<Swap, StoreError> {
         let mut content = self.content();
         content.swaps += 1;
-        if let Some(write) = content.interfere.pop() {
+        if let Some(write) = content.concurrent_writes.pop() {
             content.write(&[write]);
         }
-        let held = |key: &str| content.keys.get(key).map_or(0, |(_, revision)| *revision);
+        let current_revision_of = |key: &str| content.keys.get(key).map_or(0, |(_, revision)| *revision);
         if conditions
             .iter()
-            .any(|condition| held(&condition.key) != condition.revision.number)
+            .any(|condition| current_revision_of(&condition.key) != condition.revision.number)
         {
             return Ok(Swap::Conflict { current: Vec::new() });
         }
@@ -123,13 +124,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_recognised() {
+async fn a_retry_after_a_lost_answer_stores_nothing_new() {
     let store = MemoryStore::default();
     store.content().lose_answers = 1;
-    let first = change(&store, &keys(), &template("c1", None))
+    let first = store_change(&store, &keys(), &template("c1", None))
         .await
         .expect("stored");
-    let again = change(&store, &keys(), &template("c1", None))
+    let again = store_change(&store, &keys(), &template("c1", None))
         .await
         .expect("stored");
     assert_eq!(first, again);
@@ -139,13 +140,13 @@
 #[tokio::test(start_paused = true)]
 async fn two_changes_from_the_same_revision_conflict() {
     let store = MemoryStore::default();
-    let seen = change(&store, &keys(), &template("c0", None))
+    let seen = store_change(&store, &keys(), &template("c0", None))
         .await
         .expect("stored");
-    change(&store, &keys(), &template("c1", Some(seen)))
+    store_change(&store, &keys(), &template("c1", Some(seen)))
         .await
         .expect("stored");
-    let error = change(&store, &keys(), &template("c2", Some(seen)))
+    let error = store_change(&store, &keys(), &template("c2", Some(seen)))
         .await
         .expect_err("conflict");
     let ChangeError::Conflict {
@@ -161,17 +162,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_elsewhere_only_makes_it_check_again() {
+async fn a_change_of_another_document_causes_a_retry() {
     let store = MemoryStore::default();
-    change(&store, &keys(), &template("c0", None))
+    store_change(&store, &keys(), &template("c0", None))
         .await
         .expect("stored");
     let head = Write {
         key: keys().head(),
-        value: b"somebody".to_vec(),
+        value: b"another change".to_vec(),
     };
-    store.content().interfere = vec![head];
-    change(&store, &keys(), &template("c1", None))
+    store.content().concurrent_writes = vec![head];
+    store_change(&store, &keys(), &template("c1", None))
         .await
         .expect("stored");
     assert_eq!(
@@ -182,35 +183,37 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_not_there_cannot_be_deleted() {
+async fn deleting_a_missing_document_fails() {
     let store = MemoryStore::default();
     let deleted = Change {
         body: None,
         ..template("c1", None)
     };
-    let error = change(&store, &keys(), &deleted).await.expect_err("refused");
+    let error = store_change(&store, &keys(), &deleted)
+        .await
+        .expect_err("refused");
     assert_eq!(error.to_string(), "template/t: there is no such document");
     assert_eq!(store.content().swaps, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn refusals_are_paced_and_then_told_as_not_changed() {
+async fn rejected_calls_are_retried_until_the_time_limit() {
     let store = MemoryStore::default();
-    store.content().refuse = 3;
-    change(&store, &keys(), &template("c1", None))
+    store.content().reject = 3;
+    store_change(&store, &keys(), &template("c1", None))
         .await
-        .expect("stored after a while");
-    store.content().refuse = u32::MAX;
-    let error = change(&store, &keys(), &template("c2", None))
+        .expect("stored after retries");
+    store.content().reject = u32::MAX;
+    let error = store_change(&store, &keys(), &template("c2", None))
         .await
         .expect_err("unavailable");
     assert!(matches!(error, ChangeError::Unavailable(_)), "{error}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_others_rest_on_is_not_narrowed_or_deleted() {
+async fn a_template_in_use_cannot_be_narrowed_or_deleted() {
     let store = MemoryStore::default();
-    change(&store, &keys(), &template("c0", None))
+    store_change(&store, &keys(), &template("c0", None))
         .await
         .expect("stored");
     let group = "name = \"g\"\nuser = \"u\"\ndatabase = \"d\"\n[[instances]]\nname = \"i\"\naddress = \"127.0.0.1:1\"\nzone = \"z\"\nregion = \"r\"\nslots = 1\nconnections = 8\n";
@@ -222,13 +225,15 @@
             expected_revision: None,
             body: Some(body.to_owned()),
         };
-        change(&store, &keys(), &wanted).await.expect("stored");
+        store_change(&store, &keys(), &wanted).await.expect("stored");
     }
     let narrowed = Change {
         body: Some(TEMPLATE.replace("maximum = 10", "maximum = 5")),
         ..template("c1", None)
     };
-    let error = change(&store, &keys(), &narrowed).await.expect_err("refused");
+    let error = store_change(&store, &keys(), &narrowed)
+        .await
+        .expect_err("refused");
     assert!(
         error.to_string().contains("Weight is 9, allowed 1 to 5"),
         "{error}"
@@ -237,7 +242,9 @@
         body: None,
         ..template("c2", None)
     };
-    let error = change(&store, &keys(), &deleted).await.expect_err("refused");
+    let error = store_change(&store, &keys(), &deleted)
+        .await
+        .expect_err("refused");
     assert!(
         error
             .to_string()
