--- a/crates/millwind-node/src/bin/millwindd.rs
+++ b/crates/millwind-node/src/bin/millwindd.rs
@@ -1,4 +1,4 @@
-//! The millwind daemon.
+//! The daemon that runs a millwind node.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 use log::LevelFilter;
 use millwind_node::{NodeSettings, daemon};
 
-/// Database proxy that keeps each caller's session consistent.
+/// Database proxy that keeps each client's session consistent.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -18,27 +18,28 @@
     /// Check the settings and exit.
     #[arg(long)]
     check_config: bool,
-    /// Override: name of the node.
+    /// Override the node's name.
     #[arg(long)]
     name: Option<String>,
-    /// Override: zone of the node.
+    /// Override the node's zone.
     #[arg(long)]
     zone: Option<String>,
-    /// Override: listener for callers.
+    /// Override the listener address for clients.
     #[arg(long)]
     client_address: Option<SocketAddr>,
-    /// Override: listener for other nodes.
+    /// Override the listener address for other nodes.
     #[arg(long)]
     peer_address: Option<SocketAddr>,
-    /// Override: listener for operators.
+    /// Override the listener address of the admin API.
     #[arg(long)]
     admin_address: Option<SocketAddr>,
-    /// Override: least severe level that is logged.
+    /// Override the least severe level that is logged.
     #[arg(long)]
     log_level: Option<LevelFilter>,
 }
 
 impl Arguments {
+    /// Replaces the settings that are given on the command line.
     fn apply(&self, settings: &mut NodeSettings) {
         if let Some(name) = &self.name {
             settings.name.clone_from(name);
@@ -62,7 +63,7 @@
     };
     arguments.apply(&mut settings);
     if arguments.check_config {
-        return daemon::check(&settings);
+        return daemon::check_settings(&settings);
     }
     daemon::run(settings).await
 }
--- a/crates/millwind-node/src/daemon.rs
+++ b/crates/millwind-node/src/daemon.rs
@@ -1,4 +1,5 @@
-//! The life of a daemon process: settings in, signals handled, exit code out.
+//! Runs a node as a daemon process: checks settings, handles signals and returns
+//! the exit code.
 
 use std::process::ExitCode;
 
@@ -8,19 +9,19 @@
 use crate::settings::NodeSettings;
 use crate::{Node, logging};
 
-/// Exit code when settings are refused or a listener cannot be opened.
-pub const EXIT_REFUSED: u8 = 2;
-/// Exit code when a planned stop had to cut work short.
-pub const EXIT_CUT_SHORT: u8 = 3;
+/// Exit code if the settings are invalid or the node cannot start.
+pub const EXIT_STARTUP_FAILED: u8 = 2;
+/// Exit code if the drain timed out with work still open.
+pub const EXIT_DRAIN_TIMEOUT: u8 = 3;
 
-/// Says why the process does not start.
+/// Prints the error that prevents startup and returns the exit code.
 pub fn refuse(error: &str) -> ExitCode {
     eprintln!("millwindd: {error}");
-    ExitCode::from(EXIT_REFUSED)
+    ExitCode::from(EXIT_STARTUP_FAILED)
 }
 
-/// Checks settings without starting anything.
-pub fn check(settings: &NodeSettings) -> ExitCode {
+/// Checks the settings without starting a node.
+pub fn check_settings(settings: &NodeSettings) -> ExitCode {
     match settings.check() {
         Ok(()) => {
             println!("settings are valid");
@@ -30,7 +31,7 @@
     }
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node until a signal or an operator stops it, then drains it.
 pub async fn run(settings: NodeSettings) -> ExitCode {
     if let Err(error) = logging::start(settings.log_level) {
         return refuse(&error.to_string());
@@ -52,6 +53,6 @@
     if node.drain().await {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(EXIT_CUT_SHORT)
+        ExitCode::from(EXIT_DRAIN_TIMEOUT)
     }
 }
--- a/crates/millwind-node/src/lib.rs
+++ b/crates/millwind-node/src/lib.rs
@@ -1,9 +1,8 @@
 //! The millwind proxy node.
 //!
-//! A node plays every role: gateway for callers, owner of some back-end
-//! instances, member of the control plane, and in some zones relay of the
-//! configuration. Decisions are made in `millwind-core`; this crate does the
-//! input and output.
+//! Every node is a gateway for clients, the owner of some back-end instances and a
+//! member of the control plane; some nodes also relay the configuration to their
+//! zone. `millwind-core` contains the decision logic; this crate performs the I/O.
 
 pub mod admin;
 pub mod admin_change;
--- a/crates/millwind-node/src/node.rs
+++ b/crates/millwind-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts a node together, runs it, and stops it as planned.
+//! Starts the services of a node and drains the node on a planned stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,31 +25,31 @@
 use crate::peer::{self, PeerLinks};
 use crate::settings::{NodeSettings, SettingsError};
 
-/// During a planned stop, the load is looked at this often.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
-/// Peers get this long to hear of the stop before the load is looked at.
-const DRAIN_NOTICE: Duration = Duration::from_millis(1_500);
+/// Interval at which a draining node checks its remaining load.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the leaving mark to reach the peers before the load is checked.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time for the goodbye to leave the process.
-const GOODBYE_TIME: Duration = Duration::from_millis(100);
+/// Time for the departure messages to be sent before the process exits.
+const DEPARTURE_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Why a node did not start.
+/// The reason why a node did not start.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// The settings are not usable.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A listener's address cannot be used.
+    /// A listener cannot be bound to its address.
     #[error("{field} {address}: {source}")]
     Listen {
-        /// Field of the settings.
+        /// Settings field that holds the address.
         field: &'static str,
-        /// The address.
+        /// Address that cannot be bound.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The platform's endpoints are not usable.
+    /// The client of the platform's store cannot be created.
     #[error("platform: {0}")]
     Platform(#[from] StoreError),
 }
@@ -63,7 +63,7 @@
     drain_requests: mpsc::Receiver<()>,
 }
 
-async fn listen(field: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
+async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
     TcpListener::bind(address)
         .await
         .map_err(|source| NodeError::Listen {
@@ -74,12 +74,13 @@
 }
 
 impl Node {
-    /// Starts a node; returns once its listeners accept.
+    /// Starts a node and returns once its listeners are bound. Fails if the settings
+    /// are invalid or a listener cannot be bound.
     pub async fn start(mut settings: NodeSettings) -> Result<Node, NodeError> {
         settings.check()?;
-        let clients = listen("client_address", settings.client_address).await?;
-        let peers = listen("peer_address", settings.peer_address).await?;
-        let operators = listen("admin_address", settings.admin_address).await?;
+        let clients = bind("client_address", settings.client_address).await?;
+        let peers = bind("peer_address", settings.peer_address).await?;
+        let operators = bind("admin_address", settings.admin_address).await?;
         settings.client_address = local_address(&clients, settings.client_address);
         settings.peer_address = local_address(&peers, settings.peer_address);
         settings.admin_address = local_address(&operators, settings.admin_address);
@@ -103,7 +104,7 @@
         })
     }
 
-    /// The settings with the addresses really bound.
+    /// The settings, with the addresses that the listeners are bound to.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
@@ -113,34 +114,35 @@
         &self.gateway
     }
 
-    /// The control plane.
+    /// Handle to the control actor.
     pub fn control(&self) -> &ControlHandle {
         &self.control
     }
 
-    /// Waits for an operator's request to stop.
+    /// Waits until an operator asks the node to drain.
     pub async fn drain_requested(&mut self) {
         if self.drain_requests.recv().await.is_none() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Stops as planned: no new callers, open work ends, instances are handed
-    /// over; true when everything ended within the time set.
+    /// Drains the node: rejects new clients, gives up its instances and waits for
+    /// open work. Returns true if all work ended within `drain_ms`.
     pub async fn drain(&self) -> bool {
         info!("event=drain_started node={}", self.settings.name);
-        let give_up = tokio::time::Instant::now() + Duration::from_millis(self.settings.drain_ms);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(self.settings.drain_ms);
         let _ = self.control.actor.send(Leave).await;
         self.gateway.drain();
-        tokio::time::sleep(DRAIN_NOTICE.min(Duration::from_millis(self.settings.drain_ms / 2))).await;
-        while tokio::time::Instant::now() < give_up {
+        tokio::time::sleep(LEAVE_PROPAGATION_TIME.min(Duration::from_millis(self.settings.drain_ms / 2)))
+            .await;
+        while tokio::time::Instant::now() < deadline {
             if self.gateway.sessions() == 0 && self.gateway.owner.load() == 0 {
                 let _ = self.control.actor.send(Depart).await;
-                tokio::time::sleep(GOODBYE_TIME).await;
+                tokio::time::sleep(DEPARTURE_FLUSH_TIME).await;
                 info!("event=drain_finished node={}", self.settings.name);
                 return true;
             }
-            tokio::time::sleep(DRAIN_CHECK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         warn!(
             "event=drain_cut_short node={} sessions={} owner_load={}",
@@ -152,7 +154,7 @@
     }
 }
 
-/// Starts what serves callers and peers.
+/// Starts the services for clients and peers.
 fn start_services(
     settings: &Arc<NodeSettings>,
     clients: TcpListener,
@@ -177,7 +179,7 @@
     (gateway, control)
 }
 
-/// Starts what serves operators and watches the platform.
+/// Starts the admin API and the watch on the platform's configuration.
 fn start_administration(
     settings: &NodeSettings,
     operators: TcpListener,
@@ -202,6 +204,8 @@
     Ok(drain_requests)
 }
 
+/// The address a listener is bound to, which differs from the configured address
+/// if that has port zero.
 fn local_address(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(configured)
 }
--- a/crates/millwind-node/tests/settings.rs
+++ b/crates/millwind-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: bad input names the field and what is allowed.
+//! Settings: errors name the invalid field and its allowed values.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 fn example() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/node.toml");
-    std::fs::read_to_string(path).expect("the example is there")
+    std::fs::read_to_string(path).expect("the example file is readable")
 }
 
 fn read(text: &str) -> Result<NodeSettings, String> {
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn the_example_is_valid() {
+fn the_example_file_is_valid() {
     let settings = read(&example()).expect("valid");
     assert_eq!(settings.name, "naas-hall-n1");
     assert_eq!(settings.drain_ms, 30_000);
 }
 
 #[test]
-fn a_bad_value_is_named_with_its_range() {
+fn an_error_names_the_field_and_its_allowed_values() {
     let cases = [
         (
             "drain_ms = 30000",
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_advertised_address_may_be_dialled_elsewhere() {
+fn an_advertised_address_maps_to_its_dial_address() {
     let text = example().replace("# \"10.0.1.5:5432\"", "\"10.0.1.5:5432\"");
     let settings = read(&text).expect("valid");
     let advertised = "10.0.1.5:5432".parse().expect("an address");
@@ -73,7 +73,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(19), ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn any_text_is_settings_or_an_error(text in ".{0,300}") {
+    fn arbitrary_text_does_not_panic(text in ".{0,300}") {
         let _ = read(&text);
     }
 }
