--- a/crates/millwind-node/src/admin_change.rs
+++ b/crates/millwind-node/src/admin_change.rs
@@ -12,7 +12,7 @@
 
 use crate::config_watch::{KeySpace, StoredDocument};
 
-/// Time after which a change is no longer retried.
+/// Time after which failed store calls are no longer retried.
 const CHANGE_LIMIT: Duration = Duration::from_secs(10);
 
 /// A requested change of one document.
@@ -63,8 +63,9 @@
     },
 }
 
-/// Stores a change and returns the revision that it created. Store errors and lost
-/// compare-and-swap races are retried for up to [`CHANGE_LIMIT`].
+/// Stores a change and returns the revision that it created. Failed store
+/// calls are retried until [`CHANGE_LIMIT`] has passed; a lost compare-and-swap
+/// race is retried at once.
 pub async fn store_change<S: Store>(store: &S, keys: &KeySpace, change: &Change) -> Result<u64, ChangeError> {
     let deadline = tokio::time::Instant::now() + CHANGE_LIMIT;
     let mut backoff = Backoff::default();
--- a/crates/millwind-node/src/peer/link.rs
+++ b/crates/millwind-node/src/peer/link.rs
@@ -189,7 +189,7 @@
         return;
     }
     let mut pending: HashMap<u64, PendingCall> = HashMap::new();
-    let mut last_heard = tokio::time::Instant::now();
+    let mut last_received = tokio::time::Instant::now();
     // Size of the partly received message at the previous keep-alive.
     let mut received_bytes = 0;
     let mut keep_alive_timer = tokio::time::interval(KEEP_ALIVE_INTERVAL);
@@ -199,7 +199,7 @@
             command = commands.recv() => {
                 let Some(command) = command else { return };
                 if pending.is_empty() {
-                    last_heard = tokio::time::Instant::now();
+                    last_received = tokio::time::Instant::now();
                 }
                 if run_commands(command, &mut commands, &mut framed, &mut pending).await.is_err() {
                     return;
@@ -207,7 +207,7 @@
             }
             frame = framed.next() => {
                 let Some(Ok(frame)) = frame else { return };
-                last_heard = tokio::time::Instant::now();
+                last_received = tokio::time::Instant::now();
                 silent.store(false, Ordering::Relaxed);
                 let Ok(message) = millwind_wire::decode(&frame) else { return };
                 if let Some(call) = reply_request_id(&message).and_then(|id| pending.remove(&id)) {
@@ -220,14 +220,14 @@
                 let received_before = received_bytes;
                 received_bytes = framed.read_buffer().len();
                 if received_bytes > received_before {
-                    last_heard = tokio::time::Instant::now();
+                    last_received = tokio::time::Instant::now();
                 }
-                if last_heard.elapsed() > SILENT_AFTER {
+                if last_received.elapsed() > SILENT_AFTER {
                     silent.store(true, Ordering::Relaxed);
                     // Dropping a call's reply sender fails the call as lost.
                     pending.retain(|_, call| call.patience == Patience::UntilLimit);
                 }
-                if last_heard.elapsed() > DISCONNECT_AFTER {
+                if last_received.elapsed() > DISCONNECT_AFTER {
                     return;
                 }
                 if send_message(&mut framed, &PeerMessage::KeepAlive).await.is_err() {
