--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -8,7 +8,7 @@
 mod permits;
 mod removals;
 mod usage;
-mod warm_up;
+mod warmth;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -30,7 +30,7 @@
 use crate::logging::LineLimit;
 use crate::peers::PeerReachability;
 
-use warm_up::observe_warm_up;
+use warmth::observe_warm_up;
 
 pub use contact::InstanceHealth;
 use lives::{PreviousLog, SteppedDown, start_incarnation};
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -28,8 +28,8 @@
 use crate::connection_shares::WATCHERS;
 use crate::directory::KnownInstance;
 use crate::eligibility::InstanceUse;
+use crate::lead_terms::LeaderRegionRules;
 use crate::leader_demand::encode_demand_report;
-use crate::leader_region_rules::LeaderRegionRules;
 use crate::node::Engine;
 
 /// Interval between placement checks, and between reports on one group: a third of the lifetime
--- a/crates/millwind-engine/src/forward/link.rs
+++ b/crates/millwind-engine/src/forward/link.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-use super::link_suspicion::LinkSuspicion;
+use super::doubt::LinkSuspicion;
 use super::link_task::{self, LinkState};
 use crate::clock;
 
--- a/crates/millwind-engine/src/forward/link_task.rs
+++ b/crates/millwind-engine/src/forward/link_task.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::codec::Framed;
 
-use super::link_suspicion::LinkSuspicion;
+use super::doubt::LinkSuspicion;
 use super::{Transport, write_all};
 use crate::clock;
 use crate::peers::peer_codec;
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
+use super::doubt::LinkSuspicion;
 use super::link::OwnerLink;
-use super::link_suspicion::LinkSuspicion;
 use crate::clock;
 
 /// Timeout for opening a link.
--- a/crates/millwind-engine/src/forward/mod.rs
+++ b/crates/millwind-engine/src/forward/mod.rs
@@ -16,18 +16,18 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
+mod doubt;
 mod lease;
 mod link;
-mod link_suspicion;
 mod link_task;
 mod links;
 mod messages;
 mod owners;
 mod server;
 
+pub use doubt::LinkSuspicion;
 pub use lease::Lease;
 pub use link::OwnerLink;
-pub use link_suspicion::LinkSuspicion;
 pub use owners::{ForwardingPolicy, OWNER_COUNT, OwnerRouter, OwnershipRole, Route, RouteRequest};
 pub use server::serve;
 
--- a/crates/millwind-engine/tests/fleet_growth.rs
+++ b/crates/millwind-engine/tests/fleet_growth.rs
@@ -11,7 +11,7 @@
 use millwind_core::tenant::{Template, Tenant};
 use millwind_engine::catalog::{ConfigSnapshot, Consistency, Database, InstanceRecord, Tenants};
 use millwind_engine::directory::Directory;
-use millwind_engine::leader_region_rules::LeaderRegionRules;
+use millwind_engine::lead_terms::LeaderRegionRules;
 use millwind_engine::registry::{Departure, NodeRecord, OwnerQuery, Registry};
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
--- a/crates/millwind-node/src/admin_change.rs
+++ b/crates/millwind-node/src/admin_change.rs
@@ -147,7 +147,10 @@
     }
     validate(&documents, listing.revision.number, change)
         .map_err(|error| AttemptError::Final(error.into()))?;
-    let head = listing.entries.iter().find(|entry| entry.key == keys.head());
+    let head = listing
+        .entries
+        .iter()
+        .find(|entry| entry.key == keys.change_guard());
     let conditions = [
         Condition {
             key: keys.document(&change.key),
--- a/crates/millwind-node/src/control.rs
+++ b/crates/millwind-node/src/control.rs
@@ -93,7 +93,7 @@
     }
 
     /// The node that owns `instance` when the nodes in `excluded` are left out.
-    pub fn owner_except(
+    pub fn owner_excluding(
         &self,
         instance: &InstanceName,
         zone: &ZoneName,
@@ -105,7 +105,7 @@
         }
         self.members
             .owners
-            .owner_except(instance, zone, region, excluded)
+            .owner_excluding(instance, zone, region, excluded)
             .cloned()
     }
 
@@ -416,7 +416,7 @@
 }
 
 impl Handler<GetStandings> for ControlActor {
-    type Return = BTreeMap<String, Standing>;
+    type Return = BTreeMap<String, RolloutState>;
 
     async fn handle(&mut self, query: GetStandings, _context: &mut Context<Self>) -> Self::Return {
         let now = clock::now();
@@ -447,6 +447,6 @@
                 )
             })
             .collect();
-        self.plane.standings(now, query.revision, &reports)
+        self.plane.rollout_states(now, query.revision, &reports)
     }
 }
--- a/crates/millwind-node/src/node.rs
+++ b/crates/millwind-node/src/node.rs
@@ -136,7 +136,7 @@
         tokio::time::sleep(LEAVE_PROPAGATION_TIME.min(Duration::from_millis(self.settings.drain_ms / 2)))
             .await;
         while tokio::time::Instant::now() < deadline {
-            if self.gateway.sessions() == 0 && self.gateway.owner.load() == 0 {
+            if self.gateway.open_session_count() == 0 && self.gateway.owner.load() == 0 {
                 let _ = self.control.actor.send(Depart).await;
                 tokio::time::sleep(DEPARTURE_FLUSH_TIME).await;
                 info!("event=drain_finished node={}", self.settings.name);
--- a/crates/millwind-node/src/owner/execute.rs
+++ b/crates/millwind-node/src/owner/execute.rs
@@ -49,7 +49,7 @@
     /// Error kind reported to the client if the gateway does not retry.
     pub kind: ErrorKind,
     /// Whether the batch may have taken effect.
-    pub progress: Progress,
+    pub progress: RequestProgress,
     /// Human-readable description.
     pub detail: String,
 }
@@ -166,7 +166,7 @@
         let work = self.read_with_position(&mut connection);
         let (status, answer) = tokio::time::timeout(clock::time_until(self.deadline), work)
             .await
-            .map_err(|_| Failure::not_sent(ErrorKind::WindowTooShort, "no answer before the deadline"))?
+            .map_err(|_| Failure::not_sent(ErrorKind::DeadlineTooShort, "no answer before the deadline"))?
             .map_err(read_failure)?;
         self.monitor.observe(&self.instance, status.clone()).await;
         if answer.transaction_status == STATUS_IDLE {
@@ -227,7 +227,7 @@
     /// staleness bound; fails if it cannot or does not in time.
     async fn await_coverage(&self) -> Result<(), Failure> {
         let mut view = self.monitor.view.clone();
-        let wait = Duration::from_millis(self.request.wait_ms.into()).min(clock::until(self.deadline));
+        let wait = Duration::from_millis(self.request.wait_ms.into()).min(clock::time_until(self.deadline));
         let wait_until = tokio::time::Instant::now() + wait;
         let mut _catch_up_wait = None;
         loop {
@@ -287,7 +287,10 @@
         let _announcement = self.monitor.announce_commit();
         let reply = self.run_read().await?;
         let position = reply.position.unwrap_or_default();
-        let verdict = self.monitor.confirm(position, clock::until(self.deadline)).await;
+        let verdict = self
+            .monitor
+            .confirm(position, clock::time_until(self.deadline))
+            .await;
         match verdict {
             Some(Verdict::Confirmed) => Ok(reply),
             _ => Err(Failure::not_sent(
@@ -303,7 +306,7 @@
         let mut slot = self.acquire_slot().await?;
         let mut connection = self.connection(&mut slot).await?;
         let mut bytes = BytesMut::from(&self.request.batch[..]);
-        put_status(&mut bytes).map_err(|error| Failure::not_sent(ErrorKind::Unsupported, error))?;
+        put_status_request(&mut bytes).map_err(|error| Failure::not_sent(ErrorKind::Unsupported, error))?;
         let _announcement = self.monitor.announce_commit();
         let exchange = async {
             connection.send(&bytes).await?;
@@ -328,7 +331,7 @@
         tokio::select! {
             result = exchange => result.map_err(Failure::outcome_unknown),
             () = self.higher_term_observed(term) => Err(Failure::outcome_unknown("a higher term was observed")),
-            () = tokio::time::sleep(clock::until(self.deadline)) => Err(Failure::outcome_unknown("no answer before the deadline")),
+            () = tokio::time::sleep(clock::time_until(self.deadline)) => Err(Failure::outcome_unknown("no answer before the deadline")),
         }
     }
 
--- a/crates/millwind-node/src/owner/monitor.rs
+++ b/crates/millwind-node/src/owner/monitor.rs
@@ -329,7 +329,7 @@
     type Return = Sequence;
 
     async fn handle(&mut self, _next: NextSequence, _context: &mut Context<Self>) -> Sequence {
-        self.tracker.draw()
+        self.tracker.next_sequence()
     }
 }
 
@@ -348,7 +348,9 @@
         self.view
             .observe(clock::now(), &observed.instance, observed.status);
         if let Some(sequence) = observed.sequence {
-            let verdicts = self.tracker.observe(&observed.instance, sequence, term, received);
+            let verdicts = self
+                .tracker
+                .record_status(&observed.instance, sequence, term, received);
             self.deliver_verdicts(verdicts);
         }
         self.publish();
@@ -370,7 +372,7 @@
                 self.group, unreachable.instance, unreachable.error
             );
         }
-        self.view.unreachable(&unreachable.instance);
+        self.view.mark_unreachable(&unreachable.instance);
         self.publish();
     }
 }
@@ -490,7 +492,7 @@
         in_flight: &mut InFlight,
     ) -> Result<(), String> {
         let mut query = bytes::BytesMut::new();
-        put_status(&mut query).map_err(|error| error.to_string())?;
+        put_status_request(&mut query).map_err(|error| error.to_string())?;
         let sequence = self
             .monitor
             .send(NextSequence)
--- a/crates/millwind-node/src/owner/pool.rs
+++ b/crates/millwind-node/src/owner/pool.rs
@@ -242,7 +242,7 @@
         let mut expired = Vec::new();
         let next = self.queue.release(clock::now(), held_us, &mut expired);
         for id in expired {
-            self.reject(id, ErrorKind::WindowTooShort);
+            self.reject(id, ErrorKind::DeadlineTooShort);
         }
         if let Some(ticket) = next {
             self.grant(ticket.id);
--- a/crates/millwind-node/tests/changes.rs
+++ b/crates/millwind-node/tests/changes.rs
@@ -168,7 +168,7 @@
         .await
         .expect("stored");
     let head = Write {
-        key: keys().head(),
+        key: keys().change_guard(),
         value: b"another change".to_vec(),
     };
     store.content().concurrent_writes = vec![head];
