--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -521,7 +521,7 @@
             .as_ref()
             .is_some_and(|leader| leader.instance == *instance);
         if is_presumed_leader {
-            info!("event=record_leader_denial group={group} instance={instance}");
+            info!("event=leader_denied group={group} instance={instance}");
             entry.leader = None;
             state.mark_group_changed(group);
         }
--- a/crates/millwind-node/src/config_watch.rs
+++ b/crates/millwind-node/src/config_watch.rs
@@ -53,7 +53,7 @@
     /// Returns the store key that every change writes, so that two changes validated
     /// against the same state cannot both succeed.
     pub fn change_guard(&self) -> String {
-        format!("{}change_guard", self.prefix)
+        format!("{}head", self.prefix)
     }
 
     /// Returns the store key of a machine list entry.
