--- a/crates/millwind-node/src/peer/link.rs
+++ b/crates/millwind-node/src/peer/link.rs
@@ -89,7 +89,7 @@
 
 impl DialAddressMap for crate::NodeSettings {
     fn dial_address(&self, advertised: SocketAddr) -> SocketAddr {
-        crate::NodeSettings::dial_address(self, advertised)
+        crate::NodeSettings::connect_address(self, advertised)
     }
 }
 
