--- a/crates/millwind-lab/src/instance/control.rs
+++ b/crates/millwind-lab/src/instance/control.rs
@@ -1,4 +1,4 @@
-//! The lab's control of a stand-in instance, over HTTP.
+//! HTTP control API of a simulated instance.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,86 +10,86 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-use super::log_state::{Role, Start, Statement};
+use super::log_state::{Role, Statement, TermStart};
 use super::{Instance, election};
 
-/// What the lab sees of an instance.
+/// State of an instance, as returned by `/report`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// Whether it accepts writes.
+    /// Whether the instance is the primary and accepts writes.
     pub leads: bool,
-    /// Term of its log.
+    /// Term of the log.
     pub term: u64,
-    /// Highest term heard of.
+    /// Highest term seen.
     pub highest_term: u64,
-    /// End of its log.
+    /// End position of the log.
     pub end: u64,
-    /// End of what is replayed.
+    /// End position of the replayed part of the log.
     pub applied_end: u64,
-    /// When it began to accept writes, in milliseconds since 1970.
+    /// When the instance was promoted, in milliseconds since the Unix epoch; 0 if never.
     pub opened_at_ms: u64,
-    /// Connections open.
+    /// Currently open client connections.
     pub connections: u32,
-    /// Most connections open at the same time.
+    /// Highest number of simultaneously open client connections.
     pub peak_connections: u32,
-    /// Statements run, status questions left out.
+    /// Number of executed statements, without status queries.
     pub statements: u64,
-    /// Where terms began.
-    pub history: Vec<Start>,
+    /// Terms and their start positions, oldest first.
+    pub history: Vec<TermStart>,
 }
 
-/// A committed transaction, for checks from outside.
+/// A committed transaction, as returned by `/log`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoggedTransaction {
-    /// Term it was written in.
+    /// Term in which the transaction was committed.
     pub term: u64,
-    /// Log position after it.
+    /// Log position after the transaction.
     pub end: u64,
-    /// Its statements.
+    /// Statements of the transaction, in order.
     pub statements: Vec<Statement>,
 }
 
-/// Faults the lab sets.
+/// Faults to inject, as accepted by `/faults`; absent fields stay unchanged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Faults {
+pub struct InstanceFaults {
     /// Replay lag, in milliseconds.
     #[serde(default)]
     pub lag_ms: Option<u64>,
-    /// Cut off from its peers.
+    /// Whether the instance is partitioned from its peers.
     #[serde(default)]
     pub cut: Option<bool>,
 }
 
-/// Serves the lab's control.
+/// Serves the control API.
 pub async fn serve(listener: TcpListener, instance: Arc<Instance>) {
     let router = Router::new()
         .route("/report", get(report))
-        .route("/log", get(log))
-        .route("/faults", post(faults))
-        .route("/stand", post(stand))
+        .route("/log", get(log_entries))
+        .route("/faults", post(set_faults))
+        .route("/stand", post(start_election))
         .with_state(instance);
     let _ = axum::serve(listener, router).await;
 }
 
 async fn report(State(instance): State<Arc<Instance>>) -> Json<InstanceReport> {
-    let core = instance.state.lock();
+    let state = instance.state.lock();
     Json(InstanceReport {
-        leads: core.role == Role::Leader,
-        term: core.log_term(),
-        highest_term: core.term,
-        end: core.end(),
-        applied_end: core.applied_end(),
-        opened_at_ms: core.opened_at_ms,
+        leads: state.role == Role::Leader,
+        term: state.log_term(),
+        highest_term: state.term,
+        end: state.end(),
+        applied_end: state.applied_end(),
+        opened_at_ms: state.opened_at_ms,
         connections: instance.connections.load(Ordering::Relaxed),
         peak_connections: instance.peak_connections.load(Ordering::Relaxed),
         statements: instance.statements.load(Ordering::Relaxed),
-        history: core.history.clone(),
+        history: state.history.clone(),
     })
 }
 
-async fn log(State(instance): State<Arc<Instance>>) -> Json<Vec<LoggedTransaction>> {
-    let core = instance.state.lock();
-    let transactions = core.log.iter().map(|entry| LoggedTransaction {
+async fn log_entries(State(instance): State<Arc<Instance>>) -> Json<Vec<LoggedTransaction>> {
+    let state = instance.state.lock();
+    let transactions = state.log.iter().map(|entry| LoggedTransaction {
         term: entry.term,
         end: entry.end,
         statements: entry.statements.clone(),
@@ -97,18 +97,18 @@
     Json(transactions.collect())
 }
 
-async fn faults(State(instance): State<Arc<Instance>>, Json(faults): Json<Faults>) {
-    let mut core = instance.state.lock();
+async fn set_faults(State(instance): State<Arc<Instance>>, Json(faults): Json<InstanceFaults>) {
+    let mut state = instance.state.lock();
     if let Some(lag_ms) = faults.lag_ms {
-        core.lag = Duration::from_millis(lag_ms);
+        state.lag = Duration::from_millis(lag_ms);
     }
     if let Some(cut) = faults.cut {
-        core.cut = cut;
+        state.partitioned = cut;
     }
-    drop(core);
+    drop(state);
     instance.state.notify();
 }
 
-async fn stand(State(instance): State<Arc<Instance>>) {
-    election::stand(&instance).await;
+async fn start_election(State(instance): State<Arc<Instance>>) {
+    election::start_election(&instance).await;
 }
--- a/crates/millwind-lab/src/instance/database.rs
+++ b/crates/millwind-lab/src/instance/database.rs
@@ -1,4 +1,4 @@
-//! The database of a stand-in instance, and the replay of the log into it.
+//! SQLite database of a simulated instance, and log replay into the database.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 use super::log_state::{Entry, Statement};
 
 const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
-const LONGEST_SLEEP: Duration = Duration::from_millis(20);
+const MAX_REPLAY_WAIT: Duration = Duration::from_millis(20);
 
-/// Opens a connection to the instance's database of this generation.
+/// Opens a connection to the in-memory database of `generation`.
 pub fn open(instance: &Instance, generation: u64) -> rusqlite::Result<Connection> {
     let flags =
         OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_CREATE | OpenFlags::SQLITE_OPEN_URI;
@@ -24,8 +24,8 @@
     Ok(connection)
 }
 
-/// Binds a statement's parameters and runs it.
-pub fn run(connection: &Connection, statement: &Statement) -> rusqlite::Result<usize> {
+/// Executes a statement with its parameters; returns the number of changed rows.
+pub fn execute(connection: &Connection, statement: &Statement) -> rusqlite::Result<usize> {
     let mut prepared = connection.prepare_cached(&statement.sql)?;
     bind(&mut prepared, &statement.parameters)?;
     let mut rows = prepared.raw_query();
@@ -34,10 +34,10 @@
     Ok(connection.changes() as usize)
 }
 
-/// Binds `$1`, `$2` and so on.
+/// Binds `$1`, `$2` and so on. Text that parses as an integer is bound as one.
 pub fn bind(prepared: &mut rusqlite::Statement<'_>, parameters: &[Option<String>]) -> rusqlite::Result<()> {
     for (index, parameter) in parameters.iter().enumerate() {
-        let Some(place) = prepared.parameter_index(&format!("${}", index + 1))? else {
+        let Some(parameter_number) = prepared.parameter_index(&format!("${}", index + 1))? else {
             continue;
         };
         let value = match parameter {
@@ -47,37 +47,38 @@
                 .map(Value::Integer)
                 .unwrap_or_else(|_| Value::Text(text.clone())),
         };
-        prepared.raw_bind_parameter(place, value)?;
+        prepared.raw_bind_parameter(parameter_number, value)?;
     }
     Ok(())
 }
 
-fn apply(connection: &Connection, entry: &Entry) -> rusqlite::Result<()> {
+/// Executes all statements of an entry in one transaction.
+fn apply_entry(connection: &Connection, entry: &Entry) -> rusqlite::Result<()> {
     connection.execute_batch("BEGIN IMMEDIATE")?;
     for statement in &entry.statements {
-        run(connection, statement)?;
+        execute(connection, statement)?;
     }
     connection.execute_batch("COMMIT")
 }
 
-/// Replays received entries, each when its lag has passed.
-pub async fn replay(instance: Arc<Instance>) {
+/// Replays received entries, each after the configured replay lag.
+pub async fn replay_log(instance: Arc<Instance>) {
     let mut changed = instance.state.subscribe();
     let mut open_generation = None;
     let mut connection = None;
     loop {
         let now = Instant::now();
         let (generation, due, wait) = {
-            let core = instance.state.lock();
-            let next = core
+            let state = instance.state.lock();
+            let next = state
                 .received
-                .get(core.applied)
-                .map(|received| *received + core.lag);
+                .get(state.applied)
+                .map(|received| *received + state.lag);
             let due = next.is_some_and(|due| due <= now);
-            let wait = next.map_or(LONGEST_SLEEP, |due| {
-                due.saturating_duration_since(now).min(LONGEST_SLEEP)
+            let wait = next.map_or(MAX_REPLAY_WAIT, |due| {
+                due.saturating_duration_since(now).min(MAX_REPLAY_WAIT)
             });
-            (core.generation, due, wait)
+            (state.generation, due, wait)
         };
         if !due {
             let _ = tokio::time::timeout(wait, changed.changed()).await;
@@ -88,18 +89,19 @@
             open_generation = Some(generation);
         }
         let Some(connection) = &connection else { continue };
-        replay_one(&instance, connection, generation);
+        replay_next_entry(&instance, connection, generation);
         tokio::task::yield_now().await;
     }
 }
 
-/// Replays the next entry, under the lock, so that no truncation comes between.
-pub fn replay_one(instance: &Instance, connection: &Connection, generation: u64) {
-    let mut core = instance.state.lock();
-    if core.generation != generation || core.applied >= core.log.len() {
+/// Replays the next entry while holding the state lock, which prevents a
+/// concurrent truncation of the log.
+pub fn replay_next_entry(instance: &Instance, connection: &Connection, generation: u64) {
+    let mut state = instance.state.lock();
+    if state.generation != generation || state.applied >= state.log.len() {
         return;
     }
-    if let Err(error) = apply(connection, &core.log[core.applied]) {
+    if let Err(error) = apply_entry(connection, &state.log[state.applied]) {
         log::error!(
             "event=replay_failed instance={} error={:?}",
             instance.settings.name,
@@ -108,12 +110,12 @@
         let _ = connection.execute_batch("ROLLBACK");
         return;
     }
-    core.applied += 1;
-    drop(core);
+    state.applied += 1;
+    drop(state);
     instance.state.notify();
 }
 
-/// Replays everything received, before a new primary opens.
+/// Replays all received entries, as a new primary does before it accepts writes.
 pub fn replay_all(instance: &Instance) {
     let generation = instance.state.lock().generation;
     let Ok(connection) = open(instance, generation) else {
@@ -121,11 +123,11 @@
     };
     loop {
         {
-            let core = instance.state.lock();
-            if core.applied >= core.log.len() || core.generation != generation {
+            let state = instance.state.lock();
+            if state.applied >= state.log.len() || state.generation != generation {
                 return;
             }
         }
-        replay_one(instance, &connection, generation);
+        replay_next_entry(instance, &connection, generation);
     }
 }
--- a/crates/millwind-lab/src/instance/election.rs
+++ b/crates/millwind-lab/src/instance/election.rs
@@ -1,4 +1,4 @@
-//! Elections among stand-in instances.
+//! Leader election among simulated instances.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,71 +6,73 @@
 use futures::future::join_all;
 
 use super::Instance;
-use super::log_state::{Role, Start, majority};
-use super::replication::{VoteRequest, ask_vote};
+use super::log_state::{Role, TermStart, majority};
+use super::replication::{VoteRequest, request_vote};
 
-/// A leader that is silent this long is taken for dead.
-const LEADER_SILENCE: Duration = Duration::from_millis(600);
-/// Each rank waits this much longer, so that two seldom stand at once.
-const RANK_DELAY: Duration = Duration::from_millis(150);
+/// Election timeout of an instance of rank 0.
+const BASE_ELECTION_TIMEOUT: Duration = Duration::from_millis(600);
+/// Added to the election timeout per rank, to make split votes unlikely.
+const ELECTION_TIMEOUT_PER_RANK: Duration = Duration::from_millis(150);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stands for election whenever the leader is silent for too long.
-pub async fn run(instance: Arc<Instance>) {
-    let patience = LEADER_SILENCE + RANK_DELAY * instance.settings.rank as u32;
+/// Starts an election whenever the election timeout passes without contact
+/// from a leader.
+pub async fn monitor_leader(instance: Arc<Instance>) {
+    let election_timeout = BASE_ELECTION_TIMEOUT + ELECTION_TIMEOUT_PER_RANK * instance.settings.rank as u32;
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let stands = {
-            let core = instance.state.lock();
-            core.role == Role::Follower
-                && core.full_member
-                && !core.cut
-                && core.heard_leader.elapsed() > patience
+        let leader_timed_out = {
+            let state = instance.state.lock();
+            state.role == Role::Follower
+                && state.full_member
+                && !state.partitioned
+                && state.last_leader_contact.elapsed() > election_timeout
         };
-        if stands {
-            stand(&instance).await;
+        if leader_timed_out {
+            start_election(&instance).await;
         }
     }
 }
 
-/// Stands for election once.
-pub async fn stand(instance: &Arc<Instance>) {
+/// Runs one election: requests votes for a new term and, with a majority,
+/// begins the promotion of this instance.
+pub async fn start_election(instance: &Arc<Instance>) {
     let request = {
-        let mut core = instance.state.lock();
-        core.term += 1;
-        core.voted_term = core.term;
-        core.heard_leader = Instant::now();
+        let mut state = instance.state.lock();
+        state.term += 1;
+        state.voted_term = state.term;
+        state.last_leader_contact = Instant::now();
         VoteRequest {
-            term: core.term,
-            last_term: core.last_entry_term(),
-            end: core.end(),
+            term: state.term,
+            last_term: state.last_entry_term(),
+            end: state.end(),
         }
     };
-    let votes = instance
+    let vote_requests = instance
         .settings
         .peers
         .iter()
-        .map(|peer| ask_vote(peer, request.clone()));
-    let replies = join_all(votes).await;
-    let mut core = instance.state.lock();
-    let highest = replies
+        .map(|peer| request_vote(peer, request.clone()));
+    let replies = join_all(vote_requests).await;
+    let mut state = instance.state.lock();
+    let highest_term = replies
         .iter()
         .flatten()
         .map(|reply| reply.term)
         .max()
         .unwrap_or(0);
-    if highest > core.term {
-        core.follow(highest);
+    if highest_term > state.term {
+        state.follow(highest_term);
         return;
     }
-    let granted = 1 + replies.iter().flatten().filter(|reply| reply.granted).count();
-    let still_standing = core.term == request.term && core.role == Role::Follower && !core.cut;
-    if still_standing && granted >= majority(instance.settings.peers.len()) {
-        core.role = Role::Opening;
-        core.matched.clear();
-        core.adopted.clear();
-        let start = core.end();
-        core.history.push(Start {
+    let votes = 1 + replies.iter().flatten().filter(|reply| reply.granted).count();
+    let still_candidate = state.term == request.term && state.role == Role::Follower && !state.partitioned;
+    if still_candidate && votes >= majority(instance.settings.peers.len()) {
+        state.role = Role::Promoting;
+        state.replicated_lengths.clear();
+        state.term_adopters.clear();
+        let start = state.end();
+        state.history.push(TermStart {
             term: request.term,
             start,
         });
@@ -80,6 +82,6 @@
             request.term
         );
     }
-    drop(core);
+    drop(state);
     instance.state.notify();
 }
--- a/crates/millwind-lab/src/instance/log_state.rs
+++ b/crates/millwind-lab/src/instance/log_state.rs
@@ -1,4 +1,4 @@
-//! The log, role and term of a stand-in instance.
+//! Replication log, role and term of a simulated instance.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,10 +10,11 @@
 
 use super::InstanceSettings;
 
-/// Bytes a log record takes beside its statements.
+/// Simulated size of a log record's header, in bytes.
 const RECORD_OVERHEAD_BYTES: u64 = 32;
-/// A commit waits this long for a majority before the primary goes on alone.
-pub const SYNCHRONOUS_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a commit waits for a majority before the primary falls back to
+/// asynchronous commits.
+pub const SYNCHRONOUS_COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// One statement of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,78 +28,78 @@
 /// One committed transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term it was written in.
+    /// Term in which the transaction was committed.
     pub term: u64,
-    /// Log position after it.
+    /// Log position after the transaction.
     pub end: u64,
-    /// Its statements.
+    /// Statements of the transaction, in order.
     pub statements: Vec<Statement>,
 }
 
-/// Where a term began.
+/// A term and its start position in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct TermStart {
     /// The term.
     pub term: u64,
-    /// Log position at its start.
+    /// Log position at which the term starts.
     pub start: u64,
 }
 
-/// Role of the instance.
+/// Replication role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Replays.
+    /// Receives the log from a leader and replays it.
     Follower,
-    /// Won an election; a majority has not adopted its term yet.
-    Opening,
+    /// Has won an election and waits for a majority to adopt the new term.
+    Promoting,
     /// Accepts writes.
     Leader,
 }
 
-/// The log and what belongs to it.
+/// Replication state of an instance.
 #[derive(Debug)]
-pub struct Core {
-    /// Role.
+pub struct ReplicationState {
+    /// Replication role.
     pub role: Role,
-    /// Highest term heard of.
+    /// Highest term seen.
     pub term: u64,
-    /// Term in which a vote was given.
+    /// Last term in which the instance voted.
     pub voted_term: u64,
     /// Committed transactions, oldest first.
     pub log: Vec<Entry>,
     /// When each entry was received.
     pub received: Vec<Instant>,
-    /// Entries replayed into the database.
+    /// Number of entries replayed into the database.
     pub applied: usize,
-    /// Where terms began; the last one is the log's term.
-    pub history: Vec<Start>,
-    /// Entries each peer is known to hold, in this term.
-    pub matched: HashMap<String, usize>,
-    /// Peers that have adopted this term.
-    pub adopted: HashSet<String>,
-    /// Last word of a leader.
-    pub heard_leader: Instant,
-    /// The primary commits alone until peers catch up.
-    pub alone: bool,
+    /// Terms and their start positions; the last term is the term of the log.
+    pub history: Vec<TermStart>,
+    /// Number of entries that each peer is known to hold, in the current term.
+    pub replicated_lengths: HashMap<String, usize>,
+    /// Peers that have adopted the current term.
+    pub term_adopters: HashSet<String>,
+    /// When a leader was last heard from, or the last vote was cast.
+    pub last_leader_contact: Instant,
+    /// Whether commits skip the wait for a majority until peers catch up.
+    pub asynchronous_commit: bool,
     /// Replay lag of a replica.
     pub lag: Duration,
-    /// Cut off from its peers.
-    pub cut: bool,
-    /// May vote and stand.
+    /// Whether the instance is partitioned from its peers.
+    pub partitioned: bool,
+    /// Whether the instance may vote and start elections.
     pub full_member: bool,
-    /// When it began to accept writes, for measurements.
+    /// When the instance was promoted, in milliseconds since the Unix epoch; 0 if never.
     pub opened_at_ms: u64,
-    /// Number of the database; raised when it is built anew.
+    /// Number of the database, incremented whenever the database is rebuilt.
     pub generation: u64,
 }
 
-impl Core {
-    /// End of the log.
+impl ReplicationState {
+    /// End position of the log.
     pub fn end(&self) -> u64 {
         self.log.last().map_or(0, |entry| entry.end)
     }
 
-    /// End of what is replayed.
+    /// End position of the replayed part of the log.
     pub fn applied_end(&self) -> u64 {
         match self.applied {
             0 => 0,
@@ -106,17 +107,17 @@
         }
     }
 
-    /// Term of the log.
+    /// Term of the log; 0 if the instance has not joined its group.
     pub fn log_term(&self) -> u64 {
         self.history.last().map_or(0, |start| start.term)
     }
 
-    /// Term of the last entry.
+    /// Term of the last entry; 0 if the log is empty.
     pub fn last_entry_term(&self) -> u64 {
         self.log.last().map_or(0, |entry| entry.term)
     }
 
-    /// Position visible to readers.
+    /// Replayed position, which is what a read observes.
     pub fn position(&self) -> Position {
         Position::new(self.log_term(), self.applied_end())
     }
@@ -138,8 +139,8 @@
         end
     }
 
-    /// Shortens the log; true when replayed entries were dropped, so that the
-    /// database must be built anew.
+    /// Truncates the log; returns true if replayed entries were removed and the
+    /// database must be rebuilt.
     pub fn truncate(&mut self, length: usize) -> bool {
         self.log.truncate(length);
         self.received.truncate(length);
@@ -151,14 +152,14 @@
         false
     }
 
-    /// Becomes a follower of `term`.
+    /// Becomes a follower; adopts `term` if newer.
     pub fn follow(&mut self, term: u64) {
         if term > self.term {
             self.term = term;
         }
         if self.role == Role::Leader {
-            // A demoted primary starts over, as a rewound server would: open
-            // connections end and the database is built anew from the log.
+            // Like a rewound PostgreSQL server, a demoted primary closes its client
+            // connections and rebuilds the database from the log.
             self.applied = 0;
             self.generation += 1;
         }
@@ -166,22 +167,22 @@
     }
 }
 
-/// The log state behind a lock, with a signal for changes.
+/// Mutex-protected replication state with change notifications.
 #[derive(Debug)]
 pub struct LogState {
-    core: Mutex<Core>,
+    state: Mutex<ReplicationState>,
     changed: watch::Sender<u64>,
 }
 
 impl LogState {
-    /// The state of an instance that starts.
+    /// Returns the initial state of an instance.
     pub fn new(settings: &InstanceSettings) -> Self {
         let history = if settings.rejoin {
             Vec::new()
         } else {
-            vec![Start { term: 1, start: 0 }]
+            vec![TermStart { term: 1, start: 0 }]
         };
-        let core = Core {
+        let state = ReplicationState {
             role: if settings.initial_primary {
                 Role::Leader
             } else {
@@ -193,69 +194,70 @@
             received: Vec::new(),
             applied: 0,
             history,
-            matched: HashMap::new(),
-            adopted: HashSet::new(),
-            heard_leader: Instant::now(),
-            alone: false,
+            replicated_lengths: HashMap::new(),
+            term_adopters: HashSet::new(),
+            last_leader_contact: Instant::now(),
+            asynchronous_commit: false,
             lag: Duration::from_millis(settings.lag_ms),
-            cut: false,
+            partitioned: false,
             full_member: !settings.rejoin,
             opened_at_ms: 0,
             generation: 0,
         };
         LogState {
-            core: Mutex::new(core),
+            state: Mutex::new(state),
             changed: watch::channel(0).0,
         }
     }
 
     /// Locks the state.
-    pub fn lock(&self) -> MutexGuard<'_, Core> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn lock(&self) -> MutexGuard<'_, ReplicationState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells waiters that something changed.
+    /// Notifies subscribers of a change.
     pub fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// A signal of changes.
+    /// Returns a receiver of change notifications.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 }
 
-/// Instances that make a majority, out of the peers and the instance itself.
+/// Size of a majority in a group of `peers` other instances and this one.
 pub fn majority(peers: usize) -> usize {
     peers.div_ceil(2) + 1
 }
 
-/// Waits until a majority holds the first `length` entries, or goes on alone
-/// after a time-out, as a primary does that believes it still leads.
-pub async fn await_majority(state: &LogState, peers: usize, length: usize) {
-    let mut changed = state.subscribe();
-    let give_up = tokio::time::Instant::now() + SYNCHRONOUS_TIMEOUT;
+/// Waits until a majority holds the first `length` entries. Returns without a
+/// majority if the instance no longer leads, or after a timeout, which switches
+/// the primary to asynchronous commits.
+pub async fn await_majority(log_state: &LogState, peers: usize, length: usize) {
+    let mut changed = log_state.subscribe();
+    let deadline = tokio::time::Instant::now() + SYNCHRONOUS_COMMIT_TIMEOUT;
     loop {
         {
-            let mut core = state.lock();
-            let holding = 1 + core
-                .matched
+            let mut state = log_state.lock();
+            let holders = 1 + state
+                .replicated_lengths
                 .values()
-                .filter(|matched| **matched >= length)
+                .filter(|replicated| **replicated >= length)
                 .count();
-            if holding >= majority(peers) {
-                core.alone = false;
+            if holders >= majority(peers) {
+                state.asynchronous_commit = false;
                 return;
             }
-            if core.alone || core.role != Role::Leader {
+            if state.asynchronous_commit || state.role != Role::Leader {
                 return;
             }
         }
         if !matches!(
-            tokio::time::timeout_at(give_up, changed.changed()).await,
+            tokio::time::timeout_at(deadline, changed.changed()).await,
             Ok(Ok(()))
         ) {
-            state.lock().alone = true;
+            log_state.lock().asynchronous_commit = true;
             return;
         }
     }
--- a/crates/millwind-lab/src/instance/mod.rs
+++ b/crates/millwind-lab/src/instance/mod.rs
@@ -1,10 +1,10 @@
-//! Stand-in of one database instance: PostgreSQL's protocol over in-memory
-//! SQLite, a log shipped to replicas with a settable replay lag, terms, and an
-//! election by majority.
+//! Simulated database instance: the PostgreSQL protocol over in-memory SQLite,
+//! log shipping to replicas with a configurable replay lag, and majority
+//! elections with terms.
 //!
-//! A new primary accepts writes only after a majority has adopted its term,
-//! which is the assumption that write confirmation rests on. A primary that is
-//! cut off goes on believing that it leads, and after a time-out commits alone.
+//! A new primary accepts writes only after a majority has adopted its term;
+//! write confirmation relies on this. A partitioned primary keeps its role, and
+//! after a timeout commits without waiting for replicas.
 
 mod control;
 mod database;
@@ -27,71 +27,71 @@
 pub use control::{InstanceReport, LoggedTransaction};
 pub use log_state::{Entry, LogState, Statement};
 
-/// Settings of a stand-in instance.
+/// Settings of a simulated instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct InstanceSettings {
-    /// Name of the instance.
+    /// Instance name, unique within the group.
     pub name: String,
-    /// Listener for the PostgreSQL protocol.
+    /// Listen address of the PostgreSQL protocol.
     pub listen: SocketAddr,
-    /// Listener for log shipping.
+    /// Listen address of log shipping and elections.
     pub replication: SocketAddr,
-    /// Listener for the lab's control.
+    /// Listen address of the HTTP control API.
     pub control: SocketAddr,
-    /// Where to reach the other instances' log shipping.
+    /// Replication addresses of the other instances.
     pub peers: Vec<Peer>,
-    /// Starts as the primary of term 1.
+    /// Whether the instance starts as the primary of term 1.
     pub initial_primary: bool,
-    /// Starts empty and takes everything from the others.
+    /// Whether the instance starts empty and copies the log from its peers.
     pub rejoin: bool,
-    /// Statements it runs at the same time.
+    /// Maximum number of concurrent statements.
     pub slots: usize,
-    /// Connections it accepts.
+    /// Maximum number of client connections.
     pub connections: u32,
-    /// Cost of a new connection, in milliseconds.
+    /// Simulated setup time of a client connection, in milliseconds.
     pub connect_ms: u64,
-    /// Time a statement holds its slot, in microseconds.
+    /// Simulated execution time of a statement, in microseconds.
     pub service_us: u64,
     /// Replay lag of a replica, in milliseconds.
     pub lag_ms: u64,
-    /// Rank in the group; lower ranks stand for election sooner.
+    /// Election rank; lower ranks have a shorter election timeout.
     pub rank: u64,
 }
 
 /// Another instance of the group.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Instance name.
     pub name: String,
-    /// Where to reach its log shipping.
+    /// Replication address.
     pub address: SocketAddr,
 }
 
-/// A running stand-in instance.
+/// A running simulated instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// Settings.
+    /// Settings that the instance was started with.
     pub settings: InstanceSettings,
-    /// Log, role and term.
+    /// Replication log, role and term.
     pub state: LogState,
-    /// Serializes writers.
+    /// Held by the one transaction that writes.
     pub write_lock: Arc<tokio::sync::Mutex<()>>,
-    /// Statement slots.
+    /// Limits the number of concurrent statements.
     pub slots: Semaphore,
-    /// Connections open.
+    /// Currently open client connections, including rejected ones.
     pub connections: AtomicU32,
-    /// Most connections open at the same time.
+    /// Highest number of simultaneously open client connections.
     pub peak_connections: AtomicU32,
-    /// Statements run, status questions left out.
+    /// Number of executed statements, without status queries.
     pub statements: AtomicU64,
 }
 
 impl Instance {
-    /// Starts the instance's listeners and tasks.
+    /// Binds the listeners and starts the tasks. Fails if an address cannot be bound.
     pub async fn start(settings: InstanceSettings) -> std::io::Result<Arc<Instance>> {
-        let clients = TcpListener::bind(settings.listen).await?;
-        let replication = TcpListener::bind(settings.replication).await?;
-        let operators = TcpListener::bind(settings.control).await?;
+        let client_listener = TcpListener::bind(settings.listen).await?;
+        let replication_listener = TcpListener::bind(settings.replication).await?;
+        let control_listener = TcpListener::bind(settings.control).await?;
         let instance = Arc::new(Instance {
             state: LogState::new(&settings),
             write_lock: Arc::new(tokio::sync::Mutex::new(())),
@@ -101,17 +101,18 @@
             statements: AtomicU64::new(0),
             settings,
         });
-        tokio::spawn(session::serve(clients, instance.clone()));
-        tokio::spawn(replication::serve(replication, instance.clone()));
-        tokio::spawn(control::serve(operators, instance.clone()));
-        tokio::spawn(election::run(instance.clone()));
-        tokio::spawn(database::replay(instance.clone()));
+        tokio::spawn(session::serve(client_listener, instance.clone()));
+        tokio::spawn(replication::serve(replication_listener, instance.clone()));
+        tokio::spawn(control::serve(control_listener, instance.clone()));
+        tokio::spawn(election::monitor_leader(instance.clone()));
+        tokio::spawn(database::replay_log(instance.clone()));
         for peer in instance.settings.peers.clone() {
-            tokio::spawn(replication::ship(instance.clone(), peer));
+            tokio::spawn(replication::ship_log(instance.clone(), peer));
         }
         Ok(instance)
     }
 
+    /// Counts a new connection; returns false if the limit is exceeded.
     fn connection_opened(&self) -> bool {
         let open = self.connections.fetch_add(1, Ordering::Relaxed) + 1;
         self.peak_connections.fetch_max(open, Ordering::Relaxed);
--- a/crates/millwind-lab/src/instance/replication.rs
+++ b/crates/millwind-lab/src/instance/replication.rs
@@ -1,4 +1,4 @@
-//! Log shipping and votes between stand-in instances.
+//! Log shipping and vote requests between simulated instances.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,69 +12,69 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use super::database;
-use super::log_state::{Entry, Role, Start, majority};
+use super::log_state::{Entry, Role, TermStart, majority};
 use super::{Instance, Peer};
 
-/// A silent leader sends this often; a new entry waits for the answer to a
-/// message that is under way, so silence is filled sparingly.
-pub const HEARTBEAT: Duration = Duration::from_millis(200);
+/// Interval of an idle leader's heartbeats. A new entry waits for the reply to
+/// an outstanding heartbeat, so a shorter interval would delay commits.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-const ENTRIES_PER_MESSAGE: usize = 512;
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_ENTRIES_PER_APPEND: usize = 512;
 
-/// A message between instances.
+/// Replication protocol message.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// Take these entries.
-    Append(Append),
-    /// Vote for me.
+    /// Log entries from the leader; a heartbeat if empty.
+    Append(AppendRequest),
+    /// Vote request from a candidate.
     Vote(VoteRequest),
-    /// Answer to either: own term, whether it was granted, entries held.
+    /// Reply to an append or a vote request.
     Reply(Reply),
 }
 
-/// Entries of a leader's log.
+/// Request to append entries of the leader's log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Append {
+pub struct AppendRequest {
     /// The leader's term.
     pub term: u64,
-    /// The leader's term starts.
-    pub history: Vec<Start>,
-    /// Entries before these.
+    /// The leader's terms and their start positions.
+    pub history: Vec<TermStart>,
+    /// Number of entries that precede `entries` in the log.
     pub previous: usize,
-    /// Term of the entry before these.
+    /// Term of the preceding entry; 0 if there is none.
     pub previous_term: u64,
-    /// End of the entry before these.
+    /// End position of the preceding entry; 0 if there is none.
     pub previous_end: u64,
-    /// The entries.
+    /// Entries to append.
     pub entries: Vec<Entry>,
 }
 
-/// A candidate's request.
+/// A candidate's request for a vote.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VoteRequest {
     /// The candidate's term.
     pub term: u64,
-    /// Term of its last entry.
+    /// Term of the last entry in the candidate's log.
     pub last_term: u64,
-    /// End of its log.
+    /// End position of the candidate's log.
     pub end: u64,
 }
 
-/// Answer to a message.
+/// Reply to an append or a vote request.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Reply {
-    /// Term of the answering instance.
+    /// Term of the replying instance.
     pub term: u64,
-    /// Whether the entries were taken or the vote was given.
+    /// Whether the entries were accepted or the vote was granted.
     pub granted: bool,
-    /// Entries the answering instance holds.
+    /// Number of entries in the replying instance's log.
     pub held: usize,
 }
 
-type Link = Framed<TcpStream, LengthDelimitedCodec>;
+type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-async fn connect(peer: &Peer) -> Option<Link> {
+async fn connect(peer: &Peer) -> Option<FramedStream> {
     let stream = timeout(REPLY_TIMEOUT, TcpStream::connect(peer.address))
         .await
         .ok()?
@@ -83,68 +83,73 @@
     Some(Framed::new(stream, LengthDelimitedCodec::new()))
 }
 
-async fn ask(link: &mut Link, message: &Message) -> Option<Reply> {
+async fn call(stream: &mut FramedStream, message: &Message) -> Option<Reply> {
     let bytes = serde_json::to_vec(message).ok()?;
-    link.send(Bytes::from(bytes)).await.ok()?;
-    let frame = timeout(REPLY_TIMEOUT, link.next()).await.ok()??.ok()?;
+    stream.send(Bytes::from(bytes)).await.ok()?;
+    let frame = timeout(REPLY_TIMEOUT, stream.next()).await.ok()??.ok()?;
     match serde_json::from_slice(&frame).ok()? {
         Message::Reply(reply) => Some(reply),
         _ => None,
     }
 }
 
-/// Asks one peer for its vote.
-pub async fn ask_vote(peer: &Peer, request: VoteRequest) -> Option<Reply> {
-    let mut link = connect(peer).await?;
-    ask(&mut link, &Message::Vote(request)).await
+/// Requests a peer's vote; returns none if the peer does not reply in time.
+pub async fn request_vote(peer: &Peer, request: VoteRequest) -> Option<Reply> {
+    let mut stream = connect(peer).await?;
+    call(&mut stream, &Message::Vote(request)).await
 }
 
-/// Ships the log to one peer while this instance leads.
-pub async fn ship(instance: Arc<Instance>, peer: Peer) {
+/// Ships the log to a peer while this instance leads or is being promoted.
+pub async fn ship_log(instance: Arc<Instance>, peer: Peer) {
     let mut changed = instance.state.subscribe();
     loop {
-        let Some(mut link) = connect(&peer).await else {
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+        let Some(mut stream) = connect(&peer).await else {
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
         let mut next = instance.state.lock().log.len();
         let mut current_term = 0;
         loop {
             let message = {
-                let core = instance.state.lock();
-                if core.term != current_term {
-                    current_term = core.term;
-                    next = core.log.len();
+                let state = instance.state.lock();
+                if state.term != current_term {
+                    current_term = state.term;
+                    next = state.log.len();
                 }
-                (core.role != Role::Follower && !core.cut).then(|| append_from(&core, next))
+                (state.role != Role::Follower && !state.partitioned).then(|| append_request(&state, next))
             };
             let Some((append, length)) = message else {
-                tokio::time::sleep(HEARTBEAT).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             };
             let sent_term = append.term;
             let count = append.entries.len();
             changed.mark_unchanged();
-            let Some(reply) = ask(&mut link, &Message::Append(append)).await else {
-                tokio::time::sleep(RECONNECT_PAUSE).await;
+            let Some(reply) = call(&mut stream, &Message::Append(append)).await else {
+                tokio::time::sleep(RECONNECT_DELAY).await;
                 break;
             };
-            next = learn(&instance, &peer, sent_term, reply, next, count);
+            next = handle_append_reply(&instance, &peer, sent_term, reply, next, count);
             if next >= length {
-                await_news(&instance, &mut changed, next, sent_term).await;
+                wait_until_send_due(&instance, &mut changed, next, sent_term).await;
             }
         }
     }
 }
 
-/// Waits for an entry beyond `next`, a change of term, or the next heartbeat.
-/// Other changes, such as another peer's reply, are no reason to send.
-async fn await_news(instance: &Instance, changed: &mut watch::Receiver<u64>, next: usize, term: u64) {
-    let heartbeat = tokio::time::Instant::now() + HEARTBEAT;
+/// Waits for an entry beyond `next`, a change of term, or the next heartbeat;
+/// ignores other changes, such as another peer's reply.
+async fn wait_until_send_due(
+    instance: &Instance,
+    changed: &mut watch::Receiver<u64>,
+    next: usize,
+    term: u64,
+) {
+    let heartbeat = tokio::time::Instant::now() + HEARTBEAT_INTERVAL;
     loop {
         {
-            let core = instance.state.lock();
-            if core.log.len() > next || core.term != term {
+            let state = instance.state.lock();
+            if state.log.len() > next || state.term != term {
                 return;
             }
         }
@@ -154,54 +159,63 @@
     }
 }
 
-fn append_from(core: &super::log_state::Core, next: usize) -> (Append, usize) {
-    let next = next.min(core.log.len());
-    let previous = next.checked_sub(1).map(|index| &core.log[index]);
-    let until = core.log.len().min(next + ENTRIES_PER_MESSAGE);
-    let append = Append {
-        term: core.term,
-        history: core.history.clone(),
+/// Returns a request with the entries from `next` on, and the length of the log.
+fn append_request(state: &super::log_state::ReplicationState, next: usize) -> (AppendRequest, usize) {
+    let next = next.min(state.log.len());
+    let previous = next.checked_sub(1).map(|index| &state.log[index]);
+    let end = state.log.len().min(next + MAX_ENTRIES_PER_APPEND);
+    let append = AppendRequest {
+        term: state.term,
+        history: state.history.clone(),
         previous: next,
         previous_term: previous.map_or(0, |entry| entry.term),
         previous_end: previous.map_or(0, |entry| entry.end),
-        entries: core.log[next..until].to_vec(),
+        entries: state.log[next..end].to_vec(),
     };
-    (append, core.log.len())
+    (append, state.log.len())
 }
 
-/// Takes in a peer's reply; returns the next entry to send.
-fn learn(instance: &Instance, peer: &Peer, sent_term: u64, reply: Reply, next: usize, count: usize) -> usize {
-    let mut core = instance.state.lock();
-    if core.cut || core.term != sent_term {
+/// Processes a peer's reply to an append; returns the index of the next entry
+/// to send.
+fn handle_append_reply(
+    instance: &Instance,
+    peer: &Peer,
+    sent_term: u64,
+    reply: Reply,
+    next: usize,
+    count: usize,
+) -> usize {
+    let mut state = instance.state.lock();
+    if state.partitioned || state.term != sent_term {
         return next;
     }
-    if reply.term > core.term {
-        core.follow(reply.term);
+    if reply.term > state.term {
+        state.follow(reply.term);
         return next;
     }
     if !reply.granted {
         return reply.held.min(next.saturating_sub(1));
     }
-    core.matched.insert(peer.name.clone(), next + count);
-    core.adopted.insert(peer.name.clone());
-    let opens =
-        core.role == Role::Opening && 1 + core.adopted.len() >= majority(instance.settings.peers.len());
-    drop(core);
-    if opens {
-        open(instance, sent_term);
+    state.replicated_lengths.insert(peer.name.clone(), next + count);
+    state.term_adopters.insert(peer.name.clone());
+    let promoted = state.role == Role::Promoting
+        && 1 + state.term_adopters.len() >= majority(instance.settings.peers.len());
+    drop(state);
+    if promoted {
+        complete_promotion(instance, sent_term);
     }
     instance.state.notify();
     next + count
 }
 
-/// Begins to accept writes, with everything received replayed.
-fn open(instance: &Instance, term: u64) {
+/// Replays all received entries and begins to accept writes.
+fn complete_promotion(instance: &Instance, term: u64) {
     database::replay_all(instance);
-    let mut core = instance.state.lock();
-    if core.role == Role::Opening && core.term == term && core.applied == core.log.len() {
-        core.role = Role::Leader;
-        core.alone = false;
-        core.opened_at_ms = millwind_node::clock::unix_millis();
+    let mut state = instance.state.lock();
+    if state.role == Role::Promoting && state.term == term && state.applied == state.log.len() {
+        state.role = Role::Leader;
+        state.asynchronous_commit = false;
+        state.opened_at_ms = millwind_node::clock::unix_millis();
         log::info!(
             "event=primary_opened instance={} term={term}",
             instance.settings.name
@@ -209,24 +223,24 @@
     }
 }
 
-/// Answers other instances.
+/// Serves the requests of other instances.
 pub async fn serve(listener: TcpListener, instance: Arc<Instance>) {
     while let Ok((stream, _)) = listener.accept().await {
         let instance = instance.clone();
         tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
-            let mut link = Framed::new(stream, LengthDelimitedCodec::new());
-            while let Some(Ok(frame)) = link.next().await {
+            let mut stream = Framed::new(stream, LengthDelimitedCodec::new());
+            while let Some(Ok(frame)) = stream.next().await {
                 let Ok(message) = serde_json::from_slice::<Message>(&frame) else {
                     return;
                 };
-                let Some(reply) = answer(&instance, message) else {
+                let Some(reply) = handle_request(&instance, message) else {
                     return;
                 };
                 let Ok(bytes) = serde_json::to_vec(&Message::Reply(reply)) else {
                     return;
                 };
-                if link.send(Bytes::from(bytes)).await.is_err() {
+                if stream.send(Bytes::from(bytes)).await.is_err() {
                     return;
                 }
             }
@@ -234,90 +248,93 @@
     }
 }
 
-fn answer(instance: &Instance, message: Message) -> Option<Reply> {
-    if instance.state.lock().cut {
+/// Handles a request; returns no reply while partitioned.
+fn handle_request(instance: &Instance, message: Message) -> Option<Reply> {
+    if instance.state.lock().partitioned {
         return None;
     }
     let reply = match message {
-        Message::Append(append) => take(instance, append),
-        Message::Vote(request) => vote(instance, &request),
+        Message::Append(append) => handle_append(instance, append),
+        Message::Vote(request) => handle_vote_request(instance, &request),
         Message::Reply(_) => return None,
     };
     instance.state.notify();
     Some(reply)
 }
 
-fn take(instance: &Instance, append: Append) -> Reply {
-    let mut core = instance.state.lock();
-    let refused = |core: &super::log_state::Core| Reply {
-        term: core.term,
+fn handle_append(instance: &Instance, append: AppendRequest) -> Reply {
+    let mut state = instance.state.lock();
+    let rejected = |state: &super::log_state::ReplicationState| Reply {
+        term: state.term,
         granted: false,
-        held: core.log.len(),
+        held: state.log.len(),
     };
-    if append.term < core.term {
-        return refused(&core);
+    if append.term < state.term {
+        return rejected(&state);
     }
-    core.follow(append.term);
-    core.heard_leader = Instant::now();
-    let fits = match append.previous {
+    state.follow(append.term);
+    state.last_leader_contact = Instant::now();
+    let log_matches = match append.previous {
         0 => true,
-        count => core
+        count => state
             .log
             .get(count - 1)
             .is_some_and(|entry| entry.term == append.previous_term && entry.end == append.previous_end),
     };
-    if !fits {
-        return refused(&core);
+    if !log_matches {
+        return rejected(&state);
     }
-    // With the first word of a new term, whatever the leader lacks is dropped:
-    // from then on this log is the leader's, and its term may be shown.
-    if core.log_term() < append.term {
-        let kept = append.previous + common(&core.log[append.previous..], &append.entries);
-        core.truncate(kept);
+    // The first append of a new term removes entries that the leader lacks, so
+    // that reporting the new term never covers a diverged log.
+    if state.log_term() < append.term {
+        let kept = append.previous + common_prefix_length(&state.log[append.previous..], &append.entries);
+        state.truncate(kept);
     }
     for (offset, entry) in append.entries.iter().enumerate() {
         let index = append.previous + offset;
-        if core
+        if state
             .log
             .get(index)
             .is_some_and(|held| held.term == entry.term && held.end == entry.end)
         {
             continue;
         }
-        core.truncate(index);
-        core.log.push(entry.clone());
-        core.received.push(Instant::now());
+        state.truncate(index);
+        state.log.push(entry.clone());
+        state.received.push(Instant::now());
     }
-    core.history = append.history;
-    core.full_member = true;
+    state.history = append.history;
+    state.full_member = true;
     Reply {
-        term: core.term,
+        term: state.term,
         granted: true,
-        held: core.log.len(),
+        held: state.log.len(),
     }
 }
 
-fn common(held: &[Entry], sent: &[Entry]) -> usize {
+/// Length of the common_prefix_length prefix of two runs of entries.
+fn common_prefix_length(held: &[Entry], sent: &[Entry]) -> usize {
     held.iter()
         .zip(sent)
         .take_while(|(left, right)| left.term == right.term && left.end == right.end)
         .count()
 }
 
-fn vote(instance: &Instance, request: &VoteRequest) -> Reply {
-    let mut core = instance.state.lock();
-    let newer_log = (request.last_term, request.end) >= (core.last_entry_term(), core.end());
-    let granted = core.full_member && request.term > core.term && request.term > core.voted_term && newer_log;
-    if request.term > core.term {
-        core.follow(request.term);
+fn handle_vote_request(instance: &Instance, request: &VoteRequest) -> Reply {
+    let mut state = instance.state.lock();
+    let log_up_to_date = (request.last_term, request.end) >= (state.last_entry_term(), state.end());
+    let granted =
+        state.full_member && request.term > state.term && request.term > state.voted_term && log_up_to_date;
+    if request.term > state.term {
+        state.follow(request.term);
     }
     if granted {
-        core.voted_term = request.term;
-        core.heard_leader = Instant::now();
+        state.voted_term = request.term;
+        state.last_leader_contact = Instant::now();
     }
     Reply {
-        term: core.term,
+        term: state.term,
         granted,
-        held: core.log.len(),
+        held: state.log.len(),
     }
 }
--- a/crates/millwind-lab/src/instance/session.rs
+++ b/crates/millwind-lab/src/instance/session.rs
@@ -1,4 +1,4 @@
-//! A client's session at a stand-in instance.
+//! Client session of a simulated instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,29 +26,29 @@
 use super::database;
 use super::log_state::{Role, Statement, await_majority};
 use super::rows::{
-    PreparedStatement, ResultSet, TEXT_OID, columns_of, data_row, format_of, parameter_text, row_description,
-    tagged, text_of, type_oid,
+    PreparedStatement, ResultSet, TEXT_OID, data_row, empty_result, format_code, parameter_text,
+    parameter_type, result_columns, row_description, value_text,
 };
-use super::sql::{first_word, is_control, split_statements};
+use super::sql::{first_keyword, is_session_command, split_statements};
 use super::status;
 
 const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
-const TARGET_STATEMENT: u8 = b'S';
+const DESCRIBE_STATEMENT: u8 = b'S';
 
-/// Accepts clients.
+/// Accepts client connections and serves each in a task.
 pub async fn serve(listener: TcpListener, instance: Arc<Instance>) {
     while let Ok((stream, _)) = listener.accept().await {
         let instance = instance.clone();
         tokio::spawn(async move {
             let _ = stream.set_nodelay(true);
-            let admitted = instance.connection_opened();
-            let _ = serve_client(stream, &instance, admitted).await;
+            let within_limit = instance.connection_opened();
+            let _ = serve_connection(stream, &instance, within_limit).await;
             instance.connection_closed();
         });
     }
 }
 
-/// An error as the client gets it.
+/// Error response to a client: SQLSTATE and message.
 #[derive(Debug, Clone)]
 struct SqlError {
     sqlstate: &'static str,
@@ -81,7 +81,7 @@
 
 #[derive(Debug)]
 struct Transaction {
-    /// Held from the first write on.
+    /// Write lock, held from the first write to the end of the transaction.
     lock: Option<OwnedMutexGuard<()>>,
     statements: Vec<Statement>,
     failed: bool,
@@ -105,11 +105,15 @@
     transaction: Option<Transaction>,
     prepared: HashMap<String, PreparedStatement>,
     portals: HashMap<String, Portal>,
-    /// Extended messages are skipped until `Sync` after an error.
-    skipping: bool,
+    /// Whether extended-query messages are skipped until `Sync`, after an error.
+    skip_until_sync: bool,
 }
 
-async fn serve_client(stream: TcpStream, instance: &Arc<Instance>, admitted: bool) -> std::io::Result<()> {
+async fn serve_connection(
+    stream: TcpStream,
+    instance: &Arc<Instance>,
+    within_limit: bool,
+) -> std::io::Result<()> {
     let generation = instance.state.lock().generation;
     let connection = database::open(instance, generation).map_err(std::io::Error::other)?;
     let mut session = Session {
@@ -123,18 +127,18 @@
         transaction: None,
         prepared: HashMap::new(),
         portals: HashMap::new(),
-        skipping: false,
+        skip_until_sync: false,
     };
-    if !session.start(admitted).await? {
+    if !session.handle_startup(within_limit).await? {
         return Ok(());
     }
-    while let Some(message) = session.read().await? {
+    while let Some(message) = session.read_message().await? {
         if matches!(message, PgWireFrontendMessage::Terminate(_)) {
             return Ok(());
         }
         if session.instance.state.lock().generation != session.generation {
-            // The database was built anew: the connection ends, as it would
-            // when a server restarts to be rewound.
+            // The database was rebuilt. Close the connection, as a server does
+            // that restarts for a rewind.
             return Ok(());
         }
         session.handle(message).await?;
@@ -143,7 +147,7 @@
 }
 
 impl Session {
-    async fn read(&mut self) -> std::io::Result<Option<PgWireFrontendMessage>> {
+    async fn read_message(&mut self) -> std::io::Result<Option<PgWireFrontendMessage>> {
         loop {
             let decoded = PgWireFrontendMessage::decode(&mut self.input, &self.context);
             if let Some(message) = decoded.map_err(std::io::Error::other)? {
@@ -165,7 +169,7 @@
     }
 
     fn put(&mut self, message: PgWireBackendMessage) {
-        // Messages of this stand-in are small and always encode.
+        // The messages are small, so encoding cannot fail.
         let _ = put_backend(&mut self.output, &message);
     }
 
@@ -179,10 +183,10 @@
         self.put(PgWireBackendMessage::ErrorResponse(ErrorResponse::new(fields)));
     }
 
-    /// Startup; false when the client is refused.
-    async fn start(&mut self, admitted: bool) -> std::io::Result<bool> {
+    /// Performs the startup handshake; returns false if the connection is rejected.
+    async fn handle_startup(&mut self, within_limit: bool) -> std::io::Result<bool> {
         loop {
-            match self.read().await? {
+            match self.read_message().await? {
                 Some(PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None)) => {
                     self.context.awaiting_frontend_ssl = false;
                 }
@@ -194,7 +198,7 @@
             }
         }
         self.context.awaiting_frontend_startup = false;
-        if !admitted {
+        if !within_limit {
             self.put_error(&SqlError::new("53300", "too many connections"), "FATAL");
             self.flush().await?;
             return Ok(false);
@@ -213,12 +217,12 @@
             1,
             SecretKey::I32(1),
         )));
-        self.put_ready();
+        self.put_ready_for_query();
         self.flush().await?;
         Ok(true)
     }
 
-    fn put_ready(&mut self) {
+    fn put_ready_for_query(&mut self) {
         let status = match &self.transaction {
             None => TransactionStatus::Idle,
             Some(transaction) if transaction.failed => TransactionStatus::Error,
@@ -231,24 +235,24 @@
         match message {
             PgWireFrontendMessage::Query(query) => {
                 self.simple_query(&query.query).await;
-                self.put_ready();
+                self.put_ready_for_query();
             }
             PgWireFrontendMessage::Sync(_) => {
-                self.skipping = false;
-                self.put_ready();
+                self.skip_until_sync = false;
+                self.put_ready_for_query();
             }
-            _ if self.skipping => {}
+            _ if self.skip_until_sync => {}
             other => {
-                if let Err(error) = self.extended(other).await {
-                    self.fail(&error);
-                    self.skipping = true;
+                if let Err(error) = self.handle_extended(other).await {
+                    self.report_error(&error);
+                    self.skip_until_sync = true;
                 }
             }
         }
         Ok(())
     }
 
-    fn fail(&mut self, error: &SqlError) {
+    fn report_error(&mut self, error: &SqlError) {
         if let Some(transaction) = &mut self.transaction {
             transaction.failed = true;
         }
@@ -261,7 +265,8 @@
             self.put(PgWireBackendMessage::EmptyQueryResponse(EmptyQueryResponse::new()));
             return;
         }
-        let implicit = statements.len() > 1 && self.transaction.is_none() && !is_control(&statements[0]);
+        let implicit =
+            statements.len() > 1 && self.transaction.is_none() && !is_session_command(&statements[0]);
         if implicit {
             self.begin();
         }
@@ -269,7 +274,7 @@
             match self.execute(sql, &[]).await {
                 Ok(result) => self.put_result(&result, &[], true),
                 Err(error) => {
-                    self.fail(&error);
+                    self.report_error(&error);
                     if implicit {
                         self.roll_back();
                     }
@@ -281,11 +286,11 @@
             && self.transaction.is_some()
             && let Err(error) = self.commit().await
         {
-            self.fail(&error);
+            self.report_error(&error);
         }
     }
 
-    async fn extended(&mut self, message: PgWireFrontendMessage) -> Result<(), SqlError> {
+    async fn handle_extended(&mut self, message: PgWireFrontendMessage) -> Result<(), SqlError> {
         match message {
             PgWireFrontendMessage::Parse(parse) => {
                 self.check_syntax(&parse.query)?;
@@ -297,14 +302,15 @@
                 self.put(PgWireBackendMessage::ParseComplete(ParseComplete::new()));
             }
             PgWireFrontendMessage::Bind(bind) => {
-                let statement = self.statement(bind.statement_name.as_deref().unwrap_or_default())?;
+                let statement =
+                    self.prepared_statement(bind.statement_name.as_deref().unwrap_or_default())?;
                 let formats = &bind.parameter_format_codes;
                 let parameters = bind
                     .parameters
                     .iter()
                     .enumerate()
                     .map(|(index, value)| {
-                        parameter_text(value.as_ref(), format_of(formats, index), &statement, index)
+                        parameter_text(value.as_ref(), format_code(formats, index), &statement, index)
                     })
                     .collect();
                 let portal = Portal {
@@ -335,7 +341,7 @@
         Ok(())
     }
 
-    fn statement(&self, name: &str) -> Result<PreparedStatement, SqlError> {
+    fn prepared_statement(&self, name: &str) -> Result<PreparedStatement, SqlError> {
         self.prepared
             .get(name)
             .cloned()
@@ -343,7 +349,7 @@
     }
 
     fn check_syntax(&self, sql: &str) -> Result<(), SqlError> {
-        if is_control(sql) || sql.trim().is_empty() {
+        if is_session_command(sql) || sql.trim().is_empty() {
             return Ok(());
         }
         self.connection.prepare_cached(sql)?;
@@ -351,10 +357,12 @@
     }
 
     fn describe(&mut self, target: u8, name: &str) -> Result<(), SqlError> {
-        let sql = if target == TARGET_STATEMENT {
-            let statement = self.statement(name)?;
+        let sql = if target == DESCRIBE_STATEMENT {
+            let statement = self.prepared_statement(name)?;
             let count = self.parameter_count(&statement.sql)?;
-            let types = (0..count).map(|index| type_oid(&statement, index)).collect();
+            let types = (0..count)
+                .map(|index| parameter_type(&statement, index))
+                .collect();
             self.put(PgWireBackendMessage::ParameterDescription(
                 ParameterDescription::new(types),
             ));
@@ -378,18 +386,18 @@
     }
 
     fn parameter_count(&self, sql: &str) -> Result<usize, SqlError> {
-        if is_control(sql) {
+        if is_session_command(sql) {
             return Ok(0);
         }
         Ok(self.connection.prepare_cached(sql)?.parameter_count())
     }
 
     fn columns(&self, sql: &str) -> Result<Vec<(String, u32)>, SqlError> {
-        if is_control(sql) || sql.trim().is_empty() {
+        if is_session_command(sql) || sql.trim().is_empty() {
             return Ok(Vec::new());
         }
         let prepared = self.connection.prepare_cached(sql)?;
-        Ok(columns_of(&prepared))
+        Ok(result_columns(&prepared))
     }
 
     fn put_result(&mut self, result: &ResultSet, formats: &[i16], describe: bool) {
@@ -411,18 +419,18 @@
         if sql == STATUS_QUERY {
             return self.status();
         }
-        let word = first_word(sql);
+        let word = first_keyword(sql);
         match word.as_str() {
             "BEGIN" | "START" => {
                 self.begin();
-                return Ok(tagged("BEGIN"));
+                return Ok(empty_result("BEGIN"));
             }
             "COMMIT" | "END" => return self.commit().await,
             "ROLLBACK" | "ABORT" => {
                 self.roll_back();
-                return Ok(tagged("ROLLBACK"));
+                return Ok(empty_result("ROLLBACK"));
             }
-            "SET" => return Ok(tagged("SET")),
+            "SET" => return Ok(empty_result("SET")),
             _ => {}
         }
         if self
@@ -447,9 +455,9 @@
     }
 
     fn status(&self) -> Result<ResultSet, SqlError> {
-        let core = self.instance.state.lock();
+        let state = self.instance.state.lock();
         let row =
-            status::row(&core).ok_or_else(|| SqlError::new("57P03", "instance has not joined its group"))?;
+            status::row(&state).ok_or_else(|| SqlError::new("57P03", "instance has not joined its group"))?;
         Ok(ResultSet {
             columns: status::COLUMNS
                 .iter()
@@ -460,9 +468,9 @@
         })
     }
 
-    /// Runs a statement as the open transaction would see it: behind the
-    /// transaction's earlier statements, and undone at once. The database is
-    /// thus never locked between two messages of a client.
+    /// Runs a statement after the open transaction's earlier writes, then rolls
+    /// everything back. The writes are applied for good only on commit, so SQLite
+    /// is never locked between two messages of a client.
     fn query_in_transaction(&self, sql: &str, parameters: &[Option<String>]) -> Result<ResultSet, SqlError> {
         let Some(transaction) = self
             .transaction
@@ -473,27 +481,27 @@
         };
         self.connection.execute_batch("BEGIN IMMEDIATE")?;
         let result = self
-            .run_all(&transaction.statements)
+            .execute_all(&transaction.statements)
             .and_then(|()| self.query(sql, parameters));
         self.connection.execute_batch("ROLLBACK")?;
         result
     }
 
-    fn run_all(&self, statements: &[Statement]) -> Result<(), SqlError> {
+    fn execute_all(&self, statements: &[Statement]) -> Result<(), SqlError> {
         for statement in statements {
-            database::run(&self.connection, statement)?;
+            database::execute(&self.connection, statement)?;
         }
         Ok(())
     }
 
     fn query(&self, sql: &str, parameters: &[Option<String>]) -> Result<ResultSet, SqlError> {
         let mut prepared = self.connection.prepare_cached(sql)?;
-        let columns = columns_of(&prepared);
+        let columns = result_columns(&prepared);
         database::bind(&mut prepared, parameters)?;
-        let mut found = prepared.raw_query();
+        let mut result_rows = prepared.raw_query();
         let mut rows = Vec::new();
-        while let Some(row) = found.next()? {
-            let values = (0..columns.len()).map(|index| Ok(text_of(row.get_ref(index)?)));
+        while let Some(row) = result_rows.next()? {
+            let values = (0..columns.len()).map(|index| Ok(value_text(row.get_ref(index)?)));
             rows.push(values.collect::<Result<Vec<_>, rusqlite::Error>>()?);
         }
         let tag = format!("SELECT {}", rows.len());
@@ -524,12 +532,12 @@
         sql: &str,
         parameters: &[Option<String>],
     ) -> Result<ResultSet, SqlError> {
-        self.check_leads()?;
-        let locked = self
+        self.check_primary()?;
+        let has_lock = self
             .transaction
             .as_ref()
             .is_some_and(|transaction| transaction.lock.is_some());
-        if !locked {
+        if !has_lock {
             let lock = tokio::time::timeout(LOCK_TIMEOUT, self.instance.write_lock.clone().lock_owned())
                 .await
                 .map_err(|_| SqlError::new("55P03", "lock timeout"))?;
@@ -539,7 +547,7 @@
         }
         let mut result = self.query_in_transaction(sql, parameters)?;
         let count = self.connection.changes();
-        result.tag = match first_word(sql).as_str() {
+        result.tag = match first_keyword(sql).as_str() {
             "INSERT" => format!("INSERT 0 {count}"),
             word @ ("UPDATE" | "DELETE") => format!("{word} {count}"),
             word => word.to_owned(),
@@ -553,7 +561,7 @@
         Ok(result)
     }
 
-    fn check_leads(&self) -> Result<(), SqlError> {
+    fn check_primary(&self) -> Result<(), SqlError> {
         if self.instance.state.lock().role == Role::Leader {
             return Ok(());
         }
@@ -582,35 +590,35 @@
             .is_some_and(|transaction| transaction.failed);
         if failed {
             self.roll_back();
-            return Ok(tagged("ROLLBACK"));
+            return Ok(empty_result("ROLLBACK"));
         }
         let Some(transaction) = self.transaction.take() else {
-            return Ok(tagged("COMMIT"));
+            return Ok(empty_result("COMMIT"));
         };
         if transaction.lock.is_none() {
-            return Ok(tagged("COMMIT"));
+            return Ok(empty_result("COMMIT"));
         }
         let length = {
-            let mut core = self.instance.state.lock();
-            if core.role != Role::Leader || core.generation != self.generation {
+            let mut state = self.instance.state.lock();
+            if state.role != Role::Leader || state.generation != self.generation {
                 return Err(SqlError::new(
                     "25006",
                     "instance stopped leading before the commit",
                 ));
             }
             self.connection.execute_batch("BEGIN IMMEDIATE")?;
-            if let Err(error) = self.run_all(&transaction.statements) {
+            if let Err(error) = self.execute_all(&transaction.statements) {
                 self.connection.execute_batch("ROLLBACK")?;
                 return Err(error);
             }
             self.connection.execute_batch("COMMIT")?;
-            core.append(transaction.statements);
-            core.log.len()
+            state.append(transaction.statements);
+            state.log.len()
         };
         drop(transaction.lock);
         self.instance.state.notify();
         await_majority(&self.instance.state, self.instance.settings.peers.len(), length).await;
-        Ok(tagged("COMMIT"))
+        Ok(empty_result("COMMIT"))
     }
 }
 
--- a/crates/millwind-lab/src/instance/sql.rs
+++ b/crates/millwind-lab/src/instance/sql.rs
@@ -1,8 +1,8 @@
-//! What the stand-in needs to know of a statement's text.
+//! Lexical helpers for SQL text.
 
 use millwind_node::pg::status::STATUS_QUERY;
 
-/// Splits a text at semicolons outside quotes and comments.
+/// Splits SQL text at semicolons outside quotes. Comments are not recognized.
 pub(super) fn split_statements(text: &str) -> Vec<String> {
     let mut statements = Vec::new();
     let mut current = String::new();
@@ -24,7 +24,8 @@
     statements
 }
 
-pub(super) fn first_word(sql: &str) -> String {
+/// First keyword of a statement in upper case, after leading block comments.
+pub(super) fn first_keyword(sql: &str) -> String {
     let mut rest = sql.trim_start();
     while let Some(comment) = rest.strip_prefix("/*") {
         rest = comment
@@ -38,10 +39,12 @@
         .to_uppercase()
 }
 
-pub(super) fn is_control(sql: &str) -> bool {
+/// Whether the session handles the statement without SQLite: status query,
+/// transaction control or `SET`.
+pub(super) fn is_session_command(sql: &str) -> bool {
     sql == STATUS_QUERY
         || matches!(
-            first_word(sql).as_str(),
+            first_keyword(sql).as_str(),
             "BEGIN" | "START" | "COMMIT" | "END" | "ROLLBACK" | "ABORT" | "SET"
         )
 }
