--- a/crates/millwind-lab/src/client.rs
+++ b/crates/millwind-lab/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller of the proxy, through a well-known PostgreSQL client library.
+//! Database client that connects through a node and tracks its session token.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,21 +9,21 @@
 
 const SESSION_PARAMETER: &str = "millwind.session";
 
-/// The session token as last reported to the caller.
+/// Last session token that the node reported; clones share the token.
 #[derive(Debug, Clone, Default)]
 pub struct TokenCell {
     token: Arc<Mutex<Option<String>>>,
 }
 
 impl TokenCell {
-    /// The token, if one was reported.
+    /// Returns the token, or none if none was reported.
     pub fn get(&self) -> Option<String> {
         self.token.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Lets `connection` take in messages, and the token among them. Nobody sees the token
-    /// meanwhile: an answer wakes its caller on another thread before the messages that
-    /// came with it are all taken in.
+    /// Polls `connection` and stores a newly reported token. The lock is held during the
+    /// poll because a response may wake its caller on another thread before the token
+    /// that follows the response is processed.
     fn update<S, T>(
         &self,
         connection: &mut Connection<S, T>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Connects to a node as a tenant, with a token from an earlier session.
+/// Connects to a node as a tenant, optionally with the token of an earlier session.
 pub async fn connect(
     address: SocketAddr,
     tenant: &str,
@@ -62,10 +62,10 @@
     }
     let (client, mut connection) = config.connect(NoTls).await?;
     let cell = TokenCell::default();
-    let reported = cell.clone();
+    let token_cell = cell.clone();
     tokio::spawn(async move {
         loop {
-            let polled = futures::future::poll_fn(|context| reported.update(&mut connection, context));
+            let polled = futures::future::poll_fn(|context| token_cell.update(&mut connection, context));
             match polled.await {
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return,
--- a/crates/millwind-lab/src/cluster.rs
+++ b/crates/millwind-lab/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Starts a whole deployment as processes of their own: the platform and
-//! database stand-ins and the nodes, with relays between zones.
+//! Starts a deployment as separate processes: the simulated platform, the
+//! simulated database instances and the nodes, connected by relays.
 
 mod process;
 
@@ -23,62 +23,62 @@
 use crate::instance::{InstanceReport, InstanceSettings, Peer};
 use crate::platform::PlatformFaults;
 use crate::ports::free_address;
-use crate::relay::{LinkKey, Relays};
+use crate::relay::{EndpointPair, Relays};
 
 pub use process::Process;
 
-/// Place name of the platform in cuts.
-pub const PLATFORM_PLACE: &str = "platform";
-/// Place name of the clients in cuts.
-pub const CLIENT_PLACE: &str = "clients";
-const START_LIMIT: Duration = Duration::from_secs(30);
-const POLL_PAUSE: Duration = Duration::from_millis(50);
+/// Relay endpoint name of the platform.
+pub const PLATFORM_ENDPOINT: &str = "platform";
+/// Relay endpoint name of the clients.
+pub const CLIENT_ENDPOINT: &str = "clients";
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a deployment could not be started or driven.
+/// Error while starting or controlling a deployment.
 #[derive(Debug, Error)]
 pub enum ClusterError {
-    /// A process, file or socket failed.
+    /// Process, file or socket operation failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A call to a process failed.
+    /// HTTP request to a process failed.
     #[error("{0}")]
     Http(#[from] HttpError),
-    /// The store failed.
+    /// Operation on the platform's key-value store failed.
     #[error("{0}")]
     Store(#[from] millwind_store::StoreError),
-    /// Something did not come about in time.
+    /// Expected condition was not met in time.
     #[error("timed out waiting for {0}")]
     Timeout(String),
-    /// A client failed.
+    /// Statement or connection of a database client failed.
     #[error("client: {0}")]
     Client(#[from] tokio_postgres::Error),
 }
 
-/// How to start a deployment.
+/// Options of a deployment run.
 #[derive(Debug, Clone)]
 pub struct ClusterOptions {
-    /// Program that has the `node`, `instance` and `platform` subcommands.
+    /// Executable with the `node`, `instance` and `platform` subcommands.
     pub program: PathBuf,
     /// Nodes per zone.
     pub nodes_per_zone: usize,
-    /// Groups; the deployment's number if none.
+    /// Number of database groups; defaults to the number in the deployment.
     pub groups: Option<usize>,
     /// Replay lag of replicas, in milliseconds.
     pub lag_ms: u64,
-    /// Time a statement holds its slot, in microseconds.
+    /// Simulated execution time of a statement, in microseconds.
     pub service_us: u64,
-    /// Without latencies, for measurements of the proxy alone.
+    /// Whether processes connect directly, without relays and injected latency.
     pub flat: bool,
-    /// What a majority must show before a write is acknowledged.
+    /// Rule by which a write is confirmed before it is acknowledged.
     pub confirmation: ConfirmationRule,
-    /// Replaces the template's read policy.
+    /// Whether the template's read policy is replaced by `primary_only`.
     pub primary_only: bool,
-    /// Replaces the template's hold time, in milliseconds.
+    /// Overrides the tenants' `hold_ms` parameter, in milliseconds.
     pub hold_ms: Option<u64>,
 }
 
 impl ClusterOptions {
-    /// Usual options with this program.
+    /// Returns the default options for `program`.
     pub fn new(program: PathBuf) -> Self {
         ClusterOptions {
             program,
@@ -94,50 +94,50 @@
     }
 }
 
-/// A running stand-in instance.
+/// A running simulated instance.
 #[derive(Debug)]
 pub struct InstanceHandle {
-    /// Group it belongs to.
+    /// Group of the instance.
     pub group: String,
-    /// Zone it runs in.
+    /// Zone of the instance.
     pub zone: String,
-    /// Settings it was started with.
+    /// Settings that the process was started with.
     pub settings: InstanceSettings,
-    /// Its process.
+    /// Operating system process.
     pub process: Process,
 }
 
 /// A running node.
 #[derive(Debug)]
 pub struct NodeHandle {
-    /// Settings it was started with.
+    /// Settings that the process was started with.
     pub settings: NodeSettings,
-    /// Where clients reach it.
+    /// Address for clients, through the relay if there is one.
     pub client_address: SocketAddr,
-    /// Its process.
+    /// Operating system process.
     pub process: Process,
 }
 
 /// A running deployment.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Its description.
+    /// Description of the deployment.
     pub deployment: Deployment,
-    /// Options it was started with.
+    /// Options that the deployment was started with.
     pub options: ClusterOptions,
-    /// Relays between places.
+    /// Relays between zones, clients and platform.
     pub relays: Arc<Relays>,
     /// Database instances.
     pub instances: Vec<InstanceHandle>,
-    /// Nodes.
+    /// Millwind nodes.
     pub nodes: Vec<NodeHandle>,
-    /// Control of the platform stand-in.
+    /// Control API address of the simulated platform.
     pub platform_control: SocketAddr,
-    /// Listener of the platform stand-in.
+    /// Key-value service address of the simulated platform.
     pub platform_address: SocketAddr,
     platform: Process,
     directory: PathBuf,
-    changes: u64,
+    change_count: u64,
 }
 
 impl Drop for Cluster {
@@ -150,7 +150,8 @@
 }
 
 impl Cluster {
-    /// Starts everything and applies the configuration.
+    /// Starts all processes, applies the configuration and creates the tables.
+    /// Fails if a process cannot be started or is not ready in time.
     pub async fn start(deployment: Deployment, options: ClusterOptions) -> Result<Cluster, ClusterError> {
         let directory = std::env::temp_dir().join(format!(
             "millwind-lab-{}-{:x}",
@@ -181,38 +182,44 @@
             platform_address,
             platform,
             directory,
-            changes: 0,
+            change_count: 0,
         };
         cluster.start_instances().await?;
         cluster.start_nodes().await?;
-        cluster.await_nodes().await?;
+        cluster.wait_for_nodes().await?;
         cluster.apply_configuration().await?;
         cluster.create_tables().await?;
         Ok(cluster)
     }
 
-    /// Directory of logs and settings files.
+    /// Directory of log and settings files.
     pub fn directory(&self) -> &Path {
         &self.directory
     }
 
-    /// Number of groups.
+    /// Number of database groups.
     pub fn groups(&self) -> usize {
         self.options.groups.unwrap_or(self.deployment.groups)
     }
 
-    /// Where a process in `zone` dials a process in `target_zone`.
-    async fn route(&self, zone: &str, target_zone: &str, target: SocketAddr) -> std::io::Result<SocketAddr> {
+    /// Address at which a process in `zone` reaches `target` in `target_zone`;
+    /// opens a relay if the zones differ.
+    async fn dial_address(
+        &self,
+        zone: &str,
+        target_zone: &str,
+        target: SocketAddr,
+    ) -> std::io::Result<SocketAddr> {
         if self.options.flat || zone == target_zone {
             return Ok(target);
         }
-        let latency = if target_zone == PLATFORM_PLACE {
+        let latency = if target_zone == PLATFORM_ENDPOINT {
             self.deployment.zone_latency
         } else {
             self.deployment.latency(zone, target_zone)
         };
         self.relays
-            .open(LinkKey::new(zone, target_zone), target, latency)
+            .open(EndpointPair::new(zone, target_zone), target, latency)
             .await
     }
 
@@ -223,13 +230,15 @@
                 addresses.push((free_address()?, free_address()?, free_address()?));
             }
             for index in 0..self.deployment.zones.len() {
-                // Primaries are spread over the zones.
+                // The zones are rotated so that each group's primary is in another zone.
                 let zone = self.deployment.zones[(index + group) % 3];
                 let mut peers = Vec::new();
                 for (other, (_, replication, _)) in addresses.iter().enumerate() {
                     if other != index {
                         let other_zone = self.deployment.zones[(other + group) % 3];
-                        let address = self.route(zone.name, other_zone.name, *replication).await?;
+                        let address = self
+                            .dial_address(zone.name, other_zone.name, *replication)
+                            .await?;
                         peers.push(Peer {
                             name: self.instance_name(group, other),
                             address,
@@ -257,7 +266,7 @@
         }
         for instance in &self.instances {
             let address = instance.settings.control;
-            await_answer(&instance.settings.name, || async move {
+            poll_until(&instance.settings.name, || async move {
                 http::get::<InstanceReport>(address, "/report").await.is_ok()
             })
             .await?;
@@ -275,7 +284,7 @@
         zone: String,
         settings: InstanceSettings,
     ) -> Result<(), ClusterError> {
-        let process = self.instance_process(&settings)?;
+        let process = self.spawn_instance_process(&settings)?;
         self.instances.push(InstanceHandle {
             group,
             zone,
@@ -285,7 +294,7 @@
         Ok(())
     }
 
-    fn instance_process(&self, settings: &InstanceSettings) -> Result<Process, ClusterError> {
+    fn spawn_instance_process(&self, settings: &InstanceSettings) -> Result<Process, ClusterError> {
         let text = serde_json::to_string(settings).map_err(std::io::Error::other)?;
         let log = self.directory.join(format!("{}.log", settings.name));
         Ok(Process::spawn(
@@ -295,42 +304,45 @@
         )?)
     }
 
-    /// Starts a killed instance anew; it takes everything from the others.
+    /// Restarts an instance with an empty log, which is copied from its peers.
     pub fn restart_instance(&mut self, index: usize) -> Result<(), ClusterError> {
         let mut settings = self.instances[index].settings.clone();
         settings.initial_primary = false;
         settings.rejoin = true;
-        let process = self.instance_process(&settings)?;
+        let process = self.spawn_instance_process(&settings)?;
         self.instances[index].settings = settings;
         self.instances[index].process = process;
         Ok(())
     }
 
     async fn start_nodes(&mut self) -> Result<(), ClusterError> {
-        let mut plans = Vec::new();
+        let mut node_plans = Vec::new();
         for zone in self.deployment.zones {
             for number in 0..self.options.nodes_per_zone {
                 let name = format!("{}-n{}", zone.name, number + 1);
-                plans.push((name, zone, free_address()?, free_address()?, free_address()?));
+                node_plans.push((name, zone, free_address()?, free_address()?, free_address()?));
             }
         }
-        self.list_machines(
-            &plans
+        self.write_machine_list(
+            &node_plans
                 .iter()
                 .map(|plan| (plan.0.clone(), plan.3))
                 .collect::<Vec<_>>(),
         )
         .await?;
-        let seeds: Vec<SocketAddr> = plans.iter().map(|plan| plan.3).collect();
-        for (name, zone, client, peer, admin) in &plans {
+        let seeds: Vec<SocketAddr> = node_plans.iter().map(|plan| plan.3).collect();
+        for (name, zone, client, peer, admin) in &node_plans {
             let mut dial = std::collections::BTreeMap::new();
-            for (_, other_zone, _, other_peer, _) in &plans {
-                let address = self.route(zone.name, other_zone.name, *other_peer).await?;
+            for (_, other_zone, _, other_peer, _) in &node_plans {
+                let address = self.dial_address(zone.name, other_zone.name, *other_peer).await?;
                 dial.insert(*other_peer, address);
             }
             for instance in &self.instances {
                 let listen = instance.settings.listen;
-                dial.insert(listen, self.route(zone.name, &instance.zone, listen).await?);
+                dial.insert(
+                    listen,
+                    self.dial_address(zone.name, &instance.zone, listen).await?,
+                );
             }
             let settings = NodeSettings {
                 name: name.clone(),
@@ -340,7 +352,7 @@
                 peer_address: *peer,
                 admin_address: *admin,
                 platform: vec![
-                    self.route(zone.name, PLATFORM_PLACE, self.platform_address)
+                    self.dial_address(zone.name, PLATFORM_ENDPOINT, self.platform_address)
                         .await?,
                 ],
                 platform_prefix: "/millwind/".to_owned(),
@@ -353,12 +365,12 @@
             let client_address = if self.options.flat {
                 *client
             } else {
-                let key = LinkKey::new(CLIENT_PLACE, name);
+                let key = EndpointPair::new(CLIENT_ENDPOINT, name);
                 self.relays
                     .open(key, *client, self.deployment.client_latency)
                     .await?
             };
-            let process = self.node_process(&settings)?;
+            let process = self.spawn_node_process(&settings)?;
             self.nodes.push(NodeHandle {
                 settings,
                 client_address,
@@ -368,7 +380,7 @@
         Ok(())
     }
 
-    fn node_process(&self, settings: &NodeSettings) -> Result<Process, ClusterError> {
+    fn spawn_node_process(&self, settings: &NodeSettings) -> Result<Process, ClusterError> {
         let path = self.directory.join(format!("{}.toml", settings.name));
         let text = toml::to_string(settings).map_err(std::io::Error::other)?;
         std::fs::write(&path, text)?;
@@ -381,21 +393,22 @@
         )?)
     }
 
-    /// Starts a stopped or killed node anew.
+    /// Restarts a node with its previous settings.
     pub fn restart_node(&mut self, index: usize) -> Result<(), ClusterError> {
-        let process = self.node_process(&self.nodes[index].settings)?;
+        let process = self.spawn_node_process(&self.nodes[index].settings)?;
         self.nodes[index].process = process;
         Ok(())
     }
 
-    async fn list_machines(&self, machines: &[(String, SocketAddr)]) -> Result<(), ClusterError> {
+    async fn write_machine_list(&self, machines: &[(String, SocketAddr)]) -> Result<(), ClusterError> {
         for (name, address) in machines {
             self.list_machine(name, &address.to_string(), false).await?;
         }
         Ok(())
     }
 
-    /// Writes an entry of the platform's machine list.
+    /// Writes an entry of the platform's machine list; retries until the platform
+    /// accepts the write, and fails after a timeout.
     pub async fn list_machine(&self, name: &str, address: &str, leaving: bool) -> Result<(), ClusterError> {
         let machine = Machine {
             name: name.to_owned(),
@@ -408,22 +421,22 @@
             key: KeySpace::new("/millwind/").machine(name),
             value: text.into_bytes(),
         };
-        let give_up = tokio::time::Instant::now() + START_LIMIT;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             match store.swap(&[], std::slice::from_ref(&write)).await {
                 Ok(_) => return Ok(()),
-                Err(error) if tokio::time::Instant::now() > give_up => return Err(error.into()),
-                Err(_) => tokio::time::sleep(POLL_PAUSE).await,
+                Err(error) if tokio::time::Instant::now() > deadline => return Err(error.into()),
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Waits until every node serves its administration and knows the others.
-    async fn await_nodes(&self) -> Result<(), ClusterError> {
+    /// Waits until every node serves its admin API and lists all nodes.
+    async fn wait_for_nodes(&self) -> Result<(), ClusterError> {
         let count = self.nodes.len();
         for node in &self.nodes {
             let address = node.settings.admin_address;
-            await_answer(&node.settings.name, || async move {
+            poll_until(&node.settings.name, || async move {
                 http::get::<Vec<millwind_node::admin::NodeRow>>(address, "/nodes")
                     .await
                     .is_ok_and(|rows| rows.len() == count)
@@ -433,7 +446,7 @@
         Ok(())
     }
 
-    /// Status of a node.
+    /// Returns a node's status report.
     pub async fn status(&self, index: usize) -> Result<StatusReport, ClusterError> {
         Ok(http::get(self.nodes[index].settings.admin_address, "/status").await?)
     }
@@ -468,7 +481,7 @@
         text
     }
 
-    /// Description of a group.
+    /// Returns the configuration document of a group.
     pub fn group_spec(&self, index: usize) -> GroupSpec {
         let name = self.deployment.group(index);
         let region = |zone: &str| {
@@ -513,11 +526,11 @@
         }
     }
 
-    /// Stores a document through a node; returns its revision.
+    /// Stores a configuration document through a node; returns its revision.
     pub async fn store(&mut self, node: usize, key: &str, text: &str) -> Result<u64, ClusterError> {
-        self.changes += 1;
+        self.change_count += 1;
         let body = ChangeBody {
-            change_id: format!("lab-{}-{}", std::process::id(), self.changes),
+            change_id: format!("lab-{}-{}", std::process::id(), self.change_count),
             expected_revision: None,
             body: Some(text.to_owned()),
         };
@@ -526,10 +539,10 @@
         Ok(stored.revision)
     }
 
-    /// Waits until a revision is in force on every live node.
+    /// Waits until a revision is in force on every live node, as reported by `node`.
     pub async fn await_in_force(&self, node: usize, revision: u64) -> Result<(), ClusterError> {
         let address = self.nodes[node].settings.admin_address;
-        await_answer(&format!("revision {revision} in force"), || async move {
+        poll_until(&format!("revision {revision} to be in force"), || async move {
             http::get::<StandingsReport>(address, &format!("/standings?revision={revision}"))
                 .await
                 .is_ok_and(|report| report.pending.is_empty())
@@ -553,31 +566,32 @@
         Ok(())
     }
 
-    /// Index and report of the instance that leads a group with the highest term.
+    /// Returns index and report of the group's primary, the one of the highest term
+    /// if several instances report that role.
     pub async fn leader(&self, group: &str) -> Option<(usize, InstanceReport)> {
-        let mut best: Option<(usize, InstanceReport)> = None;
+        let mut newest: Option<(usize, InstanceReport)> = None;
         for (index, instance) in self.instances.iter().enumerate() {
             if instance.group != group {
                 continue;
             }
             let report: Result<InstanceReport, _> = http::get(instance.settings.control, "/report").await;
             let Ok(report) = report else { continue };
-            let newer = best.as_ref().is_none_or(|(_, held)| report.term > held.term);
+            let newer = newest.as_ref().is_none_or(|(_, held)| report.term > held.term);
             if report.leads && newer {
-                best = Some((index, report));
+                newest = Some((index, report));
             }
         }
-        best
+        newest
     }
 
-    /// Waits for a group to have a leader of a term above `term`.
+    /// Waits until a group has a primary in a term above `term`.
     pub async fn await_leader(
         &self,
         group: &str,
         term: u64,
     ) -> Result<(usize, InstanceReport), ClusterError> {
-        let give_up = tokio::time::Instant::now() + START_LIMIT;
-        while tokio::time::Instant::now() < give_up {
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+        while tokio::time::Instant::now() < deadline {
             if let Some((index, report)) = self.leader(group).await
                 && report.term > term
             {
@@ -585,36 +599,39 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        Err(ClusterError::Timeout(format!("leader of {group}")))
+        Err(ClusterError::Timeout(format!(
+            "a leader of group {group} with a term above {term}"
+        )))
     }
 
-    /// Sets faults of the platform stand-in.
+    /// Sets the faults of the simulated platform.
     pub async fn set_platform_faults(&self, faults: &PlatformFaults) -> Result<(), ClusterError> {
         Ok(http::post(self.platform_control, "/faults", faults).await?)
     }
 
-    /// Cuts or heals everything between a zone and the rest.
+    /// Starts or ends a partition between a zone and the other zones and platform.
     pub fn set_zone_cut(&self, zone: &str, cut: bool) {
         for other in self.deployment.zones {
             if other.name != zone {
-                self.relays.set_cut(zone, other.name, cut);
+                self.relays.set_partitioned(zone, other.name, cut);
             }
         }
-        self.relays.set_cut(zone, PLATFORM_PLACE, cut);
+        self.relays.set_partitioned(zone, PLATFORM_ENDPOINT, cut);
     }
 }
 
-async fn await_answer<F, Fut>(what: &str, mut check: F) -> Result<(), ClusterError>
+/// Polls `check` until it returns true; fails after a timeout that names `condition`.
+async fn poll_until<F, Fut>(condition: &str, mut check: F) -> Result<(), ClusterError>
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = bool>,
 {
-    let give_up = tokio::time::Instant::now() + START_LIMIT;
-    while tokio::time::Instant::now() < give_up {
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
         if check().await {
             return Ok(());
         }
-        tokio::time::sleep(POLL_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(ClusterError::Timeout(what.to_owned()))
+    Err(ClusterError::Timeout(condition.to_owned()))
 }
--- a/crates/millwind-lab/src/cluster/process.rs
+++ b/crates/millwind-lab/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run.
+//! Child processes of a deployment.
 
 use std::fs::File;
 use std::path::Path;
@@ -11,6 +11,7 @@
 }
 
 impl Process {
+    /// Starts `program` with its output redirected to the file `log`.
     pub(super) fn spawn(program: &Path, arguments: &[&str], log: &Path) -> std::io::Result<Process> {
         let output = File::create(log)?;
         let child = Command::new(program)
@@ -22,7 +23,7 @@
         Ok(Process { child })
     }
 
-    /// Sends a signal by name, for example `STOP`.
+    /// Sends a signal by name, for example `STOP`; fails if `kill` does.
     pub fn signal(&self, name: &str) -> std::io::Result<()> {
         let status = Command::new("kill")
             .arg(format!("-{name}"))
@@ -31,16 +32,18 @@
         if status.success() {
             return Ok(());
         }
-        Err(std::io::Error::other(format!("kill -{name} failed")))
+        Err(std::io::Error::other(format!(
+            "could not send signal {name}: {status}"
+        )))
     }
 
-    /// Kills the process at once.
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Exit code, if the process has ended.
+    /// Returns the exit code if the process has ended; -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child
             .try_wait()
@@ -49,7 +52,7 @@
             .map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Process id.
+    /// Process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/crates/millwind-lab/src/deployment.rs
+++ b/crates/millwind-lab/src/deployment.rs
@@ -1,11 +1,10 @@
-//! The two users' deployments: zones, latencies, database groups, templates
-//! and tenants, with the sizes of their brief.
+//! Reference deployments: zones, latencies, database groups, templates and tenants.
 
 use std::time::Duration;
 
 use clap::ValueEnum;
 
-/// Which user's deployment.
+/// Name of a reference deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum DeploymentName {
     /// Glasfáil: greenhouse climate.
@@ -15,7 +14,7 @@
 }
 
 impl DeploymentName {
-    /// The name in reports.
+    /// Name as used in reports and tenant names.
     pub const fn as_str(self) -> &'static str {
         match self {
             DeploymentName::Glasfail => "glasfail",
@@ -24,23 +23,23 @@
     }
 }
 
-/// A zone and its region.
+/// A zone of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Zone {
     /// Name of the zone.
     pub name: &'static str,
-    /// Its region.
+    /// Region of the zone.
     pub region: &'static str,
 }
 
-/// A deployment's description.
+/// Description of a deployment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Which one.
+    /// Name of the deployment.
     pub name: DeploymentName,
     /// Prefix of group names.
     pub service: &'static str,
-    /// Its zones.
+    /// Zones of the deployment, one instance of each group per zone.
     pub zones: [Zone; 3],
     /// One-way latency between zones of a region.
     pub zone_latency: Duration,
@@ -48,22 +47,22 @@
     pub region_latency: Duration,
     /// One-way latency to clients.
     pub client_latency: Duration,
-    /// Groups.
+    /// Number of database groups.
     pub groups: usize,
-    /// Statements an instance runs at the same time.
+    /// Maximum number of concurrent statements per instance.
     pub slots: u32,
-    /// Connections an instance accepts.
+    /// Maximum number of connections per instance.
     pub connections: u32,
-    /// Cost of a new connection, in milliseconds.
+    /// Simulated setup time of a database connection, in milliseconds.
     pub connect_ms: u64,
-    /// Template documents.
+    /// Template document as TOML.
     pub template: &'static str,
     /// Name of the template.
     pub template_name: &'static str,
 }
 
 impl Deployment {
-    /// The deployment of this name.
+    /// Returns the deployment of this name.
     pub fn of(name: DeploymentName) -> Deployment {
         match name {
             DeploymentName::Glasfail => glasfail(),
@@ -71,7 +70,7 @@
         }
     }
 
-    /// One-way latency between two zones.
+    /// One-way latency between two zones; zero within a zone.
     pub fn latency(&self, left: &str, right: &str) -> Duration {
         let region = |name: &str| {
             self.zones
--- a/crates/millwind-lab/src/http.rs
+++ b/crates/millwind-lab/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP client for the control of stand-ins and nodes.
+//! HTTP client for the control APIs of simulators and the admin API of nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,44 +13,49 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a call failed.
+/// Error of an HTTP request.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// No whole answer.
+    /// Request was not sent, or no complete and valid response arrived.
     #[error("{0}")]
     Transport(String),
-    /// An answer other than success.
-    #[error("status {status}: {body}")]
+    /// Response with a status other than success.
+    #[error("HTTP status {status}: {body}")]
     Status {
-        /// Status code.
+        /// HTTP status code.
         status: u16,
-        /// Body as text.
+        /// Response body as text.
         body: String,
     },
 }
 
-fn transport(error: impl std::fmt::Display) -> HttpError {
+fn transport_error(error: impl std::fmt::Display) -> HttpError {
     HttpError::Transport(error.to_string())
 }
 
-async fn call(method: Method, address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Bytes, HttpError> {
+async fn send_request(
+    method: Method,
+    address: SocketAddr,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<Bytes, HttpError> {
     let client: Client<HttpConnector, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
-        .map_err(transport)?;
+        .map_err(transport_error)?;
     let exchange = async {
-        let response = client.request(request).await.map_err(transport)?;
+        let response = client.request(request).await.map_err(transport_error)?;
         let status = response.status();
         let bytes = response
             .into_body()
             .collect()
             .await
-            .map_err(transport)?
+            .map_err(transport_error)?
             .to_bytes();
         if status.is_success() {
             return Ok(bytes);
@@ -60,37 +65,37 @@
             body: String::from_utf8_lossy(&bytes).into_owned(),
         })
     };
-    tokio::time::timeout(CALL_TIMEOUT, exchange)
+    tokio::time::timeout(REQUEST_TIMEOUT, exchange)
         .await
-        .map_err(|_| HttpError::Transport("timed out".into()))?
+        .map_err(|_| HttpError::Transport("request timed out".into()))?
 }
 
-/// Reads JSON.
+/// Sends a GET request; returns the decoded JSON response.
 pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T, HttpError> {
-    let bytes = call(Method::GET, address, path, Vec::new()).await?;
-    serde_json::from_slice(&bytes).map_err(transport)
+    let bytes = send_request(Method::GET, address, path, Vec::new()).await?;
+    serde_json::from_slice(&bytes).map_err(transport_error)
 }
 
-/// Reads text.
+/// Sends a GET request; returns the response as text.
 pub async fn get_text(address: SocketAddr, path: &str) -> Result<String, HttpError> {
-    let bytes = call(Method::GET, address, path, Vec::new()).await?;
+    let bytes = send_request(Method::GET, address, path, Vec::new()).await?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Sends JSON; the answer's body is dropped.
+/// Sends a POST request with a JSON body; ignores the response body.
 pub async fn post<T: Serialize>(address: SocketAddr, path: &str, body: &T) -> Result<(), HttpError> {
-    let bytes = serde_json::to_vec(body).map_err(transport)?;
-    call(Method::POST, address, path, bytes).await?;
+    let bytes = serde_json::to_vec(body).map_err(transport_error)?;
+    send_request(Method::POST, address, path, bytes).await?;
     Ok(())
 }
 
-/// Sends JSON and reads JSON.
+/// Sends a PUT request with a JSON body; returns the decoded JSON response.
 pub async fn put<T: Serialize, R: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
     body: &T,
 ) -> Result<R, HttpError> {
-    let bytes = serde_json::to_vec(body).map_err(transport)?;
-    let answer = call(Method::PUT, address, path, bytes).await?;
-    serde_json::from_slice(&answer).map_err(transport)
+    let bytes = serde_json::to_vec(body).map_err(transport_error)?;
+    let response = send_request(Method::PUT, address, path, bytes).await?;
+    serde_json::from_slice(&response).map_err(transport_error)
 }
--- a/crates/millwind-lab/src/instance/replication.rs
+++ b/crates/millwind-lab/src/instance/replication.rs
@@ -83,7 +83,7 @@
     Some(Framed::new(stream, LengthDelimitedCodec::new()))
 }
 
-async fn call(stream: &mut FramedStream, message: &Message) -> Option<Reply> {
+async fn send_request(stream: &mut FramedStream, message: &Message) -> Option<Reply> {
     let bytes = serde_json::to_vec(message).ok()?;
     stream.send(Bytes::from(bytes)).await.ok()?;
     let frame = timeout(REPLY_TIMEOUT, stream.next()).await.ok()??.ok()?;
@@ -96,10 +96,10 @@
 /// Requests a peer's vote; returns none if the peer does not reply in time.
 pub async fn request_vote(peer: &Peer, request: VoteRequest) -> Option<Reply> {
     let mut stream = connect(peer).await?;
-    call(&mut stream, &Message::Vote(request)).await
+    send_request(&mut stream, &Message::Vote(request)).await
 }
 
-/// Ships the log to a peer while this instance leads or is being promoted.
+/// Ships the log to a peer while this instance leads or is being majority_adopted.
 pub async fn ship_log(instance: Arc<Instance>, peer: Peer) {
     let mut changed = instance.state.subscribe();
     loop {
@@ -125,7 +125,7 @@
             let sent_term = append.term;
             let count = append.entries.len();
             changed.mark_unchanged();
-            let Some(reply) = call(&mut stream, &Message::Append(append)).await else {
+            let Some(reply) = send_request(&mut stream, &Message::Append(append)).await else {
                 tokio::time::sleep(RECONNECT_DELAY).await;
                 break;
             };
@@ -198,10 +198,10 @@
     }
     state.replicated_lengths.insert(peer.name.clone(), next + count);
     state.term_adopters.insert(peer.name.clone());
-    let promoted = state.role == Role::Promoting
+    let majority_adopted = state.role == Role::Promoting
         && 1 + state.term_adopters.len() >= majority(instance.settings.peers.len());
     drop(state);
-    if promoted {
+    if majority_adopted {
         complete_promotion(instance, sent_term);
     }
     instance.state.notify();
@@ -312,7 +312,7 @@
     }
 }
 
-/// Length of the common_prefix_length prefix of two runs of entries.
+/// Returns the number of leading entries that are the same in both slices.
 fn common_prefix_length(held: &[Entry], sent: &[Entry]) -> usize {
     held.iter()
         .zip(sent)
--- a/crates/millwind-lab/src/lib.rs
+++ b/crates/millwind-lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! Scaffolding for millwind: stand-ins of the outside systems, a load
-//! generator that checks every answer, fault experiments, and hollow runs of
-//! the control plane.
+//! Test harness for millwind: simulators of the external systems, a load
+//! generator that checks every response, fault-injection experiments, and
+//! simulations of the control plane alone.
 
 pub mod client;
 pub mod cluster;
--- a/crates/millwind-lab/src/main.rs
+++ b/crates/millwind-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the lab.
+//! Command line of the test harness.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 use millwind_lab::{demo, overhead};
 use millwind_node::{NodeSettings, daemon, logging};
 
-/// Scaffolding for millwind: stand-ins, load, experiments.
+/// Test harness for millwind: simulators, load generator, experiments.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -25,18 +25,18 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a stand-in database instance.
+    /// Run a simulated database instance.
     Instance {
         /// Settings as JSON.
         #[arg(long)]
         settings: String,
     },
-    /// Run the platform stand-in.
+    /// Run the simulated platform.
     Platform {
-        /// Listener of the key-value service.
+        /// Listen address of the key-value service.
         #[arg(long)]
         listen: SocketAddr,
-        /// Listener of the lab's control.
+        /// Listen address of the control API.
         #[arg(long)]
         control: SocketAddr,
     },
@@ -46,58 +46,58 @@
         #[arg(long)]
         config: PathBuf,
     },
-    /// Show a deployment at work: load, failover, every answer checked.
+    /// Run a deployment under load with a failover, and check every response.
     Demo {
-        /// Which user's deployment.
+        /// Deployment to start.
         #[arg(long, value_enum, default_value = "glasfail")]
         deployment: DeploymentName,
-        /// Seed of all choices.
+        /// Seed of the random number generators.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measure what the proxy itself costs, without injected latencies.
+    /// Measure the overhead of the proxy, without injected latency.
     Overhead {
-        /// Callers of the throughput measurement.
+        /// Concurrent clients in the throughput measurement.
         #[arg(long, default_value_t = 64)]
         callers: usize,
-        /// Idle callers of the memory measurement.
+        /// Idle clients in the memory measurement.
         #[arg(long, default_value_t = 2000)]
         idle_callers: usize,
     },
-    /// Make an HTML page of the runs recorded in a directory.
+    /// Write an HTML report of the runs recorded in a directory.
     Report {
-        /// The directory.
+        /// Directory of recorded runs.
         directory: PathBuf,
     },
-    /// Run an experiment; the last line is one JSON object.
+    /// Run an experiment; the last line of the output is a JSON object.
     Experiment(ExperimentArguments),
-    /// Run the control plane of many nodes in one process.
+    /// Simulate the control plane of many nodes in one process.
     Hollow {
-        /// Nodes in all.
+        /// Total number of nodes.
         #[arg(long, default_value_t = 910)]
         nodes: usize,
-        /// Database instances in all.
+        /// Total number of database instances.
         #[arg(long, default_value_t = 1300)]
         databases: usize,
-        /// Zones.
+        /// Number of zones.
         #[arg(long, default_value_t = 5)]
         zones: usize,
-        /// Regions.
+        /// Number of regions.
         #[arg(long, default_value_t = 2)]
         regions: usize,
-        /// Virtual seconds of steady running.
+        /// Simulated seconds of steady state.
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// Seed of all choices.
+        /// Seed of the random number generators.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Print one JSON line only.
+        /// Print the result as a single JSON line.
         #[arg(long)]
         json: bool,
     },
-    /// Start a deployment and leave it running.
+    /// Start a deployment and keep it running until interrupted.
     Cluster {
-        /// Which user's deployment.
+        /// Deployment to start.
         #[arg(long, value_enum, default_value = "glasfail")]
         deployment: DeploymentName,
         /// Nodes per zone.
@@ -108,19 +108,19 @@
 
 #[derive(Debug, Args)]
 struct ExperimentArguments {
-    /// The experiment.
+    /// Experiment to run.
     #[arg(value_enum)]
     name: ExperimentName,
-    /// Which user's deployment.
+    /// Deployment to start.
     #[arg(long, value_enum, default_value = "glasfail")]
     deployment: DeploymentName,
-    /// Seed of all choices.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of the load, in seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Callers per tenant.
+    /// Client sessions per tenant.
     #[arg(long, default_value_t = 8)]
     sessions: usize,
     /// Nodes per zone.
@@ -129,19 +129,19 @@
     /// Replay lag of replicas, in milliseconds.
     #[arg(long, default_value_t = 50)]
     lag_ms: u64,
-    /// Requests between two writes of a session.
+    /// Interval between the writes of a session, in requests.
     #[arg(long, default_value_t = 5)]
     write_every: u32,
-    /// Longest pause of a caller between requests, in milliseconds.
+    /// Maximum think time between two requests of a session, in milliseconds.
     #[arg(long, default_value_t = 10)]
     think_ms: u64,
-    /// Time a statement holds its slot, in microseconds.
+    /// Simulated execution time of a statement, in microseconds.
     #[arg(long, default_value_t = 1_000)]
     service_us: u64,
-    /// Settings to compare with.
+    /// Baseline settings to run instead of the usual settings.
     #[arg(long, value_enum)]
     baseline: Option<Baseline>,
-    /// Print only the JSON line.
+    /// Suppress progress output; print only the JSON line.
     #[arg(long)]
     json: bool,
     /// Record the run in this directory, for `report`.
@@ -171,7 +171,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let command = Arguments::parse().command;
-    // The lab starts its stand-ins and nodes from its own program.
+    // Simulators and nodes are started as subcommands of this executable.
     let program = match std::env::current_exe() {
         Ok(program) => program,
         Err(error) => return fail(&error),
--- a/crates/millwind-lab/src/platform.rs
+++ b/crates/millwind-lab/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's key-value service: the etcd subset in memory,
-//! with a rate limit, outages, slowness and lost answers.
+//! Simulated key-value service of the platform: an in-memory subset of etcd with
+//! a rate limit and injected outages, delays and lost responses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,38 +23,38 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Status, Streaming};
 
-/// Faults and limits, set by the lab.
+/// Injected faults and limits, as accepted by `/faults`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PlatformFaults {
-    /// No call is answered and watches are silent.
+    /// Whether all calls fail after a delay and watches deliver nothing.
     #[serde(default)]
     pub outage: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// This many writes take effect without an answer.
+    /// Number of upcoming writes that take effect but fail to the caller.
     #[serde(default)]
     pub lose_answers: u32,
-    /// Calls per second; zero for no limit.
+    /// Rate limit in calls per second; zero for no limit.
     #[serde(default)]
     pub calls_per_second: u32,
 }
 
-/// What the lab reads of the stand-in.
+/// State of the service, as returned by `/report`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PlatformReport {
-    /// Store revision.
+    /// Current store revision.
     pub revision: i64,
-    /// Calls in all.
+    /// Number of calls, including rejected calls.
     pub calls: u64,
-    /// Calls refused by the rate limit.
+    /// Number of calls rejected by the rate limit.
     pub refused: u64,
-    /// Watches opened.
+    /// Number of watches opened.
     pub watches: u64,
 }
 
 #[derive(Debug, Default)]
-struct Content {
+struct StoreState {
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
     events: Vec<Event>,
@@ -63,28 +63,29 @@
     window_calls: u32,
 }
 
-/// The stand-in; clones share everything.
+/// The simulated service; clones share all state.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    content: Arc<Mutex<Content>>,
+    state: Arc<Mutex<StoreState>>,
     faults: Arc<Mutex<PlatformFaults>>,
     changed: Arc<watch::Sender<i64>>,
 }
 
-/// How long a call hangs in an outage before it fails.
-const OUTAGE_HANG: Duration = Duration::from_secs(5);
-const OUTAGE_CHECK: Duration = Duration::from_millis(50);
+/// Time until a call fails during an outage or after a lost response.
+const FAILURE_DELAY: Duration = Duration::from_secs(5);
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Platform {
-    /// Starts the service on `listen` and its control on `control`.
+    /// Serves the key-value service on `listen` and the control API on `control`.
+    /// Fails if an address cannot be bound.
     pub async fn start(listen: SocketAddr, control: SocketAddr) -> std::io::Result<Arc<Platform>> {
         let platform = Arc::new(Platform {
-            content: Arc::default(),
+            state: Arc::default(),
             faults: Arc::default(),
             changed: Arc::new(watch::channel(0).0),
         });
         let listener = TcpListener::bind(listen).await?;
-        let operators = TcpListener::bind(control).await?;
+        let control_listener = TcpListener::bind(control).await?;
         let server = KeyValueServer::new(platform.clone());
         tokio::spawn(async move {
             let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener);
@@ -100,61 +101,62 @@
             .route("/report", get(report))
             .with_state(platform.clone());
         tokio::spawn(async move {
-            let _ = axum::serve(operators, router).await;
+            let _ = axum::serve(control_listener, router).await;
         });
         Ok(platform)
     }
 
-    fn content(&self) -> std::sync::MutexGuard<'_, Content> {
-        self.content.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> std::sync::MutexGuard<'_, StoreState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn faults(&self) -> PlatformFaults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// What every call suffers first.
-    async fn suffer(&self) -> Result<(), Status> {
+    /// Applies the rate limit, outage and delay; fails if the call must not proceed.
+    async fn apply_faults(&self) -> Result<(), Status> {
         let faults = self.faults();
-        self.count(faults.calls_per_second)?;
+        self.count_call(faults.calls_per_second)?;
         if faults.outage {
-            tokio::time::sleep(OUTAGE_HANG).await;
-            return Err(Status::unavailable("outage"));
+            tokio::time::sleep(FAILURE_DELAY).await;
+            return Err(Status::unavailable("simulated outage"));
         }
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         Ok(())
     }
 
-    fn count(&self, limit: u32) -> Result<(), Status> {
-        let mut content = self.content();
-        content.report.calls += 1;
+    /// Counts a call; fails if the limit of the current second is exceeded.
+    fn count_call(&self, limit: u32) -> Result<(), Status> {
+        let mut state = self.state();
+        state.report.calls += 1;
         let now = Instant::now();
-        let fresh = content
+        let window_expired = state
             .window_start
             .is_none_or(|start| now.duration_since(start) >= Duration::from_secs(1));
-        if fresh {
-            content.window_start = Some(now);
-            content.window_calls = 0;
+        if window_expired {
+            state.window_start = Some(now);
+            state.window_calls = 0;
         }
-        content.window_calls += 1;
-        if limit > 0 && content.window_calls > limit {
-            content.report.refused += 1;
-            return Err(Status::resource_exhausted("too many calls"));
+        state.window_calls += 1;
+        if limit > 0 && state.window_calls > limit {
+            state.report.refused += 1;
+            return Err(Status::resource_exhausted("rate limit exceeded"));
         }
         Ok(())
     }
 
-    /// Loses the answer to a write that took effect, if the lab wants so.
-    async fn maybe_lose_answer(&self) -> Result<(), Status> {
-        let lose = {
+    /// Fails after a completed write if a lost response is to be simulated.
+    async fn maybe_lose_response(&self) -> Result<(), Status> {
+        let lose_response = {
             let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-            let lose = faults.lose_answers > 0;
+            let lose_response = faults.lose_answers > 0;
             faults.lose_answers = faults.lose_answers.saturating_sub(1);
-            lose
+            lose_response
         };
-        if lose {
-            tokio::time::sleep(OUTAGE_HANG).await;
-            return Err(Status::unavailable("answer lost"));
+        if lose_response {
+            tokio::time::sleep(FAILURE_DELAY).await;
+            return Err(Status::unavailable("simulated loss of the response"));
         }
         Ok(())
     }
@@ -165,14 +167,14 @@
 }
 
 async fn report(State(platform): State<Arc<Platform>>) -> Json<PlatformReport> {
-    let content = platform.content();
+    let state = platform.state();
     Json(PlatformReport {
-        revision: content.revision,
-        ..content.report.clone()
+        revision: state.revision,
+        ..state.report.clone()
     })
 }
 
-impl Content {
+impl StoreState {
     fn header(&self) -> Option<ResponseHeader> {
         Some(ResponseHeader {
             revision: self.revision,
@@ -213,13 +215,13 @@
     }
 
     fn delete(&mut self, request: &DeleteRangeRequest, revision: i64) -> i64 {
-        let gone: Vec<Vec<u8>> = self
+        let deleted_keys: Vec<Vec<u8>> = self
             .keys
             .keys()
             .filter(|key| in_range(key, &request.key, &request.range_end))
             .cloned()
             .collect();
-        for key in &gone {
+        for key in &deleted_keys {
             self.keys.remove(key);
             self.events.push(Event {
                 r#type: EventType::Delete as i32,
@@ -230,12 +232,13 @@
                 }),
             });
         }
-        gone.len() as i64
+        deleted_keys.len() as i64
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    /// Evaluates one condition of a transaction.
+    fn compare_holds(&self, compare: &Compare) -> bool {
         let held = self.keys.get(&compare.key);
-        let number = |of: fn(&KeyValue) -> i64| held.map_or(0, of);
+        let number = |field: fn(&KeyValue) -> i64| held.map_or(0, field);
         let ordering = match (&compare.operand, CompareTarget::try_from(compare.target)) {
             (Some(CompareOperand::ModRevision(wanted)), Ok(CompareTarget::Mod)) => {
                 number(|kv| kv.mod_revision).cmp(wanted)
@@ -269,7 +272,7 @@
             .collect()
     }
 
-    fn run(&mut self, operation: RequestOp, revision: i64) -> ResponseOp {
+    fn execute(&mut self, operation: RequestOp, revision: i64) -> ResponseOp {
         let response = operation.request.map(|request| match request {
             RequestOpKind::Range(range) => ResponseOpKind::Range(self.range(&range)),
             RequestOpKind::Put(put) => {
@@ -285,6 +288,8 @@
     }
 }
 
+/// Whether a key is in an etcd range: no end means the key alone, a zero byte
+/// means no upper bound.
 fn in_range(key: &[u8], start: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == start,
@@ -295,32 +300,32 @@
 
 impl KeyValueService for Platform {
     async fn range(&self, request: RangeRequest) -> Result<RangeResponse, Status> {
-        self.suffer().await?;
-        Ok(self.content().range(&request))
+        self.apply_faults().await?;
+        Ok(self.state().range(&request))
     }
 
     async fn put(&self, request: PutRequest) -> Result<PutResponse, Status> {
-        self.suffer().await?;
+        self.apply_faults().await?;
         let (header, revision) = {
-            let mut content = self.content();
-            content.revision += 1;
-            let revision = content.revision;
-            content.put(request, revision);
-            (content.header(), revision)
+            let mut state = self.state();
+            state.revision += 1;
+            let revision = state.revision;
+            state.put(request, revision);
+            (state.header(), revision)
         };
         self.changed.send_replace(revision);
-        self.maybe_lose_answer().await?;
+        self.maybe_lose_response().await?;
         Ok(PutResponse { header })
     }
 
     async fn delete_range(&self, request: DeleteRangeRequest) -> Result<DeleteRangeResponse, Status> {
-        self.suffer().await?;
+        self.apply_faults().await?;
         let (response, revision) = {
-            let mut content = self.content();
-            content.revision += 1;
-            let revision = content.revision;
-            let deleted = content.delete(&request, revision);
-            let header = content.header();
+            let mut state = self.state();
+            state.revision += 1;
+            let revision = state.revision;
+            let deleted = state.delete(&request, revision);
+            let header = state.header();
             (DeleteRangeResponse { header, deleted }, revision)
         };
         self.changed.send_replace(revision);
@@ -328,10 +333,10 @@
     }
 
     async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, Status> {
-        self.suffer().await?;
+        self.apply_faults().await?;
         let (response, revision) = {
-            let mut content = self.content();
-            let succeeded = request.compare.iter().all(|compare| content.holds(compare));
+            let mut state = self.state();
+            let succeeded = request.compare.iter().all(|compare| state.compare_holds(compare));
             let operations = if succeeded {
                 request.success
             } else {
@@ -341,14 +346,14 @@
                 .iter()
                 .any(|operation| !matches!(operation.request, Some(RequestOpKind::Range(_))));
             if writes {
-                content.revision += 1;
+                state.revision += 1;
             }
-            let revision = content.revision;
+            let revision = state.revision;
             let responses = operations
                 .into_iter()
-                .map(|operation| content.run(operation, revision))
+                .map(|operation| state.execute(operation, revision))
                 .collect();
-            let header = content.header();
+            let header = state.header();
             let response = TxnResponse {
                 header,
                 succeeded,
@@ -358,29 +363,29 @@
         };
         self.changed.send_replace(revision);
         if response.succeeded {
-            self.maybe_lose_answer().await?;
+            self.maybe_lose_response().await?;
         }
         Ok(response)
     }
 
     async fn watch(&self, mut requests: Streaming<WatchRequest>) -> Result<WatchStream, Status> {
-        self.suffer().await?;
+        self.apply_faults().await?;
         let first = requests
             .next()
             .await
-            .ok_or_else(|| Status::invalid_argument("no request"))??;
+            .ok_or_else(|| Status::invalid_argument("watch stream ended before its first request"))??;
         let Some(WatchRequestKind::Create(create)) = first.request else {
             return Err(Status::invalid_argument("first request must create a watch"));
         };
-        self.content().report.watches += 1;
+        self.state().report.watches += 1;
         let (sender, receiver) = mpsc::channel(64);
-        tokio::spawn(feed(self.clone(), create, requests, sender));
+        tokio::spawn(serve_watch(self.clone(), create, requests, sender));
         Ok(Box::pin(ReceiverStream::new(receiver)))
     }
 }
 
-/// Feeds one watch until its client goes.
-async fn feed(
+/// Serves one watch until the client closes the stream.
+async fn serve_watch(
     platform: Platform,
     create: WatchCreateRequest,
     mut requests: Streaming<WatchRequest>,
@@ -388,7 +393,7 @@
 ) {
     let mut changed = platform.changed.subscribe();
     let created = WatchResponse {
-        header: platform.content().header(),
+        header: platform.state().header(),
         created: true,
         ..WatchResponse::default()
     };
@@ -397,7 +402,7 @@
     }
     let mut sent = create.start_revision - 1;
     loop {
-        let progress = tokio::select! {
+        let progress_requested = tokio::select! {
             request = requests.next() => match request {
                 Some(Ok(_)) => true,
                 _ => return,
@@ -410,13 +415,13 @@
             }
         };
         while platform.faults().outage {
-            tokio::time::sleep(OUTAGE_CHECK).await;
+            tokio::time::sleep(OUTAGE_POLL_INTERVAL).await;
         }
         let (header, events) = {
-            let content = platform.content();
-            let events = content.events_after(sent, &create);
-            sent = content.revision;
-            (content.header(), events)
+            let state = platform.state();
+            let events = state.events_after(sent, &create);
+            sent = state.revision;
+            (state.header(), events)
         };
         let response = |events| WatchResponse {
             header: header.clone(),
@@ -426,7 +431,7 @@
         if !events.is_empty() && sender.send(Ok(response(events))).await.is_err() {
             return;
         }
-        if progress && sender.send(Ok(response(Vec::new()))).await.is_err() {
+        if progress_requested && sender.send(Ok(response(Vec::new()))).await.is_err() {
             return;
         }
     }
--- a/crates/millwind-lab/src/process_memory.rs
+++ b/crates/millwind-lab/src/process_memory.rs
@@ -1,7 +1,7 @@
-//! Memory of processes, as the system counts it.
+//! Memory usage of processes.
 
-/// Resident memory of a process (`self` or its number), in bytes; zero where it
-/// cannot be read.
+/// Resident memory in bytes of a process, given as `self` or a process ID; zero
+/// if the value cannot be read.
 pub fn resident_bytes(process: &str) -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
--- a/crates/millwind-lab/src/relay.rs
+++ b/crates/millwind-lab/src/relay.rs
@@ -1,6 +1,5 @@
-//! Relays that carry one zone's links to a process in another: each adds the
-//! latency between them, and can be cut. What is under way when a link is cut
-//! arrives late, when it is healed.
+//! TCP relays that inject latency and partitions between two endpoints. Data in
+//! transit during a partition is delivered when the partition ends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,72 +13,85 @@
 use tokio::time::Instant;
 
 const CHUNK_BYTES: usize = 16 * 1024;
-const CHUNKS_UNDER_WAY: usize = 256;
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
-/// A pair of places whose links are cut together.
+/// Unordered pair of endpoint names; a partition affects all relays of a pair.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct LinkKey {
-    from: String,
-    to: String,
+pub struct EndpointPair {
+    first: String,
+    second: String,
 }
 
-impl LinkKey {
-    /// The pair, in either order.
+impl EndpointPair {
+    /// Returns the same pair for either order of the names.
     pub fn new(left: &str, right: &str) -> Self {
-        let (from, to) = if left <= right {
+        let (first, second) = if left <= right {
             (left, right)
         } else {
             (right, left)
         };
-        LinkKey {
-            from: from.to_owned(),
-            to: to.to_owned(),
+        EndpointPair {
+            first: first.to_owned(),
+            second: second.to_owned(),
         }
     }
 }
 
-/// All relays of a run.
+/// Relays of a deployment, with the partition state of each endpoint pair.
 #[derive(Debug, Default)]
 pub struct Relays {
-    cuts: Mutex<HashMap<LinkKey, Arc<watch::Sender<bool>>>>,
+    partitions: Mutex<HashMap<EndpointPair, Arc<watch::Sender<bool>>>>,
 }
 
 impl Relays {
-    fn switch(&self, key: &LinkKey) -> Arc<watch::Sender<bool>> {
-        let mut cuts = self.cuts.lock().unwrap_or_else(PoisonError::into_inner);
-        cuts.entry(key.clone())
+    fn partition_switch(&self, endpoints: &EndpointPair) -> Arc<watch::Sender<bool>> {
+        let mut partitions = self.partitions.lock().unwrap_or_else(PoisonError::into_inner);
+        partitions
+            .entry(endpoints.clone())
             .or_insert_with(|| Arc::new(watch::channel(false).0))
             .clone()
     }
 
-    /// Cuts or heals the links between two places.
-    pub fn set_cut(&self, left: &str, right: &str, cut: bool) {
-        self.switch(&LinkKey::new(left, right)).send_replace(cut);
+    /// Starts or ends a partition between two endpoints.
+    pub fn set_partitioned(&self, left: &str, right: &str, partitioned: bool) {
+        self.partition_switch(&EndpointPair::new(left, right))
+            .send_replace(partitioned);
     }
 
-    /// Opens a relay to `target` with this one-way latency; returns where to
-    /// dial it.
+    /// Opens a relay to `target` with a one-way latency; returns the relay's
+    /// address. Fails if no listener can be bound.
     pub async fn open(
         &self,
-        key: LinkKey,
+        endpoints: EndpointPair,
         target: SocketAddr,
         latency: Duration,
     ) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let cut = self.switch(&key);
+        let partitioned = self.partition_switch(&endpoints);
         tokio::spawn(async move {
             while let Ok((inbound, _)) = listener.accept().await {
-                tokio::spawn(carry(inbound, target, latency, cut.subscribe()));
+                tokio::spawn(proxy_connection(
+                    inbound,
+                    target,
+                    latency,
+                    partitioned.subscribe(),
+                ));
             }
         });
         Ok(address)
     }
 }
 
-async fn carry(inbound: TcpStream, target: SocketAddr, latency: Duration, mut cut: watch::Receiver<bool>) {
-    // A cut link takes no new connection through.
-    if cut.wait_for(|cut| !cut).await.is_err() {
+/// Connects to `target` and forwards data both ways until either side closes.
+async fn proxy_connection(
+    inbound: TcpStream,
+    target: SocketAddr,
+    latency: Duration,
+    mut partitioned: watch::Receiver<bool>,
+) {
+    // New connections wait for the end of the partition.
+    if partitioned.wait_for(|partitioned| !partitioned).await.is_err() {
         return;
     }
     let Ok(outbound) = TcpStream::connect(target).await else {
@@ -89,21 +101,22 @@
     let _ = outbound.set_nodelay(true);
     let (inbound_read, inbound_write) = inbound.into_split();
     let (outbound_read, outbound_write) = outbound.into_split();
-    let there = pump(inbound_read, outbound_write, latency, cut.clone());
-    let back = pump(outbound_read, inbound_write, latency, cut);
+    let outbound_forward = forward(inbound_read, outbound_write, latency, partitioned.clone());
+    let inbound_forward = forward(outbound_read, inbound_write, latency, partitioned);
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = outbound_forward => {}
+        () = inbound_forward => {}
     }
 }
 
-async fn pump(
+/// Forwards data in one direction, delayed by `latency` and by partitions.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     latency: Duration,
-    mut cut: watch::Receiver<bool>,
+    mut partitioned: watch::Receiver<bool>,
 ) {
-    let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(CHUNKS_UNDER_WAY);
+    let (sender, mut receiver) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_BUFFERED_CHUNKS);
     let reader = async move {
         let mut chunk = vec![0; CHUNK_BYTES];
         while let Ok(length) = from.read(&mut chunk).await {
@@ -120,7 +133,9 @@
     let writer = async move {
         while let Some((due, bytes)) = receiver.recv().await {
             tokio::time::sleep_until(due).await;
-            if cut.wait_for(|cut| !cut).await.is_err() || to.write_all(&bytes).await.is_err() {
+            if partitioned.wait_for(|partitioned| !partitioned).await.is_err()
+                || to.write_all(&bytes).await.is_err()
+            {
                 return;
             }
         }
