--- a/crates/millwind-lab/src/client.rs
+++ b/crates/millwind-lab/src/client.rs
@@ -22,7 +22,7 @@
     }
 
     /// Polls `connection` and stores a newly reported token. The lock is held during the
-    /// poll because a response may wake its caller on another thread before the token
+    /// poll because a response may wake the waiting task on another thread before the token
     /// that follows the response is processed.
     fn update<S, T>(
         &self,
--- a/crates/millwind-lab/src/instance/replication.rs
+++ b/crates/millwind-lab/src/instance/replication.rs
@@ -74,6 +74,7 @@
 
 type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
+/// Connects to a peer; returns none if the connection fails or times out.
 async fn connect(peer: &Peer) -> Option<FramedStream> {
     let stream = timeout(REPLY_TIMEOUT, TcpStream::connect(peer.address))
         .await
@@ -83,6 +84,7 @@
     Some(Framed::new(stream, LengthDelimitedCodec::new()))
 }
 
+/// Sends a request; returns none if no reply arrives in time.
 async fn send_request(stream: &mut FramedStream, message: &Message) -> Option<Reply> {
     let bytes = serde_json::to_vec(message).ok()?;
     stream.send(Bytes::from(bytes)).await.ok()?;
@@ -262,6 +264,8 @@
     Some(reply)
 }
 
+/// Appends a leader's entries to the log. Rejects a request of an older term, and
+/// entries whose predecessor does not match the log.
 fn handle_append(instance: &Instance, append: AppendRequest) -> Reply {
     let mut state = instance.state.lock();
     let rejected = |state: &super::log_state::ReplicationState| Reply {
@@ -320,6 +324,8 @@
         .count()
 }
 
+/// Grants at most one vote per term, and only to a candidate whose log is at least
+/// as up to date as this log.
 fn handle_vote_request(instance: &Instance, request: &VoteRequest) -> Reply {
     let mut state = instance.state.lock();
     let log_up_to_date = (request.last_term, request.end) >= (state.last_entry_term(), state.end());
--- a/crates/millwind-lab/src/instance/session.rs
+++ b/crates/millwind-lab/src/instance/session.rs
@@ -81,7 +81,7 @@
 
 #[derive(Debug)]
 struct Transaction {
-    /// Write lock, held from the first write to the end of the transaction.
+    /// Write lock, held from the first write until the commit or rollback.
     lock: Option<OwnedMutexGuard<()>>,
     statements: Vec<Statement>,
     failed: bool,
@@ -252,6 +252,7 @@
         Ok(())
     }
 
+    /// Sends an error and marks the open transaction as failed.
     fn report_error(&mut self, error: &SqlError) {
         if let Some(transaction) = &mut self.transaction {
             transaction.failed = true;
@@ -259,6 +260,8 @@
         self.put_error(error, "ERROR");
     }
 
+    /// Executes all statements of a simple query; several statements form an implicit
+    /// transaction unless the first one is a session command.
     async fn simple_query(&mut self, text: &str) {
         let statements = split_statements(text);
         if statements.is_empty() {
@@ -508,6 +511,7 @@
         Ok(ResultSet { columns, rows, tag })
     }
 
+    /// Executes a write; commits at once outside a transaction.
     async fn write(&mut self, sql: &str, parameters: &[Option<String>]) -> Result<ResultSet, SqlError> {
         let autocommit = self.transaction.is_none();
         if autocommit {
@@ -583,6 +587,9 @@
         self.transaction = None;
     }
 
+    /// Applies the transaction's writes, appends them to the log and waits for a
+    /// majority. Fails if the instance is no longer the primary. Like PostgreSQL,
+    /// rolls back a failed transaction and reports `ROLLBACK`.
     async fn commit(&mut self) -> Result<ResultSet, SqlError> {
         let failed = self
             .transaction
--- a/crates/millwind-lab/src/platform.rs
+++ b/crates/millwind-lab/src/platform.rs
@@ -32,7 +32,7 @@
     /// Delay added to every call, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// Number of upcoming writes that take effect but fail to the caller.
+    /// Number of upcoming writes that take effect but return an error.
     #[serde(default)]
     pub lose_answers: u32,
     /// Rate limit in calls per second; zero for no limit.
@@ -260,6 +260,7 @@
         }
     }
 
+    /// Returns the events after `revision` in the range of a watch.
     fn events_after(&self, revision: i64, create: &WatchCreateRequest) -> Vec<Event> {
         self.events
             .iter()
--- a/crates/millwind-lab/src/relay.rs
+++ b/crates/millwind-lab/src/relay.rs
@@ -44,6 +44,7 @@
 }
 
 impl Relays {
+    /// Returns the sender of the pair's partition state; `true` means partitioned.
     fn partition_switch(&self, endpoints: &EndpointPair) -> Arc<watch::Sender<bool>> {
         let mut partitions = self.partitions.lock().unwrap_or_else(PoisonError::into_inner);
         partitions
