--- a/crates/millwind-lab/src/experiment.rs
+++ b/crates/millwind-lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: a load on a whole deployment, a failure, and the check of all
-//! properties from outside.
+//! Fault experiments: a client load on a complete deployment, an injected
+//! fault, and checks of all invariants.
 
 mod faults;
 mod summary;
@@ -19,89 +19,89 @@
 use crate::history::{History, Violation};
 use crate::http;
 use crate::instance::LoggedTransaction;
-use crate::workload::{self, LiveCounts, Target, WorkloadSettings};
+use crate::workload::{self, LiveCounters, Target, WorkloadSettings};
 
 pub use summary::{ClassLatency, GapSummary, Summary};
 
-/// The experiments.
+/// Experiment to run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum ExperimentName {
-    /// No failure.
+    /// No fault is injected.
     Steady,
-    /// A primary is killed.
+    /// The primary of every group is killed, one group after another.
     Failover,
-    /// A primary is cut off and still believes it leads.
+    /// A primary is partitioned from its group and still considers itself primary.
     OldPrimary,
-    /// Replicas fall seconds behind.
+    /// Replay on replicas lags by seconds.
     ReplicaLag,
-    /// Many callers arrive at once.
+    /// Many clients connect at once.
     ConnectionRush,
-    /// Sessions roam all the time.
+    /// Sessions switch nodes frequently.
     Roaming,
-    /// A node is killed under load.
+    /// A node is killed under load and restarted.
     NodeLoss,
-    /// A node is frozen and wakes up unaware.
+    /// Nodes are suspended and resumed, one after another.
     OwnerPause,
-    /// The platform's store is out.
+    /// The configuration store of the platform is unavailable.
     PlatformOutage,
-    /// Answers of the store are lost after taking effect.
+    /// A write to the configuration store takes effect, but its answer is lost.
     LostAnswer,
-    /// Two operators change the same tenant.
+    /// Two concurrent changes update the same tenant.
     ConfigRace,
-    /// A change spreads to every node.
+    /// Configuration changes propagate to every node.
     ConfigSpread,
-    /// A zone is cut off from the rest.
+    /// A zone is partitioned from the other zones.
     ZoneCut,
-    /// Nodes are stopped as planned, one after another.
+    /// Nodes are stopped gracefully and restarted, one after another.
     PlannedStop,
     /// An instance is marked as leaving.
     LeavingBackEnd,
-    /// Several failures at once, at random.
+    /// Faults chosen at random are injected one after another.
     Chaos,
 }
 
-/// Settings to compare with.
+/// Proxy settings that serve as a baseline for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Baseline {
-    /// Every read goes to the primary.
+    /// All reads go to the primary.
     PrimaryOnly,
-    /// Writes are refused at once while there is no primary.
+    /// Writes fail immediately while a group has no primary.
     NoHold,
-    /// Writes are confirmed by the term alone.
+    /// Writes are confirmed by the term only.
     TermOnly,
 }
 
-/// How to run an experiment.
+/// Options of an experiment.
 #[derive(Debug, Clone)]
 pub struct ExperimentOptions {
-    /// Program with the stand-ins and the node.
+    /// Executable that runs the nodes, simulated instances and simulated platform.
     pub program: PathBuf,
-    /// Which user's deployment.
+    /// Deployment to start.
     pub deployment: DeploymentName,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Length of the load, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Callers per tenant.
+    /// Number of client sessions per tenant.
     pub sessions: usize,
-    /// Nodes per zone.
+    /// Number of nodes per zone.
     pub nodes_per_zone: usize,
     /// Replay lag of replicas, in milliseconds.
     pub lag_ms: u64,
-    /// Requests between two writes of a session.
+    /// Every `write_every`-th request of a session is a write.
     pub write_every: u32,
-    /// Longest pause of a caller between requests, in milliseconds.
+    /// Maximum think time between requests of a session, in milliseconds.
     pub think_ms: u64,
-    /// Time a statement holds its slot, in microseconds.
+    /// Execution time of a statement on an instance, in microseconds.
     pub service_us: u64,
-    /// Settings to compare with.
+    /// Baseline to run instead of the usual settings.
     pub baseline: Option<Baseline>,
-    /// Prints what happens as it happens.
+    /// Prints the request counters every second.
     pub verbose: bool,
 }
 
 impl ExperimentOptions {
-    /// Usual options with this program.
+    /// Returns the default options.
     pub fn new(program: PathBuf, deployment: DeploymentName) -> Self {
         ExperimentOptions {
             program,
@@ -148,30 +148,33 @@
     }
 }
 
-/// Load before the failure and after its end.
+/// Duration of the load before the fault and after its end.
 pub(crate) const WARM_UP: Duration = Duration::from_secs(2);
-/// Time for the deployment to settle before the checks.
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for the replicas of a group to converge before its log is checked.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a fault left behind for the summary.
+/// Observations made while a fault was injected.
 #[derive(Debug, Default)]
 pub(crate) struct FaultReport {
-    /// Properties that did not hold.
+    /// Violated invariants.
     pub(crate) violations: Vec<Violation>,
-    /// Failovers: group, and when its new primary began to accept writes.
+    /// Group, and Unix time in milliseconds at which its new primary began to accept writes.
     pub(crate) failovers: Vec<(String, u64)>,
-    /// Facts worth a line in the summary.
+    /// Notes for the summary.
     pub(crate) notes: Vec<String>,
 }
 
 impl FaultReport {
-    /// Records that a property did not hold.
-    pub(crate) fn violated(&mut self, invariant: Invariant, detail: String) {
+    /// Records a violation of `invariant`.
+    pub(crate) fn record_violation(&mut self, invariant: Invariant, detail: String) {
         self.violations.push(Violation::new(invariant, detail));
     }
 }
 
-/// Runs one experiment; returns its summary and history.
+/// Runs one experiment and returns its summary and history.
+///
+/// Fails if the deployment does not start, the fault cannot be injected, or the
+/// logs do not converge in time.
 pub async fn run(
     name: ExperimentName,
     options: &ExperimentOptions,
@@ -179,15 +182,15 @@
     let deployment = Deployment::of(options.deployment);
     let mut cluster = Cluster::start(deployment, options.cluster_options()).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    let live = Arc::new(LiveCounts::default());
+    let counters = Arc::new(LiveCounters::default());
     let load = workload::run(
         options.workload(name),
         targets(&cluster),
         stop.clone(),
-        live.clone(),
+        counters.clone(),
     );
     let load = tokio::spawn(load);
-    let ticker = options.verbose.then(|| tokio::spawn(show(live)));
+    let printer = options.verbose.then(|| tokio::spawn(print_counters(counters)));
     let watcher = watcher::start(&cluster);
     let started = tokio::time::Instant::now();
     tokio::time::sleep(WARM_UP).await;
@@ -196,13 +199,13 @@
     tokio::time::sleep_until(end).await;
     stop.store(true, Ordering::Relaxed);
     let mut history = load.await.unwrap_or_default();
-    if let Some(ticker) = ticker {
-        ticker.abort();
+    if let Some(printer) = printer {
+        printer.abort();
     }
     report.violations.append(&mut history.violations);
     report.violations.extend(watcher.finish().await);
     report.violations.extend(check_logs(&cluster, &history).await?);
-    let share = summary::replica_share(&cluster).await;
+    let replica_read_share = summary::measure_replica_read_share(&cluster).await;
     let seconds = started.elapsed().as_secs_f64();
     let summary = Summary::new(
         name,
@@ -210,24 +213,24 @@
         &cluster.deployment,
         &history,
         &report,
-        share,
+        replica_read_share,
         seconds,
     );
     Ok((summary, history))
 }
 
-/// Prints the load's counts every second.
-async fn show(live: Arc<LiveCounts>) {
+/// Prints the request counters every second.
+async fn print_counters(counters: Arc<LiveCounters>) {
     let started = tokio::time::Instant::now();
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         println!(
             "t={:>3}s acknowledged={} reads={} refused={} unknown={}",
             started.elapsed().as_secs(),
-            live.acknowledged.load(Ordering::Relaxed),
-            live.reads.load(Ordering::Relaxed),
-            live.refused.load(Ordering::Relaxed),
-            live.unknown.load(Ordering::Relaxed)
+            counters.acknowledged.load(Ordering::Relaxed),
+            counters.reads.load(Ordering::Relaxed),
+            counters.refused.load(Ordering::Relaxed),
+            counters.unknown.load(Ordering::Relaxed)
         );
     }
 }
@@ -242,7 +245,7 @@
         .collect()
 }
 
-/// Checks every group's log once its members agree.
+/// Checks the history against the log of every group, once the log has converged.
 async fn check_logs(cluster: &Cluster, history: &History) -> Result<Vec<Violation>, ClusterError> {
     let mut violations = Vec::new();
     for index in 0..cluster.groups() {
@@ -255,12 +258,13 @@
     Ok(violations)
 }
 
-/// The leader whose log a majority holds, so that it can no longer change.
+/// Waits until two members of a group report the same log end and term, and
+/// returns the index of the leader. Fails after [`SETTLE_TIMEOUT`].
 async fn settled_leader(cluster: &Cluster, group: &str) -> Result<usize, ClusterError> {
-    let give_up = tokio::time::Instant::now() + SETTLE_LIMIT;
-    while tokio::time::Instant::now() < give_up {
+    let deadline = tokio::time::Instant::now() + SETTLE_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
         if let Some((leader, report)) = cluster.leader(group).await {
-            let mut holding = 0;
+            let mut matching = 0;
             for instance in cluster
                 .instances
                 .iter()
@@ -268,15 +272,15 @@
             {
                 let other =
                     http::get::<crate::instance::InstanceReport>(instance.settings.control, "/report").await;
-                holding += usize::from(
+                matching += usize::from(
                     other.is_ok_and(|other| other.end == report.end && other.term == report.term),
                 );
             }
-            if holding >= 2 {
+            if matching >= 2 {
                 return Ok(leader);
             }
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    Err(ClusterError::Timeout(format!("a settled log of {group}")))
+    Err(ClusterError::Timeout(format!("the log of {group} to converge")))
 }
--- a/crates/millwind-lab/src/experiment/faults.rs
+++ b/crates/millwind-lab/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! The failures that experiments bring about.
+//! Faults that experiments inject.
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
 use crate::instance::InstanceReport;
 use crate::platform::PlatformFaults;
 
-/// A leaving instance must get no new work after this.
-const LEAVING_LIMIT: Duration = Duration::from_secs(3);
-/// A change must be in force everywhere within this.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(20);
-const CONFLICT: u16 = 409;
+/// An instance that is marked as leaving must receive no statements after this time.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
+/// A change must be in force on every node, and a reconnected node must serve, within this time.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(20);
+const HTTP_CONFLICT: u16 = 409;
 
-/// Brings the experiment's failure about and ends it.
+/// Injects the fault of an experiment, removes the fault, and returns the observations.
 pub(super) async fn inject(
     name: ExperimentName,
     cluster: &mut Cluster,
     options: &ExperimentOptions,
 ) -> Result<FaultReport, ClusterError> {
     let mut report = FaultReport::default();
-    let length = Duration::from_secs(options.seconds).saturating_sub(WARM_UP * 2);
+    let fault_duration = Duration::from_secs(options.seconds).saturating_sub(WARM_UP * 2);
     match name {
         ExperimentName::Steady | ExperimentName::Roaming => {}
         ExperimentName::Failover => kill_primaries(cluster, &mut report).await?,
-        ExperimentName::OldPrimary => cut_primary(cluster, &mut report).await?,
-        ExperimentName::ReplicaLag => lag_replicas(cluster, length).await?,
-        ExperimentName::ConnectionRush => rush(cluster, &mut report).await?,
-        ExperimentName::NodeLoss => kill_node(cluster).await?,
-        ExperimentName::OwnerPause => pause_node(cluster).await?,
-        ExperimentName::PlatformOutage => platform_outage(cluster, length, &mut report).await?,
-        ExperimentName::LostAnswer => lose_answers(cluster, &mut report).await?,
-        ExperimentName::ConfigRace => race(cluster, &mut report).await?,
-        ExperimentName::ConfigSpread => spread(cluster, &mut report).await?,
-        ExperimentName::ZoneCut => cut_zone(cluster, length, &mut report).await?,
-        ExperimentName::PlannedStop => stop_nodes(cluster, &mut report).await?,
-        ExperimentName::LeavingBackEnd => leave_back_end(cluster, &mut report).await?,
+        ExperimentName::OldPrimary => isolate_primary(cluster, &mut report).await?,
+        ExperimentName::ReplicaLag => delay_replicas(cluster, fault_duration).await?,
+        ExperimentName::ConnectionRush => connect_many_clients(cluster, &mut report).await?,
+        ExperimentName::NodeLoss => kill_and_restart_node(cluster).await?,
+        ExperimentName::OwnerPause => suspend_nodes(cluster).await?,
+        ExperimentName::PlatformOutage => platform_outage(cluster, fault_duration, &mut report).await?,
+        ExperimentName::LostAnswer => lose_store_answer(cluster, &mut report).await?,
+        ExperimentName::ConfigRace => race_changes(cluster, &mut report).await?,
+        ExperimentName::ConfigSpread => propagate_changes(cluster, &mut report).await?,
+        ExperimentName::ZoneCut => isolate_zone(cluster, fault_duration, &mut report).await?,
+        ExperimentName::PlannedStop => stop_nodes_gracefully(cluster, &mut report).await?,
+        ExperimentName::LeavingBackEnd => mark_instance_leaving(cluster, &mut report).await?,
         ExperimentName::Chaos => chaos(cluster, options, &mut report).await?,
     }
     Ok(report)
@@ -69,27 +69,27 @@
     cluster.restart_instance(index)
 }
 
-async fn cut_primary(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn isolate_primary(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let group = cluster.deployment.group(0);
     let (index, old) = cluster.await_leader(&group, 0).await?;
     let control = cluster.instances[index].settings.control;
-    set_cut(control, true).await?;
+    set_isolated(control, true).await?;
     let (_, new) = cluster.await_leader(&group, old.term).await?;
     report.failovers.push((group, new.opened_at_ms));
     sleep(Duration::from_secs(3)).await;
-    let still: InstanceReport = http::get(control, "/report").await?;
+    let isolated: InstanceReport = http::get(control, "/report").await?;
     report.notes.push(format!(
         "old primary still believed it led: {}, end {}",
-        still.leads, still.end
+        isolated.leads, isolated.end
     ));
-    set_cut(control, false).await
+    set_isolated(control, false).await
 }
 
-async fn set_cut(control: std::net::SocketAddr, cut: bool) -> Result<(), ClusterError> {
+async fn set_isolated(control: std::net::SocketAddr, cut: bool) -> Result<(), ClusterError> {
     Ok(http::post(control, "/faults", &serde_json::json!({ "cut": cut })).await?)
 }
 
-async fn set_lag(cluster: &Cluster, lag_ms: u64) -> Result<(), ClusterError> {
+async fn set_replay_lag(cluster: &Cluster, lag_ms: u64) -> Result<(), ClusterError> {
     for instance in &cluster.instances {
         http::post(
             instance.settings.control,
@@ -101,17 +101,17 @@
     Ok(())
 }
 
-async fn lag_replicas(cluster: &Cluster, length: Duration) -> Result<(), ClusterError> {
-    let usual = cluster.options.lag_ms;
-    set_lag(cluster, 2_500).await?;
-    sleep(length / 2).await;
-    set_lag(cluster, usual).await
+async fn delay_replicas(cluster: &Cluster, fault_duration: Duration) -> Result<(), ClusterError> {
+    let configured_lag_ms = cluster.options.lag_ms;
+    set_replay_lag(cluster, 2_500).await?;
+    sleep(fault_duration / 2).await;
+    set_replay_lag(cluster, configured_lag_ms).await
 }
 
-async fn rush(cluster: &Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
-    const CALLERS: usize = 300;
+async fn connect_many_clients(cluster: &Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+    const CLIENTS: usize = 300;
     let mut callers = Vec::new();
-    for index in 0..CALLERS {
+    for index in 0..CLIENTS {
         let address = cluster.nodes[index % cluster.nodes.len()].client_address;
         let tenant = cluster.deployment.tenant(index % cluster.groups());
         callers.push(tokio::spawn(async move {
@@ -129,28 +129,29 @@
     for caller in callers {
         answered += caller.await.unwrap_or(0);
     }
-    report
-        .notes
-        .push(format!("rush: {answered} of {} reads answered", CALLERS * 20));
+    report.notes.push(format!(
+        "connection rush: {answered} of {} reads answered",
+        CLIENTS * 20
+    ));
     for instance in &cluster.instances {
-        let seen: InstanceReport = http::get(instance.settings.control, "/report").await?;
-        if seen.peak_connections > cluster.deployment.connections {
+        let instance_report: InstanceReport = http::get(instance.settings.control, "/report").await?;
+        if instance_report.peak_connections > cluster.deployment.connections {
             report.notes.push(format!(
-                "{} saw {} connections, limit {}",
-                instance.settings.name, seen.peak_connections, cluster.deployment.connections
+                "{} had {} connections, limit {}",
+                instance.settings.name, instance_report.peak_connections, cluster.deployment.connections
             ));
         }
     }
     Ok(())
 }
 
-async fn kill_node(cluster: &mut Cluster) -> Result<(), ClusterError> {
+async fn kill_and_restart_node(cluster: &mut Cluster) -> Result<(), ClusterError> {
     cluster.nodes[0].process.kill();
     sleep(Duration::from_secs(4)).await;
     cluster.restart_node(0)
 }
 
-async fn pause_node(cluster: &mut Cluster) -> Result<(), ClusterError> {
+async fn suspend_nodes(cluster: &mut Cluster) -> Result<(), ClusterError> {
     for index in 0..cluster.nodes.len().min(2) {
         cluster.nodes[index].process.signal("STOP")?;
         sleep(Duration::from_secs(3)).await;
@@ -162,7 +163,7 @@
 
 async fn platform_outage(
     cluster: &mut Cluster,
-    length: Duration,
+    fault_duration: Duration,
     report: &mut FaultReport,
 ) -> Result<(), ClusterError> {
     let outage = PlatformFaults {
@@ -170,18 +171,18 @@
         ..PlatformFaults::default()
     };
     cluster.set_platform_faults(&outage).await?;
-    // Longer than the freshness bound, so that only a shared outage explains it.
-    sleep(length.max(Duration::from_secs(12))).await;
+    // The outage exceeds the freshness bound of the configuration.
+    sleep(fault_duration.max(Duration::from_secs(12))).await;
     for index in 0..cluster.nodes.len() {
         let status = cluster.status(index).await?;
         report
             .notes
-            .push(format!("{} in the outage: {}", status.node, status.state));
+            .push(format!("{} during the outage: {}", status.node, status.state));
     }
     cluster.set_platform_faults(&PlatformFaults::default()).await
 }
 
-fn tenant_text(cluster: &Cluster, weight: u64) -> String {
+fn tenant_document(cluster: &Cluster, weight: u64) -> String {
     format!(
         "name = \"{}\"\ntemplate = \"{}\"\ngroup = \"{}\"\n[parameters]\nweight = {weight}\n",
         cluster.deployment.tenant(0),
@@ -190,7 +191,7 @@
     )
 }
 
-async fn put(
+async fn put_tenant(
     cluster: &Cluster,
     node: usize,
     change_id: &str,
@@ -200,7 +201,7 @@
     let body = ChangeBody {
         change_id: change_id.to_owned(),
         expected_revision,
-        body: Some(tenant_text(cluster, weight)),
+        body: Some(tenant_document(cluster, weight)),
     };
     let path = format!("/documents/tenant/{}", cluster.deployment.tenant(0));
     let stored: StoredBody = http::put(cluster.nodes[node].settings.admin_address, &path, &body).await?;
@@ -212,66 +213,77 @@
     Ok(http::get(cluster.nodes[node].settings.admin_address, &path).await?)
 }
 
-async fn lose_answers(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn lose_store_answer(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let faults = PlatformFaults {
         lose_answers: 1,
         ..PlatformFaults::default()
     };
     cluster.set_platform_faults(&faults).await?;
-    let revision = put(cluster, 0, "lost-answer", None, 33).await?;
-    let again = put(cluster, 1, "lost-answer", None, 33).await?;
-    if revision != again {
-        let detail = format!("asked again, the change was stored twice: {revision} and {again}");
-        report.violated(Invariant::ConfigurationInForce, detail);
+    let revision = put_tenant(cluster, 0, "lost-answer", None, 33).await?;
+    let retried_revision = put_tenant(cluster, 1, "lost-answer", None, 33).await?;
+    if revision != retried_revision {
+        let detail =
+            format!("a retried change was stored twice: revisions {revision} and {retried_revision}");
+        report.record_violation(Invariant::ConfigurationInForce, detail);
     }
     cluster.await_in_force(0, revision).await
 }
 
-async fn race(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn race_changes(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let mut conflicts = 0;
     for round in 0..5u64 {
-        let seen = stored_tenant(cluster, 0).await?.revision;
+        let expected = stored_tenant(cluster, 0).await?.revision;
         let ids = [format!("race-{round}-a"), format!("race-{round}-b")];
-        let first = put(cluster, 0, &ids[0], Some(seen), 20 + round);
-        let second = put(cluster, 1, &ids[1], Some(seen), 40 + round);
+        let first = put_tenant(cluster, 0, &ids[0], Some(expected), 20 + round);
+        let second = put_tenant(cluster, 1, &ids[1], Some(expected), 40 + round);
         let (first, second) = tokio::join!(first, second);
         let stored = [&first, &second].into_iter().flatten().count();
         conflicts += [&first, &second]
             .into_iter()
-            .filter(|result| matches!(result, Err(HttpError::Status { status: CONFLICT, .. })))
+            .filter(|result| {
+                matches!(
+                    result,
+                    Err(HttpError::Status {
+                        status: HTTP_CONFLICT,
+                        ..
+                    })
+                )
+            })
             .count();
         if stored != 1 {
-            let detail = format!("{stored} of two racing changes were stored: {first:?} {second:?}");
-            report.violated(Invariant::ConfigurationInForce, detail);
+            let detail = format!("{stored} of two concurrent changes were stored: {first:?} {second:?}");
+            report.record_violation(Invariant::ConfigurationInForce, detail);
         }
         if let Some(revision) = first.ok().or(second.ok()) {
             cluster.await_in_force(0, revision).await?;
         }
     }
-    report.notes.push(format!("5 races, {conflicts} conflicts"));
+    report
+        .notes
+        .push(format!("5 concurrent updates, {conflicts} conflicts"));
     Ok(())
 }
 
-async fn spread(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn propagate_changes(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let mut slowest = Duration::ZERO;
     for round in 0..5u64 {
         let started = Instant::now();
-        let revision = put(cluster, 0, &format!("spread-{round}"), None, 10 + round).await?;
+        let revision = put_tenant(cluster, 0, &format!("spread-{round}"), None, 10 + round).await?;
         cluster.await_in_force(0, revision).await?;
-        let took = started.elapsed();
-        slowest = slowest.max(took);
-        if took > IN_FORCE_LIMIT {
-            let detail = format!("revision {revision} took {took:?}");
-            report.violated(Invariant::ConfigurationInForce, detail);
+        let elapsed = started.elapsed();
+        slowest = slowest.max(elapsed);
+        if elapsed > PROPAGATION_TIMEOUT {
+            let detail = format!("revision {revision} was in force after {elapsed:?}");
+            report.record_violation(Invariant::ConfigurationInForce, detail);
         }
         for index in 0..cluster.nodes.len() {
             let status = cluster.status(index).await?;
             if status.revision < revision {
                 let detail = format!(
-                    "{} has {} although {revision} was said in force",
+                    "{} has revision {} although {revision} was reported in force",
                     status.node, status.revision
                 );
-                report.violated(Invariant::ConfigurationInForce, detail);
+                report.record_violation(Invariant::ConfigurationInForce, detail);
             }
         }
     }
@@ -282,9 +294,9 @@
     Ok(())
 }
 
-async fn cut_zone(
+async fn isolate_zone(
     cluster: &mut Cluster,
-    length: Duration,
+    fault_duration: Duration,
     report: &mut FaultReport,
 ) -> Result<(), ClusterError> {
     let zone = cluster.deployment.zones[0].name;
@@ -300,16 +312,17 @@
         .position(|node| node.settings.zone != zone)
         .unwrap_or(0);
     let started = Instant::now();
-    let revision = put(cluster, outside, "zone-cut", None, 55).await?;
+    let revision = put_tenant(cluster, outside, "zone-cut", None, 55).await?;
     cluster.await_in_force(outside, revision).await?;
     report.notes.push(format!(
-        "change said in force after {} ms",
+        "change reported in force after {} ms",
         started.elapsed().as_millis()
     ));
-    // Said in force while a zone is cut off: the zone must not be serving.
+    // The change was reported in force during the partition, so a node in the
+    // isolated zone must not serve an older revision.
     let status = cluster.status(inside).await?;
     report.notes.push(format!(
-        "cut-off {}: {} at {}",
+        "isolated {}: {} at revision {}",
         status.node, status.state, status.revision
     ));
     if status.state == "serving" && status.revision < revision {
@@ -317,33 +330,33 @@
             "{} serves revision {} although {revision} is in force",
             status.node, status.revision
         );
-        report.violated(Invariant::ConfigurationInForce, detail);
+        report.record_violation(Invariant::ConfigurationInForce, detail);
     }
-    sleep(length.saturating_sub(started.elapsed())).await;
+    sleep(fault_duration.saturating_sub(started.elapsed())).await;
     cluster.set_zone_cut(zone, false);
     await_serving(cluster, inside, report).await
 }
 
 async fn await_serving(cluster: &Cluster, node: usize, report: &mut FaultReport) -> Result<(), ClusterError> {
     let started = Instant::now();
-    while started.elapsed() < IN_FORCE_LIMIT {
+    while started.elapsed() < PROPAGATION_TIMEOUT {
         if cluster
             .status(node)
             .await
             .is_ok_and(|status| status.state == "serving")
         {
             report.notes.push(format!(
-                "serving again {} ms after healing",
+                "serving again {} ms after the fault",
                 started.elapsed().as_millis()
             ));
             return Ok(());
         }
         sleep(Duration::from_millis(50)).await;
     }
-    Err(ClusterError::Timeout("a healed node to serve".to_owned()))
+    Err(ClusterError::Timeout("a node to serve after a fault".to_owned()))
 }
 
-async fn stop_nodes(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn stop_nodes_gracefully(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     for index in 0..cluster.nodes.len() {
         let started = Instant::now();
         cluster.nodes[index].process.signal("TERM")?;
@@ -359,8 +372,8 @@
             started.elapsed().as_millis()
         ));
         if code != 0 {
-            let detail = format!("planned stop ended with exit code {code}");
-            report.violated(Invariant::PlannedStopCutsNothing, detail);
+            let detail = format!("graceful stop ended with exit code {code}");
+            report.record_violation(Invariant::PlannedStopCutsNothing, detail);
         }
         cluster.restart_node(index)?;
         await_serving(cluster, index, report).await?;
@@ -369,7 +382,7 @@
     Ok(())
 }
 
-async fn leave_back_end(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
+async fn mark_instance_leaving(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let group = cluster.deployment.group(0);
     let (leader, _) = cluster.await_leader(&group, 0).await?;
     let leaving = cluster
@@ -382,17 +395,17 @@
     let name = cluster.instances[leaving].settings.name.clone();
     let control = cluster.instances[leaving].settings.control;
     cluster.list_machine(&name, "", true).await?;
-    sleep(LEAVING_LIMIT).await;
+    sleep(DRAIN_TIMEOUT).await;
     let before: InstanceReport = http::get(control, "/report").await?;
     sleep(Duration::from_secs(3)).await;
     let after: InstanceReport = http::get(control, "/report").await?;
-    let new_work = after.statements - before.statements;
+    let new_statements = after.statements - before.statements;
     report.notes.push(format!(
-        "{name} leaving: {new_work} statements after {LEAVING_LIMIT:?}"
+        "{name} leaving: {new_statements} statements after {DRAIN_TIMEOUT:?}"
     ));
-    if new_work > 0 {
-        let detail = format!("{name} got {new_work} statements after {LEAVING_LIMIT:?}");
-        report.violated(Invariant::LeavingGetsNoWork, detail);
+    if new_statements > 0 {
+        let detail = format!("{name} got {new_statements} statements after {DRAIN_TIMEOUT:?}");
+        report.record_violation(Invariant::LeavingGetsNoWork, detail);
     }
     cluster.list_machine(&name, "", false).await
 }
@@ -413,8 +426,8 @@
                 kill_primary(cluster, group, report).await?;
             }
             1 => {
-                report.notes.push("chaos: cut primary".to_owned());
-                cut_primary(cluster, report).await?;
+                report.notes.push("chaos: isolate primary".to_owned());
+                isolate_primary(cluster, report).await?;
             }
             2 => {
                 report.notes.push(format!("chaos: kill node {node}"));
@@ -424,22 +437,22 @@
             }
             3 => {
                 report.notes.push(format!(
-                    "chaos: pause node {node} and kill primary of group {group}"
+                    "chaos: suspend node {node} and kill primary of group {group}"
                 ));
                 cluster.nodes[node].process.signal("STOP")?;
-                let killed = kill_primary(cluster, group, report).await;
+                let kill_result = kill_primary(cluster, group, report).await;
                 cluster.nodes[node].process.signal("CONT")?;
-                killed?;
+                kill_result?;
             }
             4 => {
-                report.notes.push("chaos: replicas lag".to_owned());
-                set_lag(cluster, 1_500).await?;
+                report.notes.push("chaos: delay replicas".to_owned());
+                set_replay_lag(cluster, 1_500).await?;
                 sleep(Duration::from_secs(2)).await;
-                set_lag(cluster, cluster.options.lag_ms).await?;
+                set_replay_lag(cluster, cluster.options.lag_ms).await?;
             }
             5 => {
                 let zone = cluster.deployment.zones[random.random_range(0..3)].name;
-                report.notes.push(format!("chaos: cut zone {zone}"));
+                report.notes.push(format!("chaos: isolate zone {zone}"));
                 cluster.set_zone_cut(zone, true);
                 sleep(Duration::from_millis(random.random_range(500..4_000))).await;
                 cluster.set_zone_cut(zone, false);
--- a/crates/millwind-lab/src/experiment/watcher.rs
+++ b/crates/millwind-lab/src/experiment/watcher.rs
@@ -1,5 +1,5 @@
-//! Watches the revision in force on every node during an experiment: it must
-//! never fall, except that a process that starts anew begins without one.
+//! Polls the configuration revision of every node during an experiment and
+//! reports a violation if a serving node returns to an older revision.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 use crate::history::Violation;
 use crate::http;
 
-const INTERVAL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A running watcher.
+/// Background tasks that poll the revision of each node.
 #[derive(Debug)]
-pub(crate) struct Watcher {
+pub(crate) struct RevisionWatcher {
     stop: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<Vec<Violation>>>,
 }
 
-/// Starts watching all nodes.
-pub(crate) fn start(cluster: &Cluster) -> Watcher {
+/// Starts polling all nodes.
+pub(crate) fn start(cluster: &Cluster) -> RevisionWatcher {
     let stop = Arc::new(AtomicBool::new(false));
     let tasks = cluster
         .nodes
         .iter()
         .map(|node| {
             let name = node.settings.name.clone();
-            tokio::spawn(watch(name, node.settings.admin_address, stop.clone()))
+            tokio::spawn(watch_node(name, node.settings.admin_address, stop.clone()))
         })
         .collect();
-    Watcher { stop, tasks }
+    RevisionWatcher { stop, tasks }
 }
 
-impl Watcher {
-    /// Stops; returns what was seen.
+impl RevisionWatcher {
+    /// Stops polling and returns the violations found.
     pub(crate) async fn finish(self) -> Vec<Violation> {
         self.stop.store(true, Ordering::Relaxed);
         let mut violations = Vec::new();
@@ -49,21 +49,21 @@
     }
 }
 
-async fn watch(name: String, address: SocketAddr, stop: Arc<AtomicBool>) -> Vec<Violation> {
+async fn watch_node(name: String, address: SocketAddr, stop: Arc<AtomicBool>) -> Vec<Violation> {
     let mut highest = 0;
     let mut violations = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         if let Ok(Ok(status)) =
-            tokio::time::timeout(INTERVAL * 5, http::get::<StatusReport>(address, "/status")).await
+            tokio::time::timeout(POLL_INTERVAL * 5, http::get::<StatusReport>(address, "/status")).await
         {
-            // A node without a configuration serves nobody.
+            // A restarted node reports revision 0 until it has a configuration.
             if status.revision > 0 && status.revision < highest && status.state == "serving" {
-                let detail = format!("{name} fell from revision {highest} to {}", status.revision);
+                let detail = format!("{name} went back from revision {highest} to {}", status.revision);
                 violations.push(Violation::new(Invariant::ConfigurationInForce, detail));
             }
             highest = highest.max(status.revision);
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     violations
 }
--- a/crates/millwind-lab/src/history.rs
+++ b/crates/millwind-lab/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw, and the checks of it against the databases' own logs.
+//! History of client requests, and its checks against the database logs.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,60 +6,60 @@
 
 use crate::instance::{LoggedTransaction, Statement};
 
-/// What a caller was told of a write.
+/// Outcome of a write as reported to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// It took effect.
+pub enum WriteOutcome {
+    /// The write took effect.
     Acknowledged,
-    /// It was not run.
+    /// The write did not run.
     NotRun,
-    /// It ran and was undone.
+    /// The write ran and was rolled back.
     RolledBack,
-    /// Nothing certain.
+    /// The write may or may not have taken effect.
     Unknown,
 }
 
-/// One write as a caller saw it.
+/// One write as observed by a client.
 #[derive(Debug, Clone)]
 pub struct WriteRecord {
-    /// Marks its row.
-    pub request: String,
-    /// Group it went to.
+    /// Key of the inserted row, unique within a run.
+    pub row_key: String,
+    /// Database group of the tenant.
     pub group: String,
-    /// What the caller was told.
-    pub told: Told,
-    /// Error kind in the hint, if any.
-    pub kind: String,
-    /// When the answer came, in milliseconds since 1970.
+    /// Outcome reported to the client.
+    pub outcome: WriteOutcome,
+    /// Error kind; empty if the request succeeded.
+    pub error_kind: String,
+    /// Unix time of the answer, in milliseconds.
     pub answered_at_ms: u64,
-    /// Time from sending to answer, in microseconds.
-    pub micros: u64,
+    /// Latency, in microseconds.
+    pub latency_us: u64,
 }
 
-/// One read as a caller saw it.
+/// One read as observed by a client.
 #[derive(Debug, Clone)]
 pub struct ReadRecord {
-    /// Whether it was answered.
+    /// Whether the read returned a result.
     pub answered: bool,
-    /// Error kind in the hint, if any.
-    pub kind: String,
-    /// When the answer came, in milliseconds since 1970.
+    /// Error kind; empty if the request succeeded.
+    pub error_kind: String,
+    /// Unix time of the answer, in milliseconds.
     pub answered_at_ms: u64,
-    /// Time from sending to answer, in microseconds.
-    pub micros: u64,
+    /// Latency, in microseconds.
+    pub latency_us: u64,
 }
 
-/// A property that did not hold.
+/// A violated invariant.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The property.
+    /// The invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// Description of the observed behaviour.
     pub detail: String,
 }
 
 impl Violation {
-    /// A violation with what was seen.
+    /// Creates a violation of `invariant`.
     pub fn new(invariant: Invariant, detail: impl Into<String>) -> Self {
         Violation {
             invariant,
@@ -68,39 +68,40 @@
     }
 }
 
-/// Everything callers saw in a run.
+/// All requests and violations that the clients of a run observed.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// Writes.
+    /// All writes.
     pub writes: Vec<WriteRecord>,
-    /// Reads.
+    /// All reads.
     pub reads: Vec<ReadRecord>,
-    /// Violations the callers saw themselves.
+    /// Violations that the clients detected in answers.
     pub violations: Vec<Violation>,
 }
 
 impl History {
-    /// Adds another history.
+    /// Appends the records of `other`.
     pub fn merge(&mut self, other: History) {
         self.writes.extend(other.writes);
         self.reads.extend(other.reads);
         self.violations.extend(other.violations);
     }
 
-    /// Checks the writes of a group against the log of its present primary.
+    /// Checks the writes of a group against the log of its current primary and
+    /// returns the violations found.
     pub fn check_group(&self, group: &str, log: &[LoggedTransaction]) -> Vec<Violation> {
-        let counts = count_requests(log);
+        let counts = count_row_keys(log);
         let mut violations = Vec::new();
         for write in self.writes.iter().filter(|write| write.group == group) {
-            let count = counts.get(write.request.as_str()).copied().unwrap_or(0);
+            let count = counts.get(write.row_key.as_str()).copied().unwrap_or(0);
             violations.extend(check_write(write, count));
         }
         violations.extend(log.iter().filter_map(check_transaction));
         violations
     }
 
-    /// Violations by property name.
-    pub fn by_property(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
+    /// Returns the number of violations of every invariant, zeros included.
+    pub fn violation_counts(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
         let mut counts: BTreeMap<&'static str, usize> = Invariant::ALL
             .iter()
             .map(|invariant| (invariant.name(), 0))
@@ -113,69 +114,72 @@
 }
 
 fn check_write(write: &WriteRecord, count: usize) -> Option<Violation> {
-    let request = &write.request;
+    let row_key = &write.row_key;
     if count > 1 {
         return Some(Violation::new(
             Invariant::AtMostOnce,
-            format!("{request} ran {count} times"),
+            format!("{row_key} ran {count} times"),
         ));
     }
-    match write.told {
-        Told::Acknowledged if count == 0 => Some(Violation::new(
+    match write.outcome {
+        WriteOutcome::Acknowledged if count == 0 => Some(Violation::new(
             Invariant::NoOldPrimaryAcknowledgement,
-            format!("{request} was acknowledged and is not in the primary's log"),
+            format!("{row_key} was acknowledged and is not in the primary's log"),
         )),
-        Told::NotRun | Told::RolledBack if count == 1 => Some(Violation::new(
+        WriteOutcome::NotRun | WriteOutcome::RolledBack if count == 1 => Some(Violation::new(
             Invariant::NotRunIsTrue,
             format!(
-                "{request} was refused as {} and is in the primary's log",
-                write.kind
+                "{row_key} was refused as {} and is in the primary's log",
+                write.error_kind
             ),
         )),
         _ => None,
     }
 }
 
-/// A logged transaction must hold rows of one caller's transaction only.
+/// Returns a violation if a logged transaction contains rows of several client transactions.
 fn check_transaction(transaction: &LoggedTransaction) -> Option<Violation> {
-    let mut owners: Vec<&str> = transaction
+    let mut prefixes: Vec<&str> = transaction
         .statements
         .iter()
-        .filter_map(marked_request)
-        .map(transaction_of)
+        .filter_map(inserted_row_key)
+        .map(transaction_prefix)
         .collect();
-    owners.sort_unstable();
-    owners.dedup();
-    if owners.len() <= 1 {
+    prefixes.sort_unstable();
+    prefixes.dedup();
+    if prefixes.len() <= 1 {
         return None;
     }
     Some(Violation::new(
         Invariant::TransactionIsolation,
-        format!("one transaction at {} holds rows of {owners:?}", transaction.end),
+        format!(
+            "transaction at log position {} contains rows of {prefixes:?}",
+            transaction.end
+        ),
     ))
 }
 
-/// Requests of one transaction share everything before the last dot.
-fn transaction_of(request: &str) -> &str {
-    request
+/// Returns the part before the last dot, which all row keys of a client transaction share.
+fn transaction_prefix(row_key: &str) -> &str {
+    row_key
         .rsplit_once('.')
-        .map_or(request, |(transaction, _)| transaction)
+        .map_or(row_key, |(transaction, _)| transaction)
 }
 
-fn count_requests(log: &[LoggedTransaction]) -> HashMap<&str, usize> {
+fn count_row_keys(log: &[LoggedTransaction]) -> HashMap<&str, usize> {
     let mut counts = HashMap::new();
-    for request in log
+    for row_key in log
         .iter()
         .flat_map(|entry| &entry.statements)
-        .filter_map(marked_request)
+        .filter_map(inserted_row_key)
     {
-        *counts.entry(request).or_default() += 1;
+        *counts.entry(row_key).or_default() += 1;
     }
     counts
 }
 
-/// The request that a booking statement marks.
-fn marked_request(statement: &Statement) -> Option<&str> {
+/// Returns the row key that a statement inserts into `booking`, if any.
+fn inserted_row_key(statement: &Statement) -> Option<&str> {
     if !statement.sql.contains("INSERT INTO booking") {
         return None;
     }
@@ -183,5 +187,5 @@
         return first.as_deref();
     }
     let (_, values) = statement.sql.split_once("VALUES ('")?;
-    values.split_once('\'').map(|(request, _)| request)
+    values.split_once('\'').map(|(row_key, _)| row_key)
 }
--- a/crates/millwind-lab/src/report.rs
+++ b/crates/millwind-lab/src/report.rs
@@ -1,5 +1,5 @@
-//! An HTML page with plots of experiments: throughput and refusals over time,
-//! and latency curves.
+//! HTML page with a summary and plots of each recorded experiment: request
+//! rates over time and latency quantiles.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::history::{History, Told};
+use crate::history::{History, WriteOutcome};
 
 const BUCKET_MS: u64 = 250;
 const QUANTILES: [f64; 12] = [
@@ -15,7 +15,7 @@
 ];
 const PLOT_SIZE: (u32, u32) = (760, 260);
 
-/// Why a report was not made.
+/// Reason why a report cannot be written.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file cannot be read or written.
@@ -29,37 +29,40 @@
     Plot(String),
 }
 
-/// What happened within one span of time.
+/// Request counts within one interval of the timeline.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Bucket {
-    /// Writes acknowledged.
+pub struct TimelineBucket {
+    /// Acknowledged writes.
     pub acknowledged: u32,
-    /// Reads answered.
+    /// Answered reads.
     pub reads: u32,
-    /// Requests refused or failed.
+    /// Refused or failed requests.
     pub failed: u32,
 }
 
-/// A recorded run.
+/// Summary and plot data of one run, stored as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RecordedRun {
-    /// The summary, as printed.
+    /// Summary as printed by the program.
     pub summary: serde_json::Value,
-    /// Spans of time, from the first answer on.
-    pub timeline: Vec<Bucket>,
-    /// Latencies of acknowledged writes at the quantiles, in microseconds.
+    /// Request counts per interval, starting at the first answer.
+    pub timeline: Vec<TimelineBucket>,
+    /// Latency quantiles of acknowledged writes, in microseconds.
     pub write_curve: Vec<u64>,
-    /// Latencies of answered reads at the quantiles, in microseconds.
+    /// Latency quantiles of answered reads, in microseconds.
     pub read_curve: Vec<u64>,
 }
 
 impl RecordedRun {
-    /// Records a run.
+    /// Combines a summary with the plot data of its history.
     pub fn new(summary: serde_json::Value, history: &History) -> Self {
-        let writes = history
-            .writes
-            .iter()
-            .map(|write| (write.answered_at_ms, write.told == Told::Acknowledged, true));
+        let writes = history.writes.iter().map(|write| {
+            (
+                write.answered_at_ms,
+                write.outcome == WriteOutcome::Acknowledged,
+                true,
+            )
+        });
         let reads = history
             .reads
             .iter()
@@ -68,18 +71,18 @@
         let acknowledged = history
             .writes
             .iter()
-            .filter(|write| write.told == Told::Acknowledged);
+            .filter(|write| write.outcome == WriteOutcome::Acknowledged);
         let answered = history.reads.iter().filter(|read| read.answered);
         RecordedRun {
             summary,
             timeline: timeline(&events),
-            write_curve: curve(acknowledged.map(|write| write.micros).collect()),
-            read_curve: curve(answered.map(|read| read.micros).collect()),
+            write_curve: latency_quantiles(acknowledged.map(|write| write.latency_us).collect()),
+            read_curve: latency_quantiles(answered.map(|read| read.latency_us).collect()),
         }
     }
 }
 
-fn timeline(events: &[(u64, bool, bool)]) -> Vec<Bucket> {
+fn timeline(events: &[(u64, bool, bool)]) -> Vec<TimelineBucket> {
     let Some(first) = events.iter().map(|(at, _, _)| *at).min() else {
         return Vec::new();
     };
@@ -87,9 +90,9 @@
     for (at, answered, write) in events {
         let index = ((at - first) / BUCKET_MS) as usize;
         if buckets.len() <= index {
-            buckets.resize(index + 1, Bucket::default());
+            buckets.resize(index + 1, TimelineBucket::default());
         }
-        let bucket: &mut Bucket = &mut buckets[index];
+        let bucket: &mut TimelineBucket = &mut buckets[index];
         match (answered, write) {
             (false, _) => bucket.failed += 1,
             (true, true) => bucket.acknowledged += 1,
@@ -99,46 +102,49 @@
     buckets
 }
 
-fn curve(mut micros: Vec<u64>) -> Vec<u64> {
-    micros.sort_unstable();
-    if micros.is_empty() {
+fn latency_quantiles(mut latency_us: Vec<u64>) -> Vec<u64> {
+    latency_us.sort_unstable();
+    if latency_us.is_empty() {
         return Vec::new();
     }
     QUANTILES
         .iter()
-        .map(|quantile| micros[((micros.len() - 1) as f64 * quantile) as usize])
+        .map(|quantile| latency_us[((latency_us.len() - 1) as f64 * quantile) as usize])
         .collect()
 }
 
-/// Makes `index.html` of all recorded runs in a directory; returns its path.
+/// Writes `index.html` for all recorded runs in a directory and returns its path.
+///
+/// Fails if a file cannot be read or written, if a JSON file is not a recorded
+/// run, or if a plot cannot be drawn.
 pub fn make(directory: &Path) -> Result<PathBuf, ReportError> {
     let file_error = |path: &Path| {
         let path = path.to_owned();
         move |error| ReportError::File(path, error)
     };
-    let mut names: Vec<PathBuf> = std::fs::read_dir(directory)
+    let mut paths: Vec<PathBuf> = std::fs::read_dir(directory)
         .map_err(file_error(directory))?
         .filter_map(|entry| Some(entry.ok()?.path()))
         .filter(|path| path.extension().is_some_and(|extension| extension == "json"))
         .collect();
-    names.sort();
-    let mut page = String::from(
+    paths.sort();
+    let mut html = String::from(
         "<!doctype html><meta charset=\"utf-8\"><title>millwind experiments</title>\n<body style=\"font-family:sans-serif;max-width:60em;margin:auto\">\n<h1>millwind experiments</h1>\n",
     );
-    for name in names {
-        let text = std::fs::read_to_string(&name).map_err(file_error(&name))?;
+    for path in paths {
+        let text = std::fs::read_to_string(&path).map_err(file_error(&path))?;
         let run: RecordedRun =
-            serde_json::from_str(&text).map_err(|error| ReportError::Content(name.clone(), error))?;
-        page.push_str(&section(&run)?);
+            serde_json::from_str(&text).map_err(|error| ReportError::Content(path.clone(), error))?;
+        html.push_str(&run_section(&run)?);
     }
     let path = directory.join("index.html");
-    std::fs::write(&path, page).map_err(file_error(&path))?;
+    std::fs::write(&path, html).map_err(file_error(&path))?;
     Ok(path)
 }
 
-fn section(run: &RecordedRun) -> Result<String, ReportError> {
+fn run_section(run: &RecordedRun) -> Result<String, ReportError> {
     let field = |name: &str| run.summary[name].to_string().trim_matches('"').to_owned();
-    let mut text = format!(
+    let mut html = format!(
         "<h2>{} on {}</h2>\n<table>\n",
         field("experiment"),
         field("deployment")
@@ -155,35 +161,35 @@
         "notes",
     ];
     for name in fields {
-        text.push_str(&format!("<tr><td>{name}</td><td>{}</td></tr>\n", field(name)));
+        html.push_str(&format!("<tr><td>{name}</td><td>{}</td></tr>\n", field(name)));
     }
-    text.push_str("</table>\n<p>Requests per second over time: acknowledged writes (blue), answered reads (green), refused or failed (red)</p>\n");
-    text.push_str(&timeline_plot(&run.timeline)?);
-    text.push_str("<p>Latency by quantile, in milliseconds: writes (blue), reads (green)</p>\n");
-    text.push_str(&curve_plot(&run.write_curve, &run.read_curve)?);
-    Ok(text)
+    html.push_str("</table>\n<p>Requests per second over time: acknowledged writes (blue), answered reads (green), refused or failed (red)</p>\n");
+    html.push_str(&timeline_plot(&run.timeline)?);
+    html.push_str("<p>Latency by quantile, in milliseconds: writes (blue), reads (green)</p>\n");
+    html.push_str(&quantile_plot(&run.write_curve, &run.read_curve)?);
+    Ok(html)
 }
 
 fn plot_error(error: impl std::fmt::Display) -> ReportError {
     ReportError::Plot(error.to_string())
 }
 
-/// One of a bucket's counts.
-type BucketValue = fn(&Bucket) -> u32;
+/// Selects one count of a bucket.
+type BucketCount = fn(&TimelineBucket) -> u32;
 
-fn timeline_plot(timeline: &[Bucket]) -> Result<String, ReportError> {
+fn timeline_plot(timeline: &[TimelineBucket]) -> Result<String, ReportError> {
     let per_second = 1_000.0 / BUCKET_MS as f64;
-    let series: [(RGBColor, BucketValue); 3] = [
+    let series: [(RGBColor, BucketCount); 3] = [
         (BLUE, |bucket| bucket.acknowledged),
         (GREEN, |bucket| bucket.reads),
         (RED, |bucket| bucket.failed),
     ];
-    let highest = timeline
+    let y_max = timeline
         .iter()
         .map(|bucket| bucket.acknowledged.max(bucket.reads).max(bucket.failed))
         .max()
         .unwrap_or(1);
-    let end = timeline.len() as f64 / per_second;
+    let x_max = timeline.len() as f64 / per_second;
     let lines = series.map(|(color, value)| {
         let points = timeline
             .iter()
@@ -192,34 +198,34 @@
             .collect();
         (color, points)
     });
-    draw(end, f64::from(highest) * per_second, &lines)
+    draw_lines(x_max, f64::from(y_max) * per_second, &lines)
 }
 
-fn curve_plot(writes: &[u64], reads: &[u64]) -> Result<String, ReportError> {
-    let points = |curve: &[u64]| -> Vec<(f64, f64)> {
-        let places = QUANTILES.iter().enumerate().map(|(index, _)| index as f64);
-        places
-            .zip(curve.iter().map(|micros| *micros as f64 / 1_000.0))
+fn quantile_plot(writes: &[u64], reads: &[u64]) -> Result<String, ReportError> {
+    let points = |quantiles: &[u64]| -> Vec<(f64, f64)> {
+        let positions = QUANTILES.iter().enumerate().map(|(index, _)| index as f64);
+        positions
+            .zip(quantiles.iter().map(|latency_us| *latency_us as f64 / 1_000.0))
             .collect()
     };
-    let highest = writes.iter().chain(reads).max().copied().unwrap_or(1) as f64 / 1_000.0;
-    draw(
+    let y_max = writes.iter().chain(reads).max().copied().unwrap_or(1) as f64 / 1_000.0;
+    draw_lines(
         (QUANTILES.len() - 1) as f64,
-        highest,
+        y_max,
         &[(BLUE, points(writes)), (GREEN, points(reads))],
     )
 }
 
-fn draw(end: f64, highest: f64, lines: &[(RGBColor, Vec<(f64, f64)>)]) -> Result<String, ReportError> {
-    let mut text = String::new();
+fn draw_lines(x_max: f64, y_max: f64, lines: &[(RGBColor, Vec<(f64, f64)>)]) -> Result<String, ReportError> {
+    let mut html = String::new();
     {
-        let area = SVGBackend::with_string(&mut text, PLOT_SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut html, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..end.max(0.1), 0.0..highest.max(0.1) * 1.05)
+            .build_cartesian_2d(0.0..x_max.max(0.1), 0.0..y_max.max(0.1) * 1.05)
             .map_err(plot_error)?;
         chart.configure_mesh().draw().map_err(plot_error)?;
         for (color, points) in lines {
@@ -228,5 +234,5 @@
         }
         area.present().map_err(plot_error)?;
     }
-    Ok(text)
+    Ok(html)
 }
--- a/crates/millwind-lab/src/workload.rs
+++ b/crates/millwind-lab/src/workload.rs
@@ -1,5 +1,5 @@
-//! Callers: sessions that write, read their own writes, run transactions and
-//! roam between nodes, each checking every answer.
+//! Load generator: client sessions that write, read back their writes, run
+//! transactions, switch nodes and check every answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 use tokio_postgres::{Client, SimpleQueryMessage};
 
 use crate::client::{TokenCell, connect};
-use crate::history::{History, ReadRecord, Told, Violation, WriteRecord};
+use crate::history::{History, ReadRecord, Violation, WriteOutcome, WriteRecord};
 
-const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// A caller gives up on an answer after this; the answer is then unknown.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// Timeout of a request; a write that exceeds this timeout has an unknown outcome.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the callers do.
+/// Settings of the load generator.
 #[derive(Debug, Clone)]
 pub struct WorkloadSettings {
-    /// Seed of the callers' choices.
+    /// Seed of the random choices of all sessions.
     pub seed: u64,
-    /// Callers per tenant.
+    /// Number of sessions per tenant.
     pub sessions: usize,
-    /// Requests between two writes.
+    /// Every `write_every`-th request is a write.
     pub write_every: u32,
-    /// Requests between two changes of node; zero for never.
+    /// Every `roam_every`-th request switches nodes instead; zero disables this.
     pub roam_every: u32,
-    /// Longest pause between requests, in milliseconds.
+    /// Maximum think time between requests, in milliseconds.
     pub think_ms: u64,
-    /// Share of writes that carry a request id, in percent.
+    /// Percentage of single-statement writes that carry a request id.
     pub request_id_percent: u32,
 }
 
@@ -51,42 +51,44 @@
     }
 }
 
-/// One tenant's callers' target.
+/// Tenant and nodes that a set of sessions connects to.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Nodes' client addresses.
+    /// Client addresses of the nodes.
     pub nodes: Vec<SocketAddr>,
-    /// The tenant.
+    /// Tenant name.
     pub tenant: String,
-    /// Its group.
+    /// Database group of the tenant.
     pub group: String,
 }
 
-/// Counts of a running load, for showing.
+/// Request counters of a running load.
 #[derive(Debug, Default)]
-pub struct LiveCounts {
-    /// Writes acknowledged.
+pub struct LiveCounters {
+    /// Acknowledged writes.
     pub acknowledged: AtomicU64,
-    /// Reads answered.
+    /// Answered reads.
     pub reads: AtomicU64,
-    /// Requests refused as not run, or undone.
+    /// Failed reads, and writes that were refused or rolled back.
     pub refused: AtomicU64,
-    /// Writes of unknown outcome.
+    /// Writes with an unknown outcome.
     pub unknown: AtomicU64,
 }
 
-/// Runs callers until `stop` is set; returns what they saw.
+/// Runs all sessions until `stop` is set and returns their merged history.
+///
+/// The history of a session whose task panics is not included.
 pub async fn run(
     settings: WorkloadSettings,
     targets: Vec<Target>,
     stop: Arc<AtomicBool>,
-    live: Arc<LiveCounts>,
+    counters: Arc<LiveCounters>,
 ) -> History {
-    let mut callers = Vec::new();
+    let mut tasks = Vec::new();
     for (tenant_index, target) in targets.into_iter().enumerate() {
         for index in 0..settings.sessions {
             let number = tenant_index * settings.sessions + index;
-            let caller = Caller {
+            let session = Session {
                 name: format!("s{}-{number}", settings.seed),
                 random: ChaCha8Rng::seed_from_u64(settings.seed * 10_007 + number as u64),
                 settings: settings.clone(),
@@ -97,21 +99,21 @@
                 sequence: 0,
                 acknowledged: 0,
                 history: History::default(),
-                live: live.clone(),
+                counters: counters.clone(),
             };
-            callers.push(tokio::spawn(caller.run(stop.clone())));
+            tasks.push(tokio::spawn(session.run(stop.clone())));
         }
     }
     let mut history = History::default();
-    for caller in callers {
-        if let Ok(seen) = caller.await {
-            history.merge(seen);
+    for task in tasks {
+        if let Ok(session_history) = task.await {
+            history.merge(session_history);
         }
     }
     history
 }
 
-struct Caller {
+struct Session {
     name: String,
     random: ChaCha8Rng,
     settings: WorkloadSettings,
@@ -122,22 +124,22 @@
     sequence: u64,
     acknowledged: u64,
     history: History,
-    live: Arc<LiveCounts>,
+    counters: Arc<LiveCounters>,
 }
 
-/// An error as the caller understands it.
-struct Understood {
-    told: Told,
-    kind: String,
-    broken: bool,
+/// Classification of a client error.
+struct ClassifiedError {
+    outcome: WriteOutcome,
+    error_kind: String,
+    connection_lost: bool,
 }
 
-fn understand(error: &tokio_postgres::Error) -> Understood {
+fn classify_error(error: &tokio_postgres::Error) -> ClassifiedError {
     let Some(database) = error.as_db_error() else {
-        return Understood {
-            told: Told::Unknown,
-            kind: format!("connection: {error}"),
-            broken: true,
+        return ClassifiedError {
+            outcome: WriteOutcome::Unknown,
+            error_kind: format!("connection: {error}"),
+            connection_lost: true,
         };
     };
     let hint = database.hint().unwrap_or_default();
@@ -147,24 +149,29 @@
             .find(|(key, _)| *key == name)
             .map(|(_, value)| value.to_owned())
     };
-    let told = match field("effect").as_deref() {
-        Some("not_run") => Told::NotRun,
-        Some("unknown") => Told::Unknown,
-        // An error of the back end itself: the statement was undone.
-        _ => Told::RolledBack,
+    let outcome = match field("effect").as_deref() {
+        Some("not_run") => WriteOutcome::NotRun,
+        Some("unknown") => WriteOutcome::Unknown,
+        // The proxy states an effect for its own refusals; on any other error the
+        // database has rolled the statement back.
+        _ => WriteOutcome::RolledBack,
     };
-    let kind =
+    let error_kind =
         field("kind").unwrap_or_else(|| format!("sql_{}: {}", database.code().code(), database.message()));
-    let broken = database.severity() == "FATAL";
-    Understood { told, kind, broken }
+    let connection_lost = database.severity() == "FATAL";
+    ClassifiedError {
+        outcome,
+        error_kind,
+        connection_lost,
+    }
 }
 
-impl Caller {
+impl Session {
     async fn run(mut self, stop: Arc<AtomicBool>) -> History {
         let mut count = 0;
         while !stop.load(Ordering::Relaxed) {
             if self.connection.is_none() && !self.reconnect().await {
-                tokio::time::sleep(RECONNECT_PAUSE).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
                 continue;
             }
             count += 1;
@@ -183,30 +190,31 @@
         self.history
     }
 
-    /// Leaves the node; the next request goes through another one.
+    /// Disconnects, so that the next request goes through another node.
     fn roam(&mut self) {
-        self.keep_token();
+        self.save_token();
         self.connection = None;
         self.node += 1;
     }
 
-    fn keep_token(&mut self) {
+    fn save_token(&mut self) {
         if let Some((_, cell)) = &self.connection {
             self.token = cell.get().or_else(|| self.token.take());
         }
     }
 
-    fn lose_connection(&mut self) {
-        self.keep_token();
+    fn drop_connection(&mut self) {
+        self.save_token();
         self.connection = None;
         self.node += 1;
     }
 
     async fn reconnect(&mut self) -> bool {
         let address = self.target.nodes[self.node % self.target.nodes.len()];
-        // Now and then without a token: the proxy must find a safe floor.
-        let presents = self.random.random_range(0..4) > 0;
-        let token = self.token.clone().filter(|_| presents);
+        // One connection in four presents no token, so the proxy has to choose
+        // a safe minimum log position by itself.
+        let present_token = self.random.random_range(0..4) > 0;
+        let token = self.token.clone().filter(|_| present_token);
         match connect(address, &self.target.tenant, token.as_deref()).await {
             Ok(connection) => {
                 self.connection = Some(connection);
@@ -232,7 +240,7 @@
         format!("{}-{}", self.name, self.sequence)
     }
 
-    fn id_comment(&mut self, request: &str) -> String {
+    fn request_id_comment(&mut self, request: &str) -> String {
         if self.random.random_range(0..100) < self.settings.request_id_percent {
             format!(" /*request_id='{request}'*/")
         } else {
@@ -242,28 +250,31 @@
 
     async fn write_simple(&mut self) {
         let request = self.next_request();
-        let comment = self.id_comment(&request);
+        let comment = self.request_id_comment(&request);
         let sql = format!(
             "INSERT INTO booking (request, session, seq) VALUES ('{request}.0', '{}', {}){comment}",
             self.name, self.sequence
         );
         let started = Instant::now();
-        let result = self.limited(sql).await;
-        self.note_write(&[format!("{request}.0")], started, result);
+        let result = self.query_with_timeout(sql).await;
+        self.handle_write_result(&[format!("{request}.0")], started, result);
     }
 
-    async fn limited(&self, sql: String) -> Option<Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>> {
+    async fn query_with_timeout(
+        &self,
+        sql: String,
+    ) -> Option<Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>> {
         let (client, _) = self.connection.as_ref()?;
-        tokio::time::timeout(ANSWER_LIMIT, client.simple_query(&sql))
+        tokio::time::timeout(ANSWER_TIMEOUT, client.simple_query(&sql))
             .await
             .ok()
     }
 
     async fn write_extended(&mut self) {
         let request = self.next_request();
-        let comment = self.id_comment(&request);
+        let comment = self.request_id_comment(&request);
         let sql = format!("INSERT INTO booking (request, session, seq) VALUES ($1, $2, $3){comment}");
-        let marked = format!("{request}.0");
+        let row_key = format!("{request}.0");
         let sequence = self.sequence as i64;
         let started = Instant::now();
         let Some((client, _)) = &self.connection else {
@@ -273,19 +284,19 @@
             let types = [Type::TEXT, Type::TEXT, Type::INT8];
             let statement = client.prepare_typed(&sql, &types).await?;
             client
-                .execute(&statement, &[&marked, &self.name, &sequence])
+                .execute(&statement, &[&row_key, &self.name, &sequence])
                 .await
         };
-        let result = tokio::time::timeout(ANSWER_LIMIT, run).await.ok();
-        self.note_write(&[marked], started, result);
+        let result = tokio::time::timeout(ANSWER_TIMEOUT, run).await.ok();
+        self.handle_write_result(&[row_key], started, result);
     }
 
     async fn write_transaction(&mut self) {
         let request = self.next_request();
-        let marks = [format!("{request}.0"), format!("{request}.1")];
-        let statements = marks.clone().map(|mark| {
+        let row_keys = [format!("{request}.0"), format!("{request}.1")];
+        let statements = row_keys.clone().map(|row_key| {
             format!(
-                "INSERT INTO booking (request, session, seq) VALUES ('{mark}', '{}', {})",
+                "INSERT INTO booking (request, session, seq) VALUES ('{row_key}', '{}', {})",
                 self.name, self.sequence
             )
         });
@@ -306,16 +317,21 @@
             }
             client.simple_query("COMMIT").await.map_err(|error| (error, true))
         };
-        match tokio::time::timeout(ANSWER_LIMIT, run).await.ok() {
+        match tokio::time::timeout(ANSWER_TIMEOUT, run).await.ok() {
             Some(Err((error, false))) => {
-                // No commit was sent, so whatever the error says, it is undone.
-                let understood = understand(&error);
-                if !understood.broken {
+                // COMMIT was not sent, so the transaction is rolled back whatever the error says.
+                let classified = classify_error(&error);
+                if !classified.connection_lost {
                     let _ = client.simple_query("ROLLBACK").await;
                 }
-                self.record_write(&marks, started, Told::RolledBack, understood.kind);
-                if understood.broken {
-                    self.lose_connection();
+                self.record_write(
+                    &row_keys,
+                    started,
+                    WriteOutcome::RolledBack,
+                    classified.error_kind,
+                );
+                if classified.connection_lost {
+                    self.drop_connection();
                 }
             }
             Some(Ok(messages)) => {
@@ -323,53 +339,59 @@
                     .iter()
                     .any(|message| matches!(message, SimpleQueryMessage::CommandComplete(_)));
                 debug_assert!(committed);
-                self.note_write(&marks, started, Some(Ok(())));
+                self.handle_write_result(&row_keys, started, Some(Ok(())));
             }
-            Some(Err((error, true))) => self.note_write::<()>(&marks, started, Some(Err(error))),
-            None => self.note_write::<()>(&marks, started, None),
+            Some(Err((error, true))) => self.handle_write_result::<()>(&row_keys, started, Some(Err(error))),
+            None => self.handle_write_result::<()>(&row_keys, started, None),
         }
     }
 
-    fn note_write<T>(
+    fn handle_write_result<T>(
         &mut self,
-        requests: &[String],
+        row_keys: &[String],
         started: Instant,
         result: Option<Result<T, tokio_postgres::Error>>,
     ) {
         match result {
             Some(Ok(_)) => {
                 self.acknowledged = self.sequence;
-                self.record_write(requests, started, Told::Acknowledged, String::new());
+                self.record_write(row_keys, started, WriteOutcome::Acknowledged, String::new());
             }
             Some(Err(error)) => {
-                let understood = understand(&error);
-                self.record_write(requests, started, understood.told, understood.kind);
-                if understood.broken {
-                    self.lose_connection();
+                let classified = classify_error(&error);
+                self.record_write(row_keys, started, classified.outcome, classified.error_kind);
+                if classified.connection_lost {
+                    self.drop_connection();
                 }
             }
             None => {
-                self.record_write(requests, started, Told::Unknown, "no answer".to_owned());
-                self.lose_connection();
+                self.record_write(row_keys, started, WriteOutcome::Unknown, "no answer".to_owned());
+                self.drop_connection();
             }
         }
     }
 
-    fn record_write(&mut self, requests: &[String], started: Instant, told: Told, kind: String) {
-        let count = match told {
-            Told::Acknowledged => &self.live.acknowledged,
-            Told::Unknown => &self.live.unknown,
-            Told::NotRun | Told::RolledBack => &self.live.refused,
+    fn record_write(
+        &mut self,
+        row_keys: &[String],
+        started: Instant,
+        outcome: WriteOutcome,
+        error_kind: String,
+    ) {
+        let count = match outcome {
+            WriteOutcome::Acknowledged => &self.counters.acknowledged,
+            WriteOutcome::Unknown => &self.counters.unknown,
+            WriteOutcome::NotRun | WriteOutcome::RolledBack => &self.counters.refused,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        for request in requests {
+        for row_key in row_keys {
             self.history.writes.push(WriteRecord {
-                request: request.clone(),
+                row_key: row_key.clone(),
                 group: self.target.group.clone(),
-                told,
-                kind: kind.clone(),
+                outcome,
+                error_kind: error_kind.clone(),
                 answered_at_ms: unix_millis(),
-                micros: started.elapsed().as_micros() as u64,
+                latency_us: started.elapsed().as_micros() as u64,
             });
         }
     }
@@ -381,43 +403,43 @@
             self.name
         );
         let started = Instant::now();
-        let result = self.limited(sql).await;
-        let micros = started.elapsed().as_micros() as u64;
-        let (answered, kind) = match result {
+        let result = self.query_with_timeout(sql).await;
+        let latency_us = started.elapsed().as_micros() as u64;
+        let (answered, error_kind) = match result {
             Some(Ok(messages)) => {
                 self.check_read(&nonce, &messages);
                 (true, String::new())
             }
             Some(Err(error)) => {
-                let understood = understand(&error);
-                if understood.broken {
-                    self.lose_connection();
+                let classified = classify_error(&error);
+                if classified.connection_lost {
+                    self.drop_connection();
                 }
-                if understood.kind == "session_discarded" {
+                if classified.error_kind == "session_discarded" {
                     self.start_new_session();
                 }
-                (false, understood.kind)
+                (false, classified.error_kind)
             }
             None => {
-                self.lose_connection();
+                self.drop_connection();
                 (false, "no answer".to_owned())
             }
         };
         let count = if answered {
-            &self.live.reads
+            &self.counters.reads
         } else {
-            &self.live.refused
+            &self.counters.refused
         };
         count.fetch_add(1, Ordering::Relaxed);
         self.history.reads.push(ReadRecord {
             answered,
-            kind,
+            error_kind,
             answered_at_ms: unix_millis(),
-            micros,
+            latency_us,
         });
     }
 
-    /// The proxy said plainly that the session's past is gone.
+    /// Starts a session without a token after the proxy discarded the previous one.
     fn start_new_session(&mut self) {
         self.connection = None;
         self.token = None;
@@ -431,17 +453,24 @@
                 _ => None,
             })
             .collect();
-        let own = rows.len() == 1 && rows[0].get(0) == Some(nonce);
-        if !own {
-            let detail = format!("{} asked {nonce} and got {} rows", self.name, rows.len());
+        let is_own_answer = rows.len() == 1 && rows[0].get(0) == Some(nonce);
+        if !is_own_answer {
+            let detail = format!(
+                "{} expected one row with nonce {nonce} and got {} rows",
+                self.name,
+                rows.len()
+            );
             self.history
                 .violations
                 .push(Violation::new(Invariant::WholeOwnAnswer, detail));
             return;
         }
-        let seen: u64 = rows[0].get(1).and_then(|text| text.parse().ok()).unwrap_or(0);
-        if seen < self.acknowledged {
-            let detail = format!("{} wrote {} and read {seen}", self.name, self.acknowledged);
+        let read_sequence: u64 = rows[0].get(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+        if read_sequence < self.acknowledged {
+            let detail = format!(
+                "{} wrote sequence {} and read {read_sequence}",
+                self.name, self.acknowledged
+            );
             self.history
                 .violations
                 .push(Violation::new(Invariant::ReadYourWrites, detail));
