--- a/crates/millwind-lab/src/overhead.rs
+++ b/crates/millwind-lab/src/overhead.rs
@@ -1,5 +1,5 @@
-//! What the proxy itself costs, without latencies between the processes: time
-//! added per statement, statements per second, memory per idle caller.
+//! Overhead of the proxy without simulated network latencies: latency per
+//! statement, throughput, and memory per idle client.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,44 +16,49 @@
 use crate::experiment::ClassLatency;
 use crate::process_memory::resident_bytes;
 
-const STATEMENTS: usize = 4_000;
-const WARM_UP: usize = 300;
-const THROUGHPUT_TIME: Duration = Duration::from_secs(4);
-const CONNECTING_AT_ONCE: usize = 50;
-const READ: &str = "SELECT count(*) FROM booking WHERE session = 'none'";
+const MEASURED_STATEMENTS: usize = 4_000;
+const WARM_UP_STATEMENTS: usize = 300;
+const THROUGHPUT_DURATION: Duration = Duration::from_secs(4);
+const CONNECT_CONCURRENCY: usize = 50;
+const READ_STATEMENT: &str = "SELECT count(*) FROM booking WHERE session = 'none'";
 
-/// What was measured.
+/// Results of an overhead measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct OverheadReport {
-    /// Reads straight from an instance.
+    /// Latency of reads sent directly to an instance.
     pub direct_read_us: ClassLatency,
-    /// Reads through the node that owns the instance.
+    /// Latency of reads through the node that owns the instance.
     pub owner_read_us: ClassLatency,
-    /// Reads through another node, which forwards them.
+    /// Latency of reads that another node forwards to the owner.
     pub forwarded_read_us: ClassLatency,
-    /// Median added per read through the owner, in microseconds.
+    /// Difference of the median latencies of reads through the owner and direct
+    /// reads, in microseconds.
     pub added_p50_us: i64,
-    /// 99th percentile added per read through the owner, in microseconds.
+    /// Difference of the 99th percentiles of reads through the owner and direct
+    /// reads, in microseconds.
     pub added_p99_us: i64,
-    /// Median added per read through another node, in microseconds.
+    /// Difference of the median latencies of forwarded and direct reads, in
+    /// microseconds.
     pub forwarded_added_p50_us: i64,
-    /// Writes straight to the primary.
+    /// Latency of writes sent directly to the primary.
     pub direct_write_us: ClassLatency,
-    /// Writes through the node that owns the primary, confirmed.
+    /// Latency of confirmed writes through the node that owns the primary.
     pub owner_write_us: ClassLatency,
-    /// Reads per second through all nodes.
+    /// Read throughput of all nodes, per second.
     pub reads_per_second: f64,
-    /// Callers of that load.
+    /// Number of clients in the throughput measurement.
     pub callers: usize,
-    /// Processor time of all nodes per read of that load, in microseconds.
+    /// CPU time of all nodes per read in the throughput measurement, in microseconds.
     pub node_cpu_us_per_read: f64,
-    /// Memory of a node per idle caller, in bytes.
+    /// Resident memory of a node per idle client, in bytes.
     pub bytes_per_idle_caller: f64,
-    /// Idle callers of that figure.
+    /// Number of idle clients in the memory measurement.
     pub idle_callers: usize,
 }
 
-/// Measures with this program's stand-ins and nodes.
+/// Starts a cluster from `program` and measures the overhead of its nodes.
+///
+/// Fails if the cluster does not start or a statement fails.
 pub async fn run(
     program: PathBuf,
     callers: usize,
@@ -73,8 +78,9 @@
     let (leader, _) = cluster.await_leader(&cluster.deployment.group(0), 0).await?;
     let primary = &cluster.instances[leader];
     let zone = primary.zone.clone();
-    let near = cluster.nodes.iter().find(|node| node.settings.zone == zone);
-    let near = near.map_or(cluster.nodes[0].client_address, |node| node.client_address);
+    let primary_node = cluster.nodes.iter().find(|node| node.settings.zone == zone);
+    let primary_node_address =
+        primary_node.map_or(cluster.nodes[0].client_address, |node| node.client_address);
     let replica = cluster
         .instances
         .iter()
@@ -84,26 +90,26 @@
         .nodes
         .iter()
         .find(|node| node.settings.zone == replica.zone);
-    let replica_address = replica_node.map_or(near, |node| node.client_address);
+    let replica_address = replica_node.map_or(primary_node_address, |node| node.client_address);
 
     let direct = direct_client(replica.settings.listen).await?;
     let (owner, _) = connect(replica_address, &tenant, None).await?;
-    let forwarding = forwarding_client(&cluster, &tenant, near).await?;
-    let direct_read_us = measure(&direct, READ).await?;
-    let owner_read_us = measure(&owner, READ).await?;
-    let forwarded_read_us = measure(&forwarding, READ).await?;
+    let forwarding = forwarding_client(&cluster, &tenant, primary_node_address).await?;
+    let direct_read_us = measure_latency(&direct, READ_STATEMENT).await?;
+    let owner_read_us = measure_latency(&owner, READ_STATEMENT).await?;
+    let forwarded_read_us = measure_latency(&forwarding, READ_STATEMENT).await?;
     let direct_primary = direct_client(primary.settings.listen).await?;
-    let (owner_primary, _) = connect(near, &tenant, None).await?;
+    let (owner_primary, _) = connect(primary_node_address, &tenant, None).await?;
     let write = "INSERT INTO booking (request, session, seq) VALUES ('overhead.0', 'overhead', 1)";
-    let direct_write_us = measure(&direct_primary, write).await?;
-    let owner_write_us = measure(&owner_primary, write).await?;
-    let (reads_per_second, node_cpu_us_per_read) = throughput(&cluster, &tenant, callers).await?;
-    let bytes_per_idle_caller = idle_memory(&cluster, &tenant, idle_callers).await?;
-    let added = |proxied: u64, direct: u64| proxied as i64 - direct as i64;
+    let direct_write_us = measure_latency(&direct_primary, write).await?;
+    let owner_write_us = measure_latency(&owner_primary, write).await?;
+    let (reads_per_second, node_cpu_us_per_read) = measure_throughput(&cluster, &tenant, callers).await?;
+    let bytes_per_idle_caller = measure_idle_memory(&cluster, &tenant, idle_callers).await?;
+    let added_us = |proxied: u64, direct: u64| proxied as i64 - direct as i64;
     Ok(OverheadReport {
-        added_p50_us: added(owner_read_us.p50, direct_read_us.p50),
-        added_p99_us: added(owner_read_us.p99, direct_read_us.p99),
-        forwarded_added_p50_us: added(forwarded_read_us.p50, direct_read_us.p50),
+        added_p50_us: added_us(owner_read_us.p50, direct_read_us.p50),
+        added_p99_us: added_us(owner_read_us.p99, direct_read_us.p99),
+        forwarded_added_p50_us: added_us(forwarded_read_us.p50, direct_read_us.p50),
         direct_read_us,
         owner_read_us,
         forwarded_read_us,
@@ -129,27 +135,30 @@
     Ok(client)
 }
 
-/// A session that reads on an instance its node does not own: the primary-only
-/// way through a node of another zone.
+/// Connects through a node other than that of the primary and opens a
+/// transaction, so that the node forwards every statement to the owner of the
+/// primary.
 async fn forwarding_client(
     cluster: &Cluster,
     tenant: &str,
-    near: SocketAddr,
+    primary_node_address: SocketAddr,
 ) -> Result<Client, ClusterError> {
-    let other = cluster.nodes.iter().find(|node| node.client_address != near);
-    let address = other.map_or(near, |node| node.client_address);
+    let other = cluster
+        .nodes
+        .iter()
+        .find(|node| node.client_address != primary_node_address);
+    let address = other.map_or(primary_node_address, |node| node.client_address);
     let (client, _) = connect(address, tenant, None).await?;
-    // Inside a transaction every statement goes to the primary's owner.
     client.simple_query("BEGIN").await?;
     Ok(client)
 }
 
-async fn measure(client: &Client, statement: &str) -> Result<ClassLatency, ClusterError> {
-    for _ in 0..WARM_UP {
+async fn measure_latency(client: &Client, statement: &str) -> Result<ClassLatency, ClusterError> {
+    for _ in 0..WARM_UP_STATEMENTS {
         client.simple_query(statement).await?;
     }
-    let mut micros = Vec::with_capacity(STATEMENTS);
-    for _ in 0..STATEMENTS {
+    let mut micros = Vec::with_capacity(MEASURED_STATEMENTS);
+    for _ in 0..MEASURED_STATEMENTS {
         let started = Instant::now();
         client.simple_query(statement).await?;
         micros.push(started.elapsed().as_micros() as u64);
@@ -157,7 +166,11 @@
     Ok(ClassLatency::of(micros.into_iter()))
 }
 
-async fn throughput(cluster: &Cluster, tenant: &str, callers: usize) -> Result<(f64, f64), ClusterError> {
+async fn measure_throughput(
+    cluster: &Cluster,
+    tenant: &str,
+    callers: usize,
+) -> Result<(f64, f64), ClusterError> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut tasks = Vec::new();
     for index in 0..callers {
@@ -165,28 +178,28 @@
         let (client, _) = connect(address, tenant, None).await?;
         let stop = stop.clone();
         tasks.push(tokio::spawn(async move {
-            let mut done = 0u64;
-            while !stop.load(Ordering::Relaxed) && client.simple_query(READ).await.is_ok() {
-                done += 1;
+            let mut completed = 0u64;
+            while !stop.load(Ordering::Relaxed) && client.simple_query(READ_STATEMENT).await.is_ok() {
+                completed += 1;
             }
-            done
+            completed
         }));
     }
-    let cpu_before = node_cpu(cluster);
+    let cpu_before = node_cpu_seconds(cluster);
     let started = Instant::now();
-    tokio::time::sleep(THROUGHPUT_TIME).await;
-    let cpu = node_cpu(cluster) - cpu_before;
+    tokio::time::sleep(THROUGHPUT_DURATION).await;
+    let cpu = node_cpu_seconds(cluster) - cpu_before;
     let elapsed = started.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
-    let mut done = 0;
+    let mut completed = 0;
     for task in tasks {
-        done += task.await.unwrap_or(0);
+        completed += task.await.unwrap_or(0);
     }
-    Ok((done as f64 / elapsed, cpu * 1e6 / done.max(1) as f64))
+    Ok((completed as f64 / elapsed, cpu * 1e6 / completed.max(1) as f64))
 }
 
-/// Processor time of all nodes, in seconds.
-fn node_cpu(cluster: &Cluster) -> f64 {
+/// Returns the CPU time that all nodes have used, in seconds.
+fn node_cpu_seconds(cluster: &Cluster) -> f64 {
     const TICKS_PER_SECOND: f64 = 100.0;
     const USER_FIELD: usize = 11;
     cluster
@@ -206,18 +219,24 @@
         .sum()
 }
 
-async fn idle_memory(cluster: &Cluster, tenant: &str, idle_callers: usize) -> Result<f64, ClusterError> {
+async fn measure_idle_memory(
+    cluster: &Cluster,
+    tenant: &str,
+    idle_callers: usize,
+) -> Result<f64, ClusterError> {
     let node = &cluster.nodes[0];
     let before = resident_bytes(&node.process.id().to_string());
     let mut clients = Vec::with_capacity(idle_callers);
     while clients.len() < idle_callers {
-        let connecting = (0..CONNECTING_AT_ONCE).map(|_| connect(node.client_address, tenant, None));
+        let connecting = (0..CONNECT_CONCURRENCY).map(|_| connect(node.client_address, tenant, None));
         for connected in futures::future::join_all(connecting).await {
             clients.push(connected?);
         }
     }
-    for chunk in clients.chunks(CONNECTING_AT_ONCE) {
-        let reads = chunk.iter().map(|(client, _)| client.simple_query(READ));
+    for chunk in clients.chunks(CONNECT_CONCURRENCY) {
+        let reads = chunk
+            .iter()
+            .map(|(client, _)| client.simple_query(READ_STATEMENT));
         futures::future::try_join_all(reads).await?;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
