--- a/crates/millwind-lab/src/hollow.rs
+++ b/crates/millwind-lab/src/hollow.rs
@@ -1,36 +1,37 @@
-//! Hollow runs: the real control code of many nodes in one process, with
-//! encoded messages over in-memory links and virtual time.
+//! Simulation of large clusters: the control planes of many nodes run in one
+//! process and exchange encoded messages over in-memory links in virtual time.
 //!
-//! Measured per node: messages and bytes by type, processor time spent in the
-//! control plane, memory. Events: configuration changes, restarts, the loss of
-//! a zone's relays, a zone and a region cut off.
+//! The simulation measures messages and bytes by type, CPU time of the control
+//! plane, and memory. Its events are configuration changes, a node failure and
+//! restarts, the loss of the relays of a zone, a partitioned zone, partitioned
+//! regions, and a platform outage.
 
 mod network;
 mod report;
-mod scene;
+mod simulation;
 
 use serde::Serialize;
 
 pub use report::{HollowReport, Load, MessageLoad, RoleLoad};
 
-/// Size of a hollow run.
+/// Size of a simulated cluster.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct HollowSize {
-    /// Nodes in all.
+    /// Total number of nodes.
     pub nodes: usize,
-    /// Database instances in all, three to a group.
+    /// Total number of database instances, three per group.
     pub databases: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions; zones are dealt out among them.
+    /// Number of regions; each region has consecutive zones.
     pub regions: usize,
-    /// Virtual seconds of steady running.
+    /// Virtual duration of the steady-state measurement, in seconds.
     pub seconds: u64,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Runs a hollow deployment of this size.
+/// Simulates a cluster of this size and returns the measurements.
 pub fn run(size: HollowSize) -> HollowReport {
-    scene::run(size)
+    simulation::run(size)
 }
--- a/crates/millwind-lab/src/hollow/network.rs
+++ b/crates/millwind-lab/src/hollow/network.rs
@@ -1,4 +1,4 @@
-//! In-memory links with latencies and cuts, and the nodes they connect.
+//! Simulated network with latencies and partitions, and the nodes on it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -9,26 +9,28 @@
 use millwind_core::membership::Outgoing;
 use millwind_wire::{ControlMessage, PeerMessage, decode, encode};
 
-/// Bytes of TCP and IP headers, acknowledgement included, and of the frame's
-/// length, per message.
-const TRANSPORT_BYTES: u64 = 2 * 52 + 4;
-const ZONE_LATENCY_US: u64 = 500;
-const REGION_LATENCY_US: u64 = 1_500;
-const FAR_LATENCY_US: u64 = 20_000;
-/// A node's control actor lets time pass this often.
+/// Bytes per message for the frame length and for the TCP and IP headers of the
+/// message and its acknowledgement.
+const TRANSPORT_OVERHEAD_BYTES: u64 = 2 * 52 + 4;
+const INTRA_ZONE_LATENCY_US: u64 = 500;
+const INTRA_REGION_LATENCY_US: u64 = 1_500;
+const INTER_REGION_LATENCY_US: u64 = 20_000;
+/// Interval between ticks of the control plane.
 pub(super) const TICK_MS: u64 = 50;
 
-/// One node with its own accounts.
-pub(super) struct HollowNode {
-    pub(super) plane: ControlPlane,
+/// A control plane with traffic counters and CPU time.
+pub(super) struct SimulatedNode {
+    pub(super) control_plane: ControlPlane,
     pub(super) zone: String,
     pub(super) region: String,
     pub(super) alive: bool,
-    pub(super) busy: Duration,
+    pub(super) cpu_time: Duration,
+    /// Messages and bytes sent, by message type.
     pub(super) sent: BTreeMap<&'static str, (u64, u64)>,
+    /// Messages and bytes received.
     pub(super) received: (u64, u64),
-    /// Nodes whose link to this one was opened since the accounts were reset.
-    pub(super) links_opened_by: BTreeSet<usize>,
+    /// Nodes that sent a message to this node since the last counter reset.
+    pub(super) connected_peers: BTreeSet<usize>,
 }
 
 struct Delivery {
@@ -37,25 +39,25 @@
     frame: Vec<u8>,
 }
 
-/// All nodes, links and the clock.
+/// All nodes, messages in flight and the virtual clock.
 pub(super) struct Network {
-    pub(super) nodes: Vec<HollowNode>,
+    pub(super) nodes: Vec<SimulatedNode>,
     pub(super) now: Instant,
     by_address: HashMap<String, usize>,
     queue: BinaryHeap<Reverse<(Instant, u64, usize)>>,
     deliveries: HashMap<usize, Delivery>,
     next_delivery: usize,
     sequence: u64,
-    cut_zones: BTreeSet<String>,
-    cut_regions: bool,
+    partitioned_zones: BTreeSet<String>,
+    regions_partitioned: bool,
 }
 
 impl Network {
-    pub(super) fn new(nodes: Vec<HollowNode>, start: Instant) -> Self {
+    pub(super) fn new(nodes: Vec<SimulatedNode>, start: Instant) -> Self {
         let by_address = nodes
             .iter()
             .enumerate()
-            .map(|(index, node)| (node.plane.membership().own().address.clone(), index))
+            .map(|(index, node)| (node.control_plane.membership().own().address.clone(), index))
             .collect();
         Network {
             nodes,
@@ -65,72 +67,74 @@
             deliveries: HashMap::new(),
             next_delivery: 0,
             sequence: 0,
-            cut_zones: BTreeSet::new(),
-            cut_regions: false,
+            partitioned_zones: BTreeSet::new(),
+            regions_partitioned: false,
         }
     }
 
-    pub(super) fn cut_zone(&mut self, zone: &str, cut: bool) {
-        if cut {
-            self.cut_zones.insert(zone.to_owned());
+    pub(super) fn set_zone_partitioned(&mut self, zone: &str, partitioned: bool) {
+        if partitioned {
+            self.partitioned_zones.insert(zone.to_owned());
         } else {
-            self.cut_zones.remove(zone);
+            self.partitioned_zones.remove(zone);
         }
     }
 
-    pub(super) fn cut_regions(&mut self, cut: bool) {
-        self.cut_regions = cut;
+    pub(super) fn set_regions_partitioned(&mut self, partitioned: bool) {
+        self.regions_partitioned = partitioned;
     }
 
-    pub(super) fn is_cut_from_platform(&self, index: usize) -> bool {
+    pub(super) fn is_partitioned_from_platform(&self, index: usize) -> bool {
         let node = &self.nodes[index];
-        // The platform is reached from the first region.
-        self.cut_zones.contains(&node.zone) || self.cut_regions && node.region != self.nodes[0].region
+        // The platform is in the region of the first node.
+        self.partitioned_zones.contains(&node.zone)
+            || self.regions_partitioned && node.region != self.nodes[0].region
     }
 
     pub(super) fn latency(&self, from: usize, to: usize) -> Option<u64> {
         let (left, right) = (&self.nodes[from], &self.nodes[to]);
         if left.zone == right.zone {
-            return Some(ZONE_LATENCY_US);
+            return Some(INTRA_ZONE_LATENCY_US);
         }
-        if self.cut_zones.contains(&left.zone) || self.cut_zones.contains(&right.zone) {
+        if self.partitioned_zones.contains(&left.zone) || self.partitioned_zones.contains(&right.zone) {
             return None;
         }
         if left.region == right.region {
-            return Some(REGION_LATENCY_US);
+            return Some(INTRA_REGION_LATENCY_US);
         }
-        (!self.cut_regions).then_some(FAR_LATENCY_US)
+        (!self.regions_partitioned).then_some(INTER_REGION_LATENCY_US)
     }
 
-    /// Runs `work` on a node, on its account, and sends what it says.
-    pub(super) fn on_node(
+    /// Runs `operation` on the control plane of a node, adds the elapsed time to
+    /// the CPU time of the node, and sends the returned messages.
+    pub(super) fn run_on_node(
         &mut self,
         index: usize,
-        work: impl FnOnce(&mut ControlPlane, Instant) -> Vec<Outgoing>,
+        operation: impl FnOnce(&mut ControlPlane, Instant) -> Vec<Outgoing>,
     ) {
         let now = self.now;
         let started = WallInstant::now();
-        let outgoing = work(&mut self.nodes[index].plane, now);
+        let outgoing = operation(&mut self.nodes[index].control_plane, now);
         let frames: Vec<(usize, &'static str, Vec<u8>)> = outgoing
             .into_iter()
             .filter_map(|message| {
                 let to = *self.by_address.get(&message.address)?;
-                let kind = kind_of(&message.message);
+                let message_type = message_type_name(&message.message);
                 let frame = encode(&PeerMessage::Control(message.message)).ok()?;
-                Some((to, kind, frame))
+                Some((to, message_type, frame))
             })
             .collect();
-        self.nodes[index].busy += started.elapsed();
-        for (to, kind, frame) in frames {
-            self.post(index, to, kind, frame);
+        self.nodes[index].cpu_time += started.elapsed();
+        for (to, message_type, frame) in frames {
+            self.send(index, to, message_type, frame);
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, kind: &'static str, frame: Vec<u8>) {
-        let bytes = frame.len() as u64 + TRANSPORT_BYTES;
-        let account = self.nodes[from].sent.entry(kind).or_default();
-        account.0 += 1;
-        account.1 += bytes;
+    fn send(&mut self, from: usize, to: usize, message_type: &'static str, frame: Vec<u8>) {
+        let bytes = frame.len() as u64 + TRANSPORT_OVERHEAD_BYTES;
+        let counter = self.nodes[from].sent.entry(message_type).or_default();
+        counter.0 += 1;
+        counter.1 += bytes;
         let Some(latency) = self.latency(from, to) else {
             return;
         };
@@ -142,7 +146,7 @@
         self.queue.push(Reverse((due, self.sequence, self.next_delivery)));
     }
 
-    /// Delivers everything due by `until`, and moves the clock there.
+    /// Delivers all messages due by `until` and advances the clock to `until`.
     pub(super) fn run_until(&mut self, until: Instant) {
         while let Some(Reverse((due, _, _))) = self.queue.peek() {
             if *due > until {
@@ -164,43 +168,48 @@
         if !node.alive {
             return;
         }
-        node.links_opened_by.insert(delivery.from);
+        node.connected_peers.insert(delivery.from);
         node.received.0 += 1;
-        node.received.1 += delivery.frame.len() as u64 + TRANSPORT_BYTES;
-        let from = self.nodes[delivery.from].plane.membership().own().node.clone();
-        self.on_node(delivery.to, |plane, now| match decode(&delivery.frame) {
-            Ok(PeerMessage::Control(message)) => plane.receive(now, &from, &message),
+        node.received.1 += delivery.frame.len() as u64 + TRANSPORT_OVERHEAD_BYTES;
+        let from = self.nodes[delivery.from]
+            .control_plane
+            .membership()
+            .own()
+            .node
+            .clone();
+        self.run_on_node(delivery.to, |control_plane, now| match decode(&delivery.frame) {
+            Ok(PeerMessage::Control(message)) => control_plane.receive(now, &from, &message),
             _ => Vec::new(),
         });
     }
 
-    /// One tick of every live node.
+    /// Ticks the control plane of every live node.
     pub(super) fn tick(&mut self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].alive {
-                self.on_node(index, |plane, now| {
-                    let outgoing = plane.tick(now);
-                    // What the daemon's actor also does on every tick.
-                    std::hint::black_box(plane.reachable_zones(now));
-                    std::hint::black_box(plane.may_serve(now).is_ok());
+                self.run_on_node(index, |control_plane, now| {
+                    let outgoing = control_plane.tick(now);
+                    // The control actor of a real node also evaluates these on every tick.
+                    std::hint::black_box(control_plane.reachable_zones(now));
+                    std::hint::black_box(control_plane.may_serve(now).is_ok());
                     outgoing
                 });
             }
         }
     }
 
-    /// Starts all accounts anew.
-    pub(super) fn reset_accounts(&mut self) {
+    /// Resets the counters of all nodes.
+    pub(super) fn reset_counters(&mut self) {
         for node in &mut self.nodes {
-            node.busy = Duration::ZERO;
+            node.cpu_time = Duration::ZERO;
             node.sent.clear();
             node.received = (0, 0);
-            node.links_opened_by.clear();
+            node.connected_peers.clear();
         }
     }
 }
 
-fn kind_of(message: &ControlMessage) -> &'static str {
+fn message_type_name(message: &ControlMessage) -> &'static str {
     match message {
         ControlMessage::Ping { .. } => "ping",
         ControlMessage::Acknowledge { .. } => "acknowledge",
