--- a/crates/millwind-lab/src/experiment/faults.rs
+++ b/crates/millwind-lab/src/experiment/faults.rs
@@ -77,16 +77,16 @@
     let (_, new) = cluster.await_leader(&group, old.term).await?;
     report.failovers.push((group, new.opened_at_ms));
     sleep(Duration::from_secs(3)).await;
-    let isolated: InstanceReport = http::get(control, "/report").await?;
+    let old_primary: InstanceReport = http::get(control, "/report").await?;
     report.notes.push(format!(
         "old primary still believed it led: {}, end {}",
-        isolated.leads, isolated.end
+        old_primary.leads, old_primary.end
     ));
     set_isolated(control, false).await
 }
 
-async fn set_isolated(control: std::net::SocketAddr, cut: bool) -> Result<(), ClusterError> {
-    Ok(http::post(control, "/faults", &serde_json::json!({ "cut": cut })).await?)
+async fn set_isolated(control: std::net::SocketAddr, isolated: bool) -> Result<(), ClusterError> {
+    Ok(http::post(control, "/faults", &serde_json::json!({ "cut": isolated })).await?)
 }
 
 async fn set_replay_lag(cluster: &Cluster, lag_ms: u64) -> Result<(), ClusterError> {
@@ -171,7 +171,8 @@
         ..PlatformFaults::default()
     };
     cluster.set_platform_faults(&outage).await?;
-    // The outage exceeds the freshness bound of the configuration.
+    // The outage exceeds the freshness bound, so nodes keep serving only if they
+    // detect that most zones have lost the platform.
     sleep(fault_duration.max(Duration::from_secs(12))).await;
     for index in 0..cluster.nodes.len() {
         let status = cluster.status(index).await?;
--- a/crates/millwind-lab/src/hollow.rs
+++ b/crates/millwind-lab/src/hollow.rs
@@ -12,7 +12,7 @@
 
 use serde::Serialize;
 
-pub use report::{HollowReport, Load, MessageLoad, RoleLoad};
+pub use report::{Load, MessageLoad, RoleLoad, SimulationReport};
 
 /// Size of a simulated cluster.
 #[derive(Debug, Clone, Copy, Serialize)]
@@ -32,6 +32,6 @@
 }
 
 /// Simulates a cluster of this size and returns the measurements.
-pub fn run(size: HollowSize) -> HollowReport {
+pub fn run(size: HollowSize) -> SimulationReport {
     simulation::run(size)
 }
--- a/crates/millwind-lab/src/hollow/report.rs
+++ b/crates/millwind-lab/src/hollow/report.rs
@@ -42,7 +42,7 @@
 
 /// Measurements of a simulation.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct HollowReport {
+pub struct SimulationReport {
     /// Size of the simulated cluster.
     pub size: Option<HollowSize>,
     /// Load in steady state, by role.
--- a/crates/millwind-lab/src/hollow/simulation.rs
+++ b/crates/millwind-lab/src/hollow/simulation.rs
@@ -18,7 +18,7 @@
 
 use super::HollowSize;
 use super::network::{Network, SimulatedNode, TICK_MS};
-use super::report::{HollowReport, role_load};
+use super::report::{SimulationReport, role_load};
 use crate::process_memory::resident_bytes;
 
 const START: Instant = Instant::from_millis(1_000_000);
@@ -56,13 +56,13 @@
 }
 
 /// Simulates all events and returns the measurements.
-pub(super) fn run(size: HollowSize) -> HollowReport {
+pub(super) fn run(size: HollowSize) -> SimulationReport {
     let started = WallInstant::now();
     let before = resident_bytes("self");
     let mut simulation = Simulation::new(size);
-    let mut report = HollowReport {
+    let mut report = SimulationReport {
         size: Some(size),
-        ..HollowReport::default()
+        ..SimulationReport::default()
     };
     simulation.advance(SETTLE_MS);
     report.memory_bytes_per_node = resident_bytes("self").saturating_sub(before) / size.nodes as u64;
@@ -247,7 +247,7 @@
         });
     }
 
-    fn measure_steady_state(&mut self, report: &mut HollowReport) {
+    fn measure_steady_state(&mut self, report: &mut SimulationReport) {
         self.network.reset_counters();
         self.advance(self.size.seconds * 1_000);
         let seconds = self.size.seconds as f64;
@@ -266,7 +266,7 @@
     }
 
     /// Computes the owned instances and the probe load from the owner table of a node.
-    fn measure_ownership(&mut self, report: &mut HollowReport) {
+    fn measure_ownership(&mut self, report: &mut SimulationReport) {
         let table = self.network.nodes[0].control_plane.owner_table(self.network.now);
         let mut owned: HashMap<String, usize> = HashMap::new();
         let mut probes: HashMap<String, f64> = HashMap::new();
@@ -320,7 +320,7 @@
 
     /// Computes the cost of announcing a new primary to all gateways, which wait for
     /// the primary at its owners and are answered one after another.
-    fn measure_primary_change(&mut self, report: &mut HollowReport) {
+    fn measure_primary_change(&mut self, report: &mut SimulationReport) {
         let status = GroupStatus {
             request_id: 0,
             term: 2,
@@ -447,7 +447,7 @@
         elapsed_ms + WATCH_LATENCY_MS
     }
 
-    fn measure_changes(&mut self, report: &mut HollowReport) {
+    fn measure_changes(&mut self, report: &mut SimulationReport) {
         let message_types = ["config_delta", "applied", "config_pull"];
         self.network.reset_counters();
         for _ in 0..CHANGE_COUNT {
@@ -474,7 +474,7 @@
         report.change_bytes_highest = costs.iter().fold(0.0, |highest, cost| highest.max(*cost));
     }
 
-    fn measure_failure_and_restart(&mut self, report: &mut HollowReport) {
+    fn measure_failure_and_restart(&mut self, report: &mut SimulationReport) {
         let relays = self.relays();
         let victim = (0..self.size.nodes)
             .rev()
@@ -520,7 +520,7 @@
         self.network.nodes.iter().map(sent).sum::<u64>() as f64
     }
 
-    fn measure_relay_loss(&mut self, report: &mut HollowReport) {
+    fn measure_relay_loss(&mut self, report: &mut SimulationReport) {
         let lost: Vec<usize> = self
             .relays()
             .into_iter()
@@ -551,7 +551,7 @@
         (serving, chosen.len())
     }
 
-    fn measure_zone_partition(&mut self, report: &mut HollowReport) {
+    fn measure_zone_partition(&mut self, report: &mut SimulationReport) {
         let zone = "zone-0".to_owned();
         let before = self.max_declared_dead();
         self.network.set_zone_partitioned(&zone, true);
@@ -579,7 +579,7 @@
             .unwrap_or(0)
     }
 
-    fn measure_region_partition(&mut self, report: &mut HollowReport) {
+    fn measure_region_partition(&mut self, report: &mut SimulationReport) {
         self.network.set_regions_partitioned(true);
         self.advance(PARTITION_MS);
         for region in 0..self.size.regions {
@@ -591,7 +591,7 @@
         self.advance(SETTLE_MS);
     }
 
-    fn measure_platform_outage(&mut self, report: &mut HollowReport) {
+    fn measure_platform_outage(&mut self, report: &mut SimulationReport) {
         self.platform_up = false;
         self.advance(PARTITION_MS);
         report.platform_outage_serving = self.count_serving(|_| true);
--- a/crates/millwind-lab/src/workload.rs
+++ b/crates/millwind-lab/src/workload.rs
@@ -87,13 +87,13 @@
     let mut tasks = Vec::new();
     for (tenant_index, target) in targets.into_iter().enumerate() {
         for index in 0..settings.sessions {
-            let number = tenant_index * settings.sessions + index;
+            let session_index = tenant_index * settings.sessions + index;
             let session = Session {
-                name: format!("s{}-{number}", settings.seed),
-                random: ChaCha8Rng::seed_from_u64(settings.seed * 10_007 + number as u64),
+                name: format!("s{}-{session_index}", settings.seed),
+                random: ChaCha8Rng::seed_from_u64(settings.seed * 10_007 + session_index as u64),
                 settings: settings.clone(),
                 target: target.clone(),
-                node: number,
+                node: session_index,
                 connection: None,
                 token: None,
                 sequence: 0,
@@ -122,6 +122,7 @@
     connection: Option<(Client, TokenCell)>,
     token: Option<String>,
     sequence: u64,
+    /// Sequence number of the last acknowledged write.
     acknowledged: u64,
     history: History,
     counters: Arc<LiveCounters>,
