--- a/crates/millwind-engine/tests/demand.rs
+++ b/crates/millwind-engine/tests/demand.rs
@@ -1,4 +1,4 @@
-//! The peak of a pool's demand.
+//! The recent peak of a pool's demand for connections.
 
 use millwind_core::Instant;
 use millwind_engine::backend::demand::PeakDemand;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_peak_counts_for_a_while_and_is_then_forgotten() {
+fn a_peak_counts_for_a_limited_time() {
     let mut demand = PeakDemand::default();
     demand.note(at(10_000), 7);
     demand.note(at(10_100), 2);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_pool_that_rests_needs_nothing() {
+fn an_idle_pool_has_no_demand() {
     let mut demand = PeakDemand::default();
     demand.note(at(10_000), 7);
     assert_eq!(demand.lately(at(60_000)), 0);
--- a/crates/millwind-engine/tests/lives.rs
+++ b/crates/millwind-engine/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! What is believed of an instance is believed of one life.
+//! Observations of an instance apply to one incarnation and end with its restart.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
     InstanceName::from("i-a")
 }
 
-/// A record of `i-a` in the life that began at `born`.
-fn record(born: u64, claims_lead: bool) -> InstanceRecord {
-    record_of("i-a", born, claims_lead)
+/// Returns a record of `i-a` in the incarnation `started`.
+fn record(started: u64, claims_lead: bool) -> InstanceRecord {
+    record_of("i-a", started, claims_lead)
 }
 
-fn record_of(name: &str, born: u64, claims_lead: bool) -> InstanceRecord {
+fn record_of(name: &str, started: u64, claims_lead: bool) -> InstanceRecord {
     InstanceRecord {
         name: InstanceName::from(name),
         group: group(),
@@ -35,13 +35,13 @@
         claims_lead,
         slots: 3,
         warm_up_left_ms: 0,
-        incarnation: Some(Incarnation(born)),
+        incarnation: Some(Incarnation(started)),
         heartbeat: Some(1),
     }
 }
 
-/// A node that has seen `i-a` lead term 3 up to position 9.
-fn led(is_fenced: bool) -> Arc<Directory> {
+/// Returns a node's directory in which `i-a` leads term 3 at position 9.
+fn directory_with_leader(is_fenced: bool) -> Arc<Directory> {
     let directory = Directory::new("z1", 0, is_fenced);
     directory.registered(Some(clock::now()));
     directory.confirm_terms(clock::now());
@@ -51,16 +51,16 @@
     Arc::new(directory)
 }
 
-/// A time after everything that has happened.
-fn later() -> Instant {
+/// Returns a time later than all preceding events.
+fn after_all_events() -> Instant {
     std::thread::sleep(Duration::from_millis(1));
     clock::now()
 }
 
 #[test]
-fn a_life_begun_anew_starts_with_no_word_on_how_it_answers() {
-    let directory = led(true);
-    let fresh = directory.instance(&leader()).unwrap().contact;
+fn a_restarted_instance_starts_without_contact_history() {
+    let directory = directory_with_leader(true);
+    let initial_contact = directory.instance(&leader()).unwrap().contact;
     directory.answered(&leader(), Some(700_000));
     directory.failed(&leader(), clock::now().plus_millis(1), false);
     directory.statement_ended(&leader(), false);
@@ -73,13 +73,13 @@
     );
     let change = directory.apply_record(record(500, true));
     assert!(change.has_begun_anew);
-    assert_eq!(directory.instance(&leader()).unwrap().contact, fresh);
+    assert_eq!(directory.instance(&leader()).unwrap().contact, initial_contact);
     assert_eq!(directory.testimony(&leader(), 10_000), None);
 }
 
 #[test]
-fn a_heartbeat_of_the_same_life_keeps_all_beliefs() {
-    let directory = led(true);
+fn a_heartbeat_of_the_same_incarnation_keeps_all_observations() {
+    let directory = directory_with_leader(true);
     directory.failed(&leader(), clock::now().plus_millis(1), false);
     let change = directory.apply_record(record(1_000, true));
     assert!(!change.has_begun_anew);
@@ -88,127 +88,135 @@
 }
 
 #[test]
-fn a_leader_that_began_anew_leads_only_once_it_has_proved_it() {
-    let directory = led(true);
+fn a_restarted_leader_leads_only_after_new_proof() {
+    let directory = directory_with_leader(true);
     let before = clock::now();
     directory.apply_record(record(2_000, true));
-    assert_eq!(directory.leader(&group()), None, "whatever its record says");
-    // An answer of the former life that arrives late, or that a peer reports.
+    assert_eq!(
+        directory.leader(&group()),
+        None,
+        "the claim in the record is no proof"
+    );
+    // Proof from the former incarnation may arrive late or through a peer.
     directory.leader_proved(&group(), &leader(), before, Position::new(3, 9));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
 #[test]
-fn a_leader_that_began_anew_without_its_log_leads_nothing() {
-    let directory = led(true);
+fn a_leader_restarted_without_its_log_does_not_lead() {
+    let directory = directory_with_leader(true);
     directory.apply_record(record_of("i-b", 1_000, false));
     directory.apply_record(record(2_000, true));
-    assert!(!directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(!directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
     assert_eq!(
         directory.newest_observation(&group()).unwrap().position,
         Position::new(3, 9)
     );
-    // Another that was promoted with the log leads.
+    // Another instance that was promoted with the complete log leads.
     let other = InstanceName::from("i-b");
     assert!(directory.leader_proved(&group(), &other, clock::now(), Position::new(4, 10)));
     assert_eq!(directory.leader(&group()).unwrap().instance, other);
 }
 
 #[test]
-fn a_replica_that_begins_anew_as_well_does_not_give_the_shorter_log_the_lead() {
-    let directory = led(true);
+fn a_leader_with_a_shorter_log_does_not_lead_when_a_replica_restarts_as_well() {
+    let directory = directory_with_leader(true);
     for replica in ["i-b", "i-c"] {
         directory.apply_record(record_of(replica, 1_000, false));
     }
     directory.apply_record(record(2_000, true));
     directory.apply_record(record_of("i-b", 2_000, false));
-    assert!(!directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(!directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
 #[test]
-fn the_only_instance_of_a_group_leads_with_what_it_holds() {
-    let directory = led(true);
+fn the_only_instance_of_a_group_leads_with_a_shorter_log() {
+    let directory = directory_with_leader(true);
     directory.apply_record(record_of("i-b", 1_000, false));
     directory.remove_record(&InstanceName::from("i-b"));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 4)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
 #[test]
-fn a_promotion_in_its_new_life_makes_an_instance_without_its_former_log_the_leader() {
-    let directory = led(true);
+fn an_instance_promoted_after_a_restart_leads_without_its_former_log() {
+    let directory = directory_with_leader(true);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(4, 1)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(4, 1)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
-fn the_word_of_a_leader_that_it_stepped_down_holds_for_one_life() {
-    let directory = led(false);
+fn a_step_down_holds_for_one_incarnation() {
+    let directory = directory_with_leader(false);
     directory.has_stepped_down(&group(), &leader(), Term(3));
     assert_eq!(directory.stepped_down(&group()), Term(3));
     directory.apply_record(record(2_000, true));
-    assert_eq!(directory.stepped_down(&group()), Term(0), "it has forgotten it");
+    assert_eq!(
+        directory.stepped_down(&group()),
+        Term(0),
+        "the restarted instance no longer knows that it stepped down"
+    );
 }
 
 #[test]
-fn the_word_of_a_leader_that_it_stepped_down_does_not_outlast_its_process() {
-    let directory = led(false);
+fn a_step_down_does_not_outlast_the_process() {
+    let directory = directory_with_leader(false);
     directory.has_stepped_down(&group(), &leader(), Term(3));
     directory.failed(&leader(), clock::now().plus_millis(1), true);
     assert_eq!(directory.stepped_down(&group()), Term(0));
 }
 
 #[test]
-fn the_word_of_another_instance_is_not_touched() {
-    let directory = led(false);
+fn a_restart_keeps_the_step_down_of_another_instance() {
+    let directory = directory_with_leader(false);
     directory.has_stepped_down(&group(), &InstanceName::from("i-b"), Term(4));
     directory.apply_record(record(2_000, true));
     assert_eq!(directory.stepped_down(&group()), Term(4));
 }
 
 #[test]
-fn a_term_that_the_former_life_told_is_not_the_new_ones() {
-    let directory = led(false);
+fn a_term_of_the_former_incarnation_is_discarded_on_restart() {
+    let directory = directory_with_leader(false);
     directory.leads_term(&group(), &leader(), Term(7));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
 
 #[test]
-fn a_retired_leader_that_came_back_as_a_replica_may_lead_again() {
-    let directory = led(false);
+fn a_retired_leader_that_returns_as_a_replica_may_lead_again() {
+    let directory = directory_with_leader(false);
     directory.close_term(&group(), Term(3), Some(&leader()));
     assert!(directory.is_retired(&group(), &leader()));
     directory.apply_record(record(2_000, true));
     assert!(
         directory.is_retired(&group(), &leader()),
-        "it may lead its old term"
+        "the instance may still lead its old term"
     );
     directory.apply_record(record(3_000, false));
     assert!(!directory.is_retired(&group(), &leader()));
     directory.leads_term(&group(), &leader(), Term(4));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
-fn an_instance_that_was_forgotten_comes_back_with_no_beliefs() {
-    let directory = led(false);
+fn a_forgotten_instance_returns_without_observations() {
+    let directory = directory_with_leader(false);
     directory.leads_term(&group(), &leader(), Term(7));
     directory.remove_record(&leader());
     std::thread::sleep(Duration::from_millis(3));
     assert_eq!(directory.forget_gone(0), [leader()]);
     assert_eq!(directory.leader(&group()), None);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), later(), Position::new(3, 9)));
+    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
--- a/crates/millwind-engine/tests/inquiry.rs
+++ b/crates/millwind-engine/tests/inquiry.rs
@@ -1,4 +1,4 @@
-//! What the end of a question tells of the instance that it was meant for.
+//! How the outcome of an inquiry changes the recorded contact with an instance.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use millwind_engine::directory::Directory;
 use millwind_engine::execution::Inquiry;
 
-const NAME: &str = "i-a";
+const INSTANCE: &str = "i-a";
 
 fn directory() -> Arc<Directory> {
     let directory = Directory::new("z1", 0, true);
     directory.apply_record(InstanceRecord {
-        name: InstanceName::from(NAME),
+        name: InstanceName::from(INSTANCE),
         group: GroupName::from("ledger"),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "z1".into(),
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn an_owner_that_answers_in_an_instances_place_does_not_show_that_it_lives() {
+fn an_answer_by_another_node_is_no_contact_with_the_instance() {
     let directory = directory();
-    let instance = InstanceName::from(NAME);
+    let instance = InstanceName::from(INSTANCE);
     directory.failed(&instance, clock::now(), false);
     Inquiry::new(&directory, &instance).passed();
     let contact = directory.instance(&instance).unwrap().contact;
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn an_instance_that_takes_a_question_is_no_longer_failing() {
+fn an_instance_that_accepts_an_inquiry_is_no_longer_failing() {
     let directory = directory();
-    let instance = InstanceName::from(NAME);
+    let instance = InstanceName::from(INSTANCE);
     directory.failed(&instance, clock::now(), false);
     Inquiry::new(&directory, &instance).taken();
     assert!(!directory.is_failing(&instance));
--- a/crates/millwind-engine/tests/neighbours.rs
+++ b/crates/millwind-engine/tests/neighbours.rs
@@ -1,5 +1,5 @@
-//! The nodes that a node compares its catalog with: a bounded number, most
-//! useful in its own zone, and together a graph that reaches everybody.
+//! The neighbours that a node compares its catalog with: their number is bounded, and their
+//! links form a connected graph of all nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
 
-const NEAR: usize = 4;
-const FAR: usize = 4;
+const SAME_ZONE_COUNT: usize = 4;
+const OTHER_ZONE_COUNT: usize = 4;
 
 struct TestNode {
     name: String,
@@ -28,7 +28,7 @@
     (0..count).map(node).collect()
 }
 
-/// A registry of the node `own` that knows all of `nodes`.
+/// Returns the registry of the node `own` with all of `nodes` registered.
 fn registry_of(own: &TestNode, nodes: &[TestNode]) -> Registry {
     let directory = Arc::new(Directory::new(&own.zone, 0, true));
     let registry = Registry::new("nodes/".to_owned(), own.name.clone(), directory);
@@ -53,37 +53,42 @@
 }
 
 #[test]
-fn their_number_does_not_grow_with_the_nodes() {
+fn the_number_of_neighbours_does_not_grow_with_the_fleet() {
     for count in [30, 300, 910] {
         let nodes = nodes(count, 3);
         let own = &nodes[7];
-        let neighbours = registry_of(own, &nodes).neighbours(&own.zone, NEAR, FAR);
-        assert_eq!(neighbours.len(), NEAR + FAR, "{count} nodes");
+        let neighbours = registry_of(own, &nodes).neighbours(&own.zone, SAME_ZONE_COUNT, OTHER_ZONE_COUNT);
+        assert_eq!(
+            neighbours.len(),
+            SAME_ZONE_COUNT + OTHER_ZONE_COUNT,
+            "{count} nodes"
+        );
         assert!(!neighbours.contains(&own.address));
         let zone_of =
             |address: &SocketAddr| &nodes.iter().find(|node| node.address == *address).unwrap().zone;
-        let near = neighbours
+        let in_same_zone = neighbours
             .iter()
             .filter(|address| *zone_of(address) == own.zone)
             .count();
-        assert_eq!(near, NEAR, "{count} nodes");
+        assert_eq!(in_same_zone, SAME_ZONE_COUNT, "{count} nodes");
     }
 }
 
 #[test]
-fn a_few_nodes_are_all_neighbours() {
+fn all_nodes_of_a_small_fleet_are_neighbours() {
     let nodes = nodes(4, 2);
-    let neighbours = registry_of(&nodes[0], &nodes).neighbours(&nodes[0].zone, NEAR, FAR);
+    let neighbours =
+        registry_of(&nodes[0], &nodes).neighbours(&nodes[0].zone, SAME_ZONE_COUNT, OTHER_ZONE_COUNT);
     assert_eq!(neighbours.len(), 3);
 }
 
 #[test]
-fn news_from_any_node_reaches_all_others() {
+fn updates_from_any_node_reach_all_others() {
     let nodes = nodes(300, 3);
-    // Whom each node asks; news travel against that direction.
+    // The nodes that ask each address for updates.
     let mut askers: BTreeMap<SocketAddr, Vec<SocketAddr>> = BTreeMap::new();
     for node in &nodes {
-        for neighbour in registry_of(node, &nodes).neighbours(&node.zone, NEAR, FAR) {
+        for neighbour in registry_of(node, &nodes).neighbours(&node.zone, SAME_ZONE_COUNT, OTHER_ZONE_COUNT) {
             askers.entry(neighbour).or_default().push(node.address);
         }
     }
@@ -94,18 +99,22 @@
     assert!(longest.is_some_and(|rounds| rounds <= 8), "{longest:?}");
 }
 
-/// Rounds in which news from `first` reach `count` nodes if each asks all its
-/// neighbours once a round.
+/// Returns the number of rounds until an update from `first` reaches `count` nodes, if each
+/// node asks all its neighbours once a round.
 fn rounds_from(first: SocketAddr, askers: &BTreeMap<SocketAddr, Vec<SocketAddr>>, count: usize) -> usize {
-    let mut told = BTreeSet::from([first]);
-    let mut last = vec![first];
+    let mut reached = BTreeSet::from([first]);
+    let mut frontier = vec![first];
     let mut rounds = 0;
-    while told.len() < count {
+    while reached.len() < count {
         rounds += 1;
-        let next = last.iter().filter_map(|node| askers.get(node)).flatten();
-        let fresh: Vec<_> = next.copied().filter(|node| told.insert(*node)).collect();
-        assert!(!fresh.is_empty(), "{} of {count} nodes are told", told.len());
-        last = fresh;
+        let next = frontier.iter().filter_map(|node| askers.get(node)).flatten();
+        let newly_reached: Vec<_> = next.copied().filter(|node| reached.insert(*node)).collect();
+        assert!(
+            !newly_reached.is_empty(),
+            "only {} of {count} nodes are reached",
+            reached.len()
+        );
+        frontier = newly_reached;
     }
     rounds
 }
--- a/crates/millwind-engine/tests/own_keys.rs
+++ b/crates/millwind-engine/tests/own_keys.rs
@@ -1,4 +1,4 @@
-//! The system's own keys as nodes tell each other of them.
+//! How nodes pass the system's own keys on to each other.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,16 +8,16 @@
 use millwind_wire::exchange::{DocumentList, ExchangeReply, StoredDocument, encode_exchange};
 use tokio::sync::watch;
 
-/// Notes what it is told.
+/// Records all listings and changes that it receives.
 #[derive(Default)]
-struct Witness {
+struct RecordingFollower {
     listings: Mutex<Vec<Listing>>,
     changes: Mutex<Vec<Entry>>,
 }
 
-impl Follower for Witness {
+impl Follower for RecordingFollower {
     fn name(&self) -> &'static str {
-        "witness"
+        "recorder"
     }
 
     fn listed(&self, listing: Listing) {
@@ -29,118 +29,118 @@
     }
 }
 
-fn own_keys() -> (OwnKeys, Arc<Witness>) {
-    let witness = Arc::new(Witness::default());
+fn own_keys() -> (OwnKeys, Arc<RecordingFollower>) {
+    let follower = Arc::new(RecordingFollower::default());
     let (_, reads_store) = watch::channel(StoreReading::Reading);
-    (OwnKeys::new(vec![witness.clone()], reads_store), witness)
+    (OwnKeys::new(vec![follower.clone()], reads_store), follower)
 }
 
-/// A revision of a store that was never restored.
-fn plain(number: u64) -> StoreRevision {
+/// Returns a revision of a store that was never restored.
+fn first_era(number: u64) -> StoreRevision {
     StoreRevision::new(0, number)
 }
 
-fn documents_after(teacher: &OwnKeys, revision: StoreRevision) -> Vec<StoredDocument> {
-    teacher.documents_after(revision).into_documents().unwrap()
+fn documents_after(source: &OwnKeys, revision: StoreRevision) -> Vec<StoredDocument> {
+    source.documents_after(revision).into_documents().unwrap()
 }
 
 fn entry(key: &str, value: Option<&str>, revision: u64) -> Entry {
     Entry {
         key: key.to_owned(),
         value: value.map(|value| value.as_bytes().to_vec()),
-        revision: plain(revision),
+        revision: first_era(revision),
     }
 }
 
 fn listing(revision: u64, entries: Vec<Entry>) -> Listing {
     Listing {
-        revision: plain(revision),
+        revision: first_era(revision),
         entries,
     }
 }
 
 #[test]
-fn a_node_without_knowledge_takes_a_peers_as_a_listing() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(
+fn a_node_without_documents_takes_those_of_a_peer_as_a_listing() {
+    let (source, _) = own_keys();
+    source.listed(listing(
         7,
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
-    let (pupil, witness) = own_keys();
-    pupil.learn(
-        documents_after(&teacher, StoreRevision::NONE),
-        teacher.known_revision(),
+    let (target, follower) = own_keys();
+    target.learn(
+        documents_after(&source, StoreRevision::NONE),
+        source.known_revision(),
     );
-    assert_eq!(pupil.known_revision(), plain(7));
-    let listings = witness.listings.lock().unwrap();
+    assert_eq!(target.known_revision(), first_era(7));
+    let listings = follower.listings.lock().unwrap();
     assert_eq!(listings.len(), 1);
     assert_eq!(listings[0].entries.len(), 2);
 }
 
 #[test]
-fn only_what_changed_is_told_and_told_once() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(7, vec![entry("a", Some("1"), 3)]));
-    let (pupil, witness) = own_keys();
-    pupil.learn(
-        documents_after(&teacher, StoreRevision::NONE),
-        teacher.known_revision(),
+fn only_changes_are_passed_on_and_only_once() {
+    let (source, _) = own_keys();
+    source.listed(listing(7, vec![entry("a", Some("1"), 3)]));
+    let (target, follower) = own_keys();
+    target.learn(
+        documents_after(&source, StoreRevision::NONE),
+        source.known_revision(),
     );
-    teacher.changed(vec![entry("b", Some("2"), 9)]);
-    let news = documents_after(&teacher, pupil.known_revision());
-    assert_eq!(news.len(), 1);
-    pupil.learn(news.clone(), teacher.known_revision());
-    pupil.learn(news, teacher.known_revision());
+    source.changed(vec![entry("b", Some("2"), 9)]);
+    let changed_documents = documents_after(&source, target.known_revision());
+    assert_eq!(changed_documents.len(), 1);
+    target.learn(changed_documents.clone(), source.known_revision());
+    target.learn(changed_documents, source.known_revision());
     assert_eq!(
-        *witness.changes.lock().unwrap(),
+        *follower.changes.lock().unwrap(),
         [entry("b", Some("2"), 9)],
-        "told once"
+        "the change is passed on once"
     );
-    assert!(documents_after(&teacher, pupil.known_revision()).is_empty());
+    assert!(documents_after(&source, target.known_revision()).is_empty());
 }
 
 #[test]
-fn a_key_that_a_listing_lacks_is_told_as_removed() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(
+fn a_key_missing_from_a_listing_is_reported_as_removed() {
+    let (source, _) = own_keys();
+    source.listed(listing(
         7,
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
-    let (pupil, witness) = own_keys();
-    pupil.learn(
-        documents_after(&teacher, StoreRevision::NONE),
-        teacher.known_revision(),
+    let (target, follower) = own_keys();
+    target.learn(
+        documents_after(&source, StoreRevision::NONE),
+        source.known_revision(),
     );
-    teacher.listed(listing(12, vec![entry("b", Some("2"), 5)]));
-    pupil.learn(
-        documents_after(&teacher, pupil.known_revision()),
-        teacher.known_revision(),
+    source.listed(listing(12, vec![entry("b", Some("2"), 5)]));
+    target.learn(
+        documents_after(&source, target.known_revision()),
+        source.known_revision(),
     );
-    assert_eq!(*witness.changes.lock().unwrap(), [entry("a", None, 12)]);
+    assert_eq!(*follower.changes.lock().unwrap(), [entry("a", None, 12)]);
 }
 
 #[test]
-fn an_older_listing_undoes_nothing() {
-    let (keys, witness) = own_keys();
+fn an_older_listing_does_not_revert_changes() {
+    let (keys, follower) = own_keys();
     keys.listed(listing(7, vec![entry("a", Some("1"), 3)]));
     keys.changed(vec![entry("a", Some("2"), 9)]);
     keys.listed(listing(8, vec![entry("a", Some("1"), 3)]));
-    let listings = witness.listings.lock().unwrap();
+    let listings = follower.listings.lock().unwrap();
     let last = listings.last().unwrap();
     assert_eq!(last.entries, [entry("a", Some("2"), 9)]);
-    assert_eq!(keys.known_revision(), plain(9));
+    assert_eq!(keys.known_revision(), first_era(9));
 }
 
 #[test]
-fn a_peer_that_knows_nothing_teaches_nothing() {
-    let (pupil, witness) = own_keys();
-    pupil.learn(Vec::new(), StoreRevision::NONE);
-    assert_eq!(pupil.known_revision(), plain(0));
-    assert!(witness.listings.lock().unwrap().is_empty());
+fn an_empty_reply_of_a_peer_changes_nothing() {
+    let (target, follower) = own_keys();
+    target.learn(Vec::new(), StoreRevision::NONE);
+    assert_eq!(target.known_revision(), first_era(0));
+    assert!(follower.listings.lock().unwrap().is_empty());
 }
 
-/// Bytes of an answer that holds `documents`.
-fn travelling_bytes(documents: DocumentList) -> usize {
+/// Returns the encoded size of a catalog reply with `documents`, in bytes.
+fn encoded_size(documents: DocumentList) -> usize {
     let answer = ExchangeReply::Catalog {
         config: Vec::new(),
         evacuations: Vec::new(),
@@ -172,50 +172,53 @@
     (0..count).map(node).collect()
 }
 
-/// After a common start each of 36 nodes asks a relay for all that it knows.
+/// Bounds the load on a relay that sends all documents to many starting nodes.
 #[test]
-fn a_node_that_knows_nothing_is_told_all_in_a_quarter_of_the_bytes() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(2_000, node_entries(1_000)));
-    let plain: usize = node_entries(1_000)
+fn a_full_transfer_takes_less_than_a_quarter_of_the_uncompressed_size() {
+    let (source, _) = own_keys();
+    source.listed(listing(2_000, node_entries(1_000)));
+    let uncompressed: usize = node_entries(1_000)
         .iter()
         .map(|entry| entry.key.len() + entry.value.as_ref().map_or(0, Vec::len))
         .sum();
-    let travelling = travelling_bytes(teacher.documents_after(StoreRevision::NONE));
-    assert!(travelling * 4 < plain, "{travelling} bytes for {plain}");
-    assert_eq!(documents_after(&teacher, StoreRevision::NONE).len(), 1_000);
+    let encoded = encoded_size(source.documents_after(StoreRevision::NONE));
+    assert!(
+        encoded * 4 < uncompressed,
+        "{encoded} encoded bytes for {uncompressed} bytes"
+    );
+    assert_eq!(documents_after(&source, StoreRevision::NONE).len(), 1_000);
 }
 
 #[test]
-fn what_changed_since_documents_were_packed_is_told_with_them() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(2_000, node_entries(100)));
-    assert_eq!(documents_after(&teacher, StoreRevision::NONE).len(), 100);
-    teacher.changed(vec![
+fn changes_after_packing_are_sent_with_the_packed_documents() {
+    let (source, _) = own_keys();
+    source.listed(listing(2_000, node_entries(100)));
+    assert_eq!(documents_after(&source, StoreRevision::NONE).len(), 100);
+    source.changed(vec![
         entry("nodes/zone-0/node-0", Some("new"), 2_001),
         entry("nodes/zone-1/node-1", None, 2_002),
     ]);
-    let (pupil, witness) = own_keys();
-    pupil.learn(
-        documents_after(&teacher, StoreRevision::NONE),
-        teacher.known_revision(),
+    let (target, follower) = own_keys();
+    target.learn(
+        documents_after(&source, StoreRevision::NONE),
+        source.known_revision(),
     );
-    let listings = witness.listings.lock().unwrap();
+    let listings = follower.listings.lock().unwrap();
     let entries = &listings[0].entries;
     assert_eq!(entries.len(), 99);
     let changed = entries.iter().find(|entry| entry.key == "nodes/zone-0/node-0");
     assert_eq!(changed.unwrap().value.as_deref(), Some("new".as_bytes()));
-    // Many changes are packed anew, with the same result.
+    // Many changes cause a repack, with the same result.
     let renewed = node_entries(100).into_iter().map(|held| Entry {
-        revision: plain(held.revision.number + 3_000),
+        revision: first_era(held.revision.number + 3_000),
         ..held
     });
-    teacher.changed(renewed.collect());
-    assert_eq!(documents_after(&teacher, StoreRevision::NONE).len(), 100);
-    assert!(documents_after(&teacher, teacher.known_revision()).is_empty());
+    source.changed(renewed.collect());
+    assert_eq!(documents_after(&source, StoreRevision::NONE).len(), 100);
+    assert!(documents_after(&source, source.known_revision()).is_empty());
 }
 
-/// The same entry as a store tells it in a later era.
+/// Returns the same entry with its revision in `era`.
 fn in_era(era: u32, held: &Entry) -> Entry {
     Entry {
         revision: StoreRevision::new(era, held.revision.number),
@@ -224,8 +227,8 @@
 }
 
 #[test]
-fn what_a_restored_store_lacks_is_gone_though_its_revisions_went_back() {
-    let (keys, witness) = own_keys();
+fn keys_lost_by_a_restore_are_removed_though_revisions_went_back() {
+    let (keys, follower) = own_keys();
     let (kept, lost) = (entry("a", Some("old"), 40), entry("b", Some("lost"), 60));
     keys.listed(listing(70, vec![entry("a", Some("new"), 65), lost]));
     keys.listed(Listing {
@@ -233,57 +236,57 @@
         entries: vec![in_era(1, &kept)],
     });
     assert_eq!(keys.known_revision(), StoreRevision::new(1, 50));
-    let listings = witness.listings.lock().unwrap();
+    let listings = follower.listings.lock().unwrap();
     assert_eq!(listings[1].entries, [in_era(1, &kept)]);
 }
 
-/// A node that the store refuses hears of the restore from another one, and a node that
-/// has not heard of it teaches nothing any more.
+/// A node without access to the store learns of a restore from a peer, and documents from
+/// before the restore are ignored.
 #[test]
-fn news_of_a_later_era_replace_all_and_those_of_an_earlier_one_nothing() {
+fn documents_of_a_later_era_replace_all_and_those_of_an_earlier_era_none() {
     let (restored, _) = own_keys();
     let kept = in_era(1, &entry("a", Some("old"), 40));
     restored.listed(Listing {
         revision: StoreRevision::new(1, 50),
         entries: vec![kept.clone()],
     });
-    let (behind, witness) = own_keys();
-    behind.listed(listing(
+    let (outdated, follower) = own_keys();
+    outdated.listed(listing(
         70,
         vec![entry("a", Some("new"), 65), entry("b", Some("lost"), 60)],
     ));
     restored.learn(
-        documents_after(&behind, restored.known_revision()),
-        behind.known_revision(),
+        documents_after(&outdated, restored.known_revision()),
+        outdated.known_revision(),
     );
     assert_eq!(restored.known_revision(), StoreRevision::new(1, 50));
-    behind.learn(
-        documents_after(&restored, behind.known_revision()),
+    outdated.learn(
+        documents_after(&restored, outdated.known_revision()),
         restored.known_revision(),
     );
-    assert_eq!(behind.known_revision(), StoreRevision::new(1, 50));
-    let listings = witness.listings.lock().unwrap();
+    assert_eq!(outdated.known_revision(), StoreRevision::new(1, 50));
+    let listings = follower.listings.lock().unwrap();
     assert_eq!(listings[1].entries, [kept]);
 }
 
-/// A listing tells removals at its own revision, which may be that of the newest document;
-/// and another node may tell of an older document late.
+/// A listing reports removals at its own revision, which may equal that of the newest packed
+/// document, and a peer may report an older document late.
 #[test]
-fn a_document_that_is_no_newer_than_those_packed_is_told_as_well() {
-    let (teacher, _) = own_keys();
-    teacher.listed(listing(100, node_entries(100)));
-    let after = plain(40);
-    assert_eq!(documents_after(&teacher, StoreRevision::NONE).len(), 100);
-    assert_eq!(documents_after(&teacher, after).len(), 60);
-    // The store holds one less, as of the revision of the newest.
+fn a_change_no_newer_than_the_packed_documents_is_sent_as_well() {
+    let (source, _) = own_keys();
+    source.listed(listing(100, node_entries(100)));
+    let after = first_era(40);
+    assert_eq!(documents_after(&source, StoreRevision::NONE).len(), 100);
+    assert_eq!(documents_after(&source, after).len(), 60);
+    // The next listing lacks one document, at the revision of the newest document.
     let mut present = node_entries(100);
     let gone = present.remove(50);
-    teacher.listed(listing(100, present));
+    source.listed(listing(100, present));
     for known in [StoreRevision::NONE, after] {
-        let (pupil, witness) = own_keys();
-        pupil.learn(documents_after(&teacher, known), teacher.known_revision());
-        let listings = witness.listings.lock().unwrap();
-        let is_there = listings[0].entries.iter().any(|entry| entry.key == gone.key);
-        assert!(!is_there, "{} is told as present after {known}", gone.key);
+        let (target, follower) = own_keys();
+        target.learn(documents_after(&source, known), source.known_revision());
+        let listings = follower.listings.lock().unwrap();
+        let is_present = listings[0].entries.iter().any(|entry| entry.key == gone.key);
+        assert!(!is_present, "{} is sent as present after {known}", gone.key);
     }
 }
--- a/crates/millwind-engine/tests/owner_links.rs
+++ b/crates/millwind-engine/tests/owner_links.rs
@@ -1,5 +1,5 @@
-//! A link to an owner: what counts as silence, and how a link ends that has not
-//! proved itself.
+//! Links to an owner: when a link counts as silent, and how a link ends whose owner fails a
+//! liveness probe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use tokio::sync::oneshot;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// A large answer has so many rows of the next many bytes.
-const ROWS: usize = 24;
+/// Rows of a large answer, and the size of each row.
+const ANSWER_ROWS: usize = 24;
 const ROW_BYTES: usize = 20_000;
-/// It is sent row by row, with this pause between two: 1.4 s in all, beyond the
-/// silence after which a link is given up.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Time for a proof, far below what the owner of a test takes.
-const PROOF: Duration = Duration::from_millis(30);
-/// Far beyond what anything in a test takes.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Interval between the parts of a large answer. Sending all parts takes longer than the
+/// silence after which a link is closed.
+const PART_INTERVAL: Duration = Duration::from_millis(60);
+/// Time limit of a liveness probe, which the owner does not answer.
+const PROBE_LIMIT: Duration = Duration::from_millis(30);
+/// Longest wait for any event in a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Owner {
-    /// Answers calls slowly, and says nothing else.
-    Slow,
-    /// Answers calls at once, and never says that it lives.
-    Mute,
+enum OwnerBehaviour {
+    /// Answers calls slowly, and ignores liveness probes.
+    AnswersSlowly,
+    /// Answers calls at once, and ignores liveness probes.
+    IgnoresProbes,
 }
 
 fn statement(call: u64) -> ForwardRequest {
@@ -67,23 +67,23 @@
     encode_forward(&ForwardReply::Answer(answer)).unwrap()
 }
 
-/// Serves one link until it ends.
-async fn serve(stream: TcpStream, owner: Owner) {
+/// Serves one link until the peer closes it.
+async fn serve(stream: TcpStream, owner: OwnerBehaviour) {
     let mut link = Framed::new(stream, LengthDelimitedCodec::new());
     while let Some(Ok(message)) = link.next().await {
         let Ok(ForwardRequest::Run(statement)) = decode_forward(&message) else {
             continue;
         };
-        if owner == Owner::Mute {
+        if owner == OwnerBehaviour::IgnoresProbes {
             let answer = answer(statement.call, 0);
             link.send(Bytes::from(answer)).await.unwrap();
             continue;
         }
-        let answer = answer(statement.call, ROWS);
+        let answer = answer(statement.call, ANSWER_ROWS);
         let stream = link.get_mut();
         stream.write_u32(answer.len() as u32).await.unwrap();
         for part in answer.chunks(ROW_BYTES) {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(PART_INTERVAL).await;
             if stream.write_all(part).await.is_err() {
                 return;
             }
@@ -91,11 +91,11 @@
     }
 }
 
-/// A link to an owner, and what tells when the owner's end of it has ended.
-async fn linked(owner: Owner) -> (Arc<OwnerLink>, oneshot::Receiver<()>) {
+/// Connects to an owner. The receiver resolves when the owner's end of the link is closed.
+async fn connect_to(owner: OwnerBehaviour) -> (Arc<OwnerLink>, oneshot::Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
-    let (ended, is_ended) = oneshot::channel();
+    let (ended, ended_receiver) = oneshot::channel();
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.unwrap();
         serve(stream, owner).await;
@@ -104,37 +104,48 @@
     let stream = TcpStream::connect(address).await.unwrap();
     (
         OwnerLink::start(address, stream, Arc::new(LinkDoubt::default())),
-        is_ended,
+        ended_receiver,
     )
 }
 
 #[tokio::test]
-async fn an_answer_that_keeps_arriving_keeps_its_link() {
-    let (link, _ended) = linked(Owner::Slow).await;
+async fn a_slowly_arriving_answer_keeps_its_link() {
+    let (link, _ended) = connect_to(OwnerBehaviour::AnswersSlowly).await;
     let answered = link.call(1, statement(1));
-    let answer = tokio::time::timeout(PATIENCE, answered).await.unwrap();
-    assert_eq!(answer.expect("the link was kept").rows.len(), ROWS);
+    let answer = tokio::time::timeout(TEST_TIMEOUT, answered).await.unwrap();
+    assert_eq!(
+        answer
+            .expect("the link was closed before the whole answer arrived")
+            .rows
+            .len(),
+        ANSWER_ROWS
+    );
 }
 
 #[tokio::test]
-async fn a_link_without_a_proof_takes_nothing_new_and_serves_what_it_has() {
-    let (link, _ended) = linked(Owner::Mute).await;
-    assert!(!link.prove(PROOF).await, "the owner is mute");
+async fn a_link_with_a_failed_probe_takes_no_new_leases_and_serves_open_ones() {
+    let (link, _ended) = connect_to(OwnerBehaviour::IgnoresProbes).await;
+    assert!(!link.prove(PROBE_LIMIT).await, "the owner ignores probes");
     assert!(!link.takes_leases());
     let answered = link.call(1, statement(1));
-    let answer = tokio::time::timeout(PATIENCE, answered).await.unwrap();
-    assert!(answer.is_ok(), "an open transaction's statement was not run");
+    let answer = tokio::time::timeout(TEST_TIMEOUT, answered).await.unwrap();
+    assert!(answer.is_ok(), "a statement of an open transaction did not run");
 }
 
 #[tokio::test]
-async fn a_link_ends_with_its_last_holder() {
-    let (link, ended) = linked(Owner::Mute).await;
+async fn a_link_closes_when_its_last_reference_is_dropped() {
+    let (link, ended) = connect_to(OwnerBehaviour::IgnoresProbes).await;
     let lease = link.clone();
-    assert!(!link.prove(PROOF).await, "the owner is mute");
+    assert!(!link.prove(PROBE_LIMIT).await, "the owner ignores probes");
     drop(link);
     let answered = lease.call(1, statement(1));
-    assert!(tokio::time::timeout(PATIENCE, answered).await.unwrap().is_ok());
+    assert!(
+        tokio::time::timeout(TEST_TIMEOUT, answered)
+            .await
+            .unwrap()
+            .is_ok()
+    );
     drop(lease);
-    let ended = tokio::time::timeout(PATIENCE, ended).await;
+    let ended = tokio::time::timeout(TEST_TIMEOUT, ended).await;
     assert!(ended.is_ok(), "the owner's end is still open");
 }
--- a/crates/millwind-engine/tests/permits.rs
+++ b/crates/millwind-engine/tests/permits.rs
@@ -1,5 +1,5 @@
-//! Which news give a node permits to count on leaders, where promotions don't
-//! fence.
+//! When a node holds a permit to accept answers of a leader, in groups whose promotions
+//! do not fence the old leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
 
-const OWN: &str = "n1";
+const OWN_NODE: &str = "n1";
 
 fn record(departure: Option<Departure>) -> NodeRecord {
     NodeRecord {
@@ -25,7 +25,7 @@
 
 fn entry(departure: Option<Departure>, revision: u64) -> Entry {
     Entry {
-        key: format!("nodes/{OWN}"),
+        key: format!("nodes/{OWN_NODE}"),
         value: Some(serde_json::to_vec(&record(departure)).unwrap()),
         revision: StoreRevision::new(0, revision),
     }
@@ -33,11 +33,11 @@
 
 fn node() -> (Arc<Directory>, Registry) {
     let directory = Arc::new(Directory::new("z1", 0, false));
-    let registry = Registry::new("nodes/".to_owned(), OWN.to_owned(), directory.clone());
+    let registry = Registry::new("nodes/".to_owned(), OWN_NODE.to_owned(), directory.clone());
     (directory, registry)
 }
 
-fn counts_leader(directory: &Directory, term: u64) -> bool {
+fn accepts_leader(directory: &Directory, term: u64) -> bool {
     let group = GroupName::from("ledger");
     let instance = InstanceName::from("i-a");
     directory.leader_proved(&group, &instance, clock::now(), Position::new(term, 1))
@@ -51,97 +51,97 @@
 }
 
 #[test]
-fn a_node_without_news_counts_on_nobody() {
+fn a_node_without_confirmed_terms_accepts_no_leader() {
     let (directory, _registry) = node();
-    assert!(!counts_leader(&directory, 1));
+    assert!(!accepts_leader(&directory, 1));
 }
 
 #[test]
-fn news_before_the_registration_give_no_permit() {
+fn terms_confirmed_before_registration_give_no_permit() {
     let (directory, registry) = node();
-    let before = clock::now();
+    let asked_before = clock::now();
     std::thread::sleep(std::time::Duration::from_millis(2));
-    registry.written(OWN, record(None), StoreRevision::new(0, 5));
-    directory.confirm_terms(before);
-    assert!(!counts_leader(&directory, 1));
+    registry.written(OWN_NODE, record(None), StoreRevision::new(0, 5));
+    directory.confirm_terms(asked_before);
+    assert!(!accepts_leader(&directory, 1));
     directory.confirm_terms(clock::now());
-    assert!(counts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 1));
 }
 
 #[test]
-fn a_record_of_an_earlier_life_serves_from_the_start() {
+fn a_node_record_of_an_earlier_process_counts_as_registration() {
     let (directory, registry) = node();
     let asked = clock::now();
     registry.listed(listing(vec![entry(None, 5)]));
     directory.confirm_terms(asked);
-    assert!(counts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 1));
 }
 
 #[test]
-fn news_of_before_the_start_give_no_permit_to_a_restarted_node() {
-    let before = clock::now();
+fn terms_confirmed_before_a_restart_give_no_permit() {
+    let asked_before = clock::now();
     std::thread::sleep(std::time::Duration::from_millis(2));
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(before);
-    assert!(!counts_leader(&directory, 1));
+    directory.confirm_terms(asked_before);
+    assert!(!accepts_leader(&directory, 1));
 }
 
 #[test]
-fn a_marked_node_gets_no_permit_until_it_has_registered_anew() {
+fn a_node_marked_unreachable_gets_no_permit_until_it_registers_again() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(Some(Departure::Unreachable), 5)]));
     directory.confirm_terms(clock::now());
-    assert!(!counts_leader(&directory, 1));
-    registry.written(OWN, record(None), StoreRevision::new(0, 6));
+    assert!(!accepts_leader(&directory, 1));
+    registry.written(OWN_NODE, record(None), StoreRevision::new(0, 6));
     directory.confirm_terms(clock::now());
-    assert!(counts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 1));
 }
 
 #[test]
-fn a_closed_term_is_no_longer_counted_and_a_later_one_is() {
+fn a_leader_of_a_closed_term_is_rejected_and_one_of_a_later_term_accepted() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
     directory.confirm_terms(clock::now());
     let group = GroupName::from("ledger");
     let leader = InstanceName::from("i-a");
-    assert!(counts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 1));
     directory.close_term(&group, Term(1), Some(&leader));
     assert_eq!(directory.leader(&group), None);
     assert!(!directory.may_lead(&group, &leader, true));
     directory.hand_back(&group, Term(1));
-    assert!(!counts_leader(&directory, 1));
-    assert!(counts_leader(&directory, 2));
+    assert!(!accepts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 2));
     assert!(directory.may_lead(&group, &leader, true));
 }
 
 #[test]
-fn a_marked_node_is_asked_for_its_permits_until_they_have_run_out() {
+fn a_node_marked_unreachable_is_a_permit_holder_until_its_permits_expire() {
     let (_, registry) = node();
-    let other = |departure: Option<Departure>| Entry {
+    let other_node_entry = |departure: Option<Departure>| Entry {
         key: "nodes/n2".to_owned(),
         ..entry(departure, 6)
     };
-    registry.listed(listing(vec![other(None)]));
+    registry.listed(listing(vec![other_node_entry(None)]));
     assert_eq!(registry.permit_holders().len(), 1);
-    registry.listed(listing(vec![other(Some(Departure::Unreachable))]));
+    registry.listed(listing(vec![other_node_entry(Some(Departure::Unreachable))]));
     assert_eq!(
         registry.permit_holders().len(),
         1,
-        "marked less than a permit's time ago"
+        "marked unreachable more recently than a permit lasts"
     );
-    registry.listed(listing(vec![other(Some(Departure::Stopped))]));
+    registry.listed(listing(vec![other_node_entry(Some(Departure::Stopped))]));
     assert!(registry.permit_holders().is_empty());
 }
 
 #[test]
-fn a_node_that_ends_takes_no_permits_any_more() {
+fn a_stopping_node_obtains_no_permits() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
     directory.confirm_terms(clock::now());
-    assert!(counts_leader(&directory, 1));
+    assert!(accepts_leader(&directory, 1));
     directory.drop_permits();
     registry.apply(vec![entry(None, 6)]);
     directory.confirm_terms(clock::now());
-    assert!(!counts_leader(&directory, 1));
+    assert!(!accepts_leader(&directory, 1));
 }
--- a/crates/millwind-engine/tests/restored_duties.rs
+++ b/crates/millwind-engine/tests/restored_duties.rs
@@ -1,5 +1,5 @@
-//! Duties before a store that is restored from older copies, again and again: tokens rise,
-//! closed terms are written again by whoever knows them, and nobody is shut out for good.
+//! Duty records in a store that is repeatedly restored from backups: fencing tokens keep
+//! rising, closed terms are written back, and every node can take the duty again.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -18,81 +18,81 @@
 const PREFIX: &str = "duty/";
 
 #[derive(Debug, Clone, Default)]
-struct Content {
-    items: BTreeMap<String, (Vec<u8>, u64)>,
-    counter: u64,
+struct StoreContent {
+    values: BTreeMap<String, (Vec<u8>, u64)>,
+    last_revision: u64,
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    content: Content,
-    copy: Content,
+struct StoreState {
+    content: StoreContent,
+    backup: StoreContent,
     era: u32,
 }
 
-/// A store that can be copied and restored.
+/// An in-memory store that can be backed up and restored.
 #[derive(Debug, Default)]
-struct RestoredStore(Mutex<Held>);
+struct RestorableStore(Mutex<StoreState>);
 
-impl RestoredStore {
-    fn copy(&self) {
-        let mut held = self.0.lock().unwrap();
-        held.copy = held.content.clone();
+impl RestorableStore {
+    fn back_up(&self) {
+        let mut state = self.0.lock().unwrap();
+        state.backup = state.content.clone();
     }
 
     fn restore(&self) {
-        let mut held = self.0.lock().unwrap();
-        held.content = held.copy.clone();
-        held.era += 1;
+        let mut state = self.0.lock().unwrap();
+        state.content = state.backup.clone();
+        state.era += 1;
     }
 
-    /// Other writers' changes move the counter on.
-    fn written_elsewhere(&self, writes: u64) {
-        self.0.lock().unwrap().content.counter += writes;
+    /// Advances the revision as if other clients had written `writes` times.
+    fn advance_revision(&self, writes: u64) {
+        self.0.lock().unwrap().content.last_revision += writes;
     }
 
     fn listing(&self) -> Listing {
-        let held = self.0.lock().unwrap();
+        let state = self.0.lock().unwrap();
         let entry = |(key, (value, number)): (&String, &(Vec<u8>, u64))| Entry {
             key: key.clone(),
             value: Some(value.clone()),
-            revision: StoreRevision::new(held.era, *number),
+            revision: StoreRevision::new(state.era, *number),
         };
         Listing {
-            revision: StoreRevision::new(held.era, held.content.counter),
-            entries: held.content.items.iter().map(entry).collect(),
+            revision: StoreRevision::new(state.era, state.content.last_revision),
+            entries: state.content.values.iter().map(entry).collect(),
         }
     }
 
     fn record(&self, key: &str) -> Option<DutyRecord> {
-        let held = self.0.lock().unwrap();
-        let (value, _) = held.content.items.get(key)?;
+        let state = self.0.lock().unwrap();
+        let (value, _) = state.content.values.get(key)?;
         Some(serde_json::from_slice(value).unwrap())
     }
 }
 
-struct NoWatch;
+struct PendingWatch;
 
-impl Watch for NoWatch {
+impl Watch for PendingWatch {
     async fn next(&mut self) -> Result<WatchReport, StoreError> {
         std::future::pending().await
     }
 }
 
-impl Store for RestoredStore {
-    type Watch = NoWatch;
+impl Store for RestorableStore {
+    type Watch = PendingWatch;
 
     async fn list(&self, _prefix: &str, _silence: Duration) -> Result<Listing, StoreError> {
         Ok(self.listing())
     }
 
-    async fn watch(&self, _prefix: &str, _revision: StoreRevision) -> Result<NoWatch, StoreError> {
-        Ok(NoWatch)
+    async fn watch(&self, _prefix: &str, _revision: StoreRevision) -> Result<PendingWatch, StoreError> {
+        Ok(PendingWatch)
     }
 
     async fn swap(&self, conditions: &[Condition], writes: &[Write]) -> Result<Swap, StoreError> {
-        let mut held = self.0.lock().unwrap();
-        let era = held.era;
+        let mut state = self.0.lock().unwrap();
+        let era = state.era;
         for condition in conditions {
             let known = condition.revision;
             if !known.is_none() && known.era != era {
@@ -101,7 +101,7 @@
                     present: era,
                 });
             }
-            let present = held.content.items.get(&condition.key);
+            let present = state.content.values.get(&condition.key);
             if present.map_or(0, |(_, number)| *number) != known.number {
                 let current = present.map(|(value, number)| Entry {
                     key: condition.key.clone(),
@@ -113,11 +113,12 @@
                 });
             }
         }
-        held.content.counter += 1;
-        let number = held.content.counter;
+        state.content.last_revision += 1;
+        let number = state.content.last_revision;
         for write in writes {
-            held.content
-                .items
+            state
+                .content
+                .values
                 .insert(write.key.clone(), (write.value.clone(), number));
         }
         Ok(Swap::Done {
@@ -127,11 +128,11 @@
 }
 
 struct TestNode {
-    duties: Duties<RestoredStore>,
+    duties: Duties<RestorableStore>,
     directory: Arc<Directory>,
 }
 
-fn node(name: &str, store: &Arc<RestoredStore>) -> TestNode {
+fn node(name: &str, store: &Arc<RestorableStore>) -> TestNode {
     let directory = Arc::new(Directory::new("zone", 0, false));
     TestNode {
         duties: Duties::new(
@@ -144,15 +145,15 @@
     }
 }
 
-/// What happens, by which of the nodes.
+/// A step of the test. A `usize` is the index of the node that takes the step.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Hold(usize),
     Close(usize, u64),
     Order(usize),
-    Hear(usize),
-    WrittenElsewhere(u64),
-    Copy,
+    Relist(usize),
+    AdvanceRevision(u64),
+    BackUp,
     Restore,
 }
 
@@ -162,9 +163,9 @@
         node.clone().prop_map(Step::Hold),
         (node.clone(), 1_u64..20).prop_map(|(node, term)| Step::Close(node, term)),
         node.clone().prop_map(Step::Order),
-        node.prop_map(Step::Hear),
-        (1_u64..40).prop_map(Step::WrittenElsewhere),
-        Just(Step::Copy),
+        node.prop_map(Step::Relist),
+        (1_u64..40).prop_map(Step::AdvanceRevision),
+        Just(Step::BackUp),
         Just(Step::Restore),
     ]
 }
@@ -173,8 +174,13 @@
     InstanceName::from("replica")
 }
 
-async fn play(nodes: &[TestNode; 2], store: &RestoredStore, group: &GroupName, step: Step) -> Option<u64> {
-    let claimed = match step {
+async fn run_step(
+    nodes: &[TestNode; 2],
+    store: &RestorableStore,
+    group: &GroupName,
+    step: Step,
+) -> Option<u64> {
+    let attempt = match step {
         Step::Hold(node) => (node, Claim::Hold),
         Step::Order(node) => (node, Claim::Order(replica())),
         Step::Close(node, term) => {
@@ -185,16 +191,16 @@
             };
             (node, claim)
         }
-        Step::Hear(node) => {
+        Step::Relist(node) => {
             nodes[node].duties.listed(store.listing());
             return None;
         }
-        Step::WrittenElsewhere(writes) => {
-            store.written_elsewhere(writes);
+        Step::AdvanceRevision(writes) => {
+            store.advance_revision(writes);
             return None;
         }
-        Step::Copy => {
-            store.copy();
+        Step::BackUp => {
+            store.back_up();
             return None;
         }
         Step::Restore => {
@@ -202,29 +208,29 @@
             return None;
         }
     };
-    nodes[claimed.0].duties.take(group, claimed.1).await.ok()
+    nodes[attempt.0].duties.take(group, attempt.1).await.ok()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
     #[test]
-    fn tokens_rise_and_closed_terms_come_back(steps in prop::collection::vec(any_step(), 1..40)) {
+    fn tokens_rise_and_closed_terms_are_restored(steps in prop::collection::vec(any_step(), 1..40)) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(async {
-            let store = Arc::new(RestoredStore::default());
+            let store = Arc::new(RestorableStore::default());
             let nodes = [node("a", &store), node("b", &store)];
             let group = GroupName::from("ledger");
-            let mut newest = 0;
+            let mut newest_token = 0;
             for step in steps {
-                if let Some(token) = play(&nodes, &store, &group, step).await {
-                    prop_assert!(token > newest, "token {} after {}", token, newest);
-                    newest = token;
+                if let Some(token) = run_step(&nodes, &store, &group, step).await {
+                    prop_assert!(token > newest_token, "token {} after {}", token, newest_token);
+                    newest_token = token;
                 }
             }
             let known = nodes.iter().map(|node| node.directory.closed_terms(&group).closed());
             let closed = known.max().unwrap();
-            // Each hears the store, and writes again what it lacks.
+            // Each node lists the store and writes back the records that the store lost.
             for node in &nodes {
                 node.duties.listed(store.listing());
                 node.duties.restore(&group).await;
@@ -232,15 +238,15 @@
             for node in &nodes {
                 node.duties.listed(store.listing());
             }
-            let held = store.record(&format!("{PREFIX}{group}")).map_or(Term(0), |record| record.closed_term);
-            prop_assert!(held >= closed, "term {} is closed, the store holds {}", closed, held);
+            let stored = store.record(&format!("{PREFIX}{group}")).map_or(Term(0), |record| record.closed_term);
+            prop_assert!(stored >= closed, "term {} is closed, but the store records {}", closed, stored);
             for node in &nodes {
                 prop_assert!(node.duties.lost_records().is_empty());
                 prop_assert!(node.directory.closed_terms(&group).closed() >= closed);
             }
-            // Nobody is shut out.
+            // A node can still take the duty, with a higher token.
             let token = nodes[0].duties.take(&group, Claim::Hold).await;
-            prop_assert!(token.is_ok_and(|token| token > newest));
+            prop_assert!(token.is_ok_and(|token| token > newest_token));
             Ok(())
         })?;
     }
--- a/crates/millwind-engine/tests/fleet_growth.rs
+++ b/crates/millwind-engine/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! What a node's own decisions cost as the fleet grows: by nodes, groups and instances.
+//! The cost of a node's decisions as the numbers of nodes, groups and instances grow.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 use millwind_store::{Entry, Listing, StoreRevision};
 
 const ZONES: usize = 6;
-/// Zones that instances run in.
+/// Number of zones with instances.
 const INSTANCE_ZONES: usize = 3;
-const SOUGHT: OwnersSought = OwnersSought {
+const OWNERS_SOUGHT: OwnersSought = OwnersSought {
     owners: 3,
     stand_ins: 5,
 };
-const WATCHERS: usize = 3;
+const WATCHER_COUNT: usize = 3;
 
 fn node_record(index: usize, departure: Option<Departure>) -> NodeRecord {
     NodeRecord {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A registry of node number `own` that knows `count` nodes.
+/// Returns the registry of node number `own` with `count` registered nodes.
 fn registry(own: usize, count: usize) -> Registry {
     let directory = Arc::new(Directory::new("zone-0", 0, true));
     let registry = Registry::new("nodes/".to_owned(), format!("node-{own}"), directory);
@@ -69,78 +69,81 @@
         regions: &AllowedRegions::Any,
     };
     registry
-        .owners(&place, SOUGHT)
+        .owners(&place, OWNERS_SOUGHT)
         .owners
         .iter()
         .any(|owner| owner.is_self)
 }
 
 #[test]
-fn a_node_owns_what_the_ranking_of_all_nodes_gives_it() {
+fn ownership_within_a_zone_agrees_with_the_ranking_of_all_nodes() {
     for own in [0, 1, 4, 40] {
         let registry = registry(own, 60);
         for (name, zone) in (0..300).map(instance) {
-            let owns = registry.is_owner_within(&name, &zone, SOUGHT.owners);
+            let owns = registry.is_owner_within(&name, &zone, OWNERS_SOUGHT.owners);
             assert_eq!(owns, Some(is_among_owners(&registry, &name, &zone)), "{name}");
         }
     }
 }
 
 #[test]
-fn a_zone_of_few_nodes_does_not_tell_who_owns() {
+fn a_zone_with_few_nodes_does_not_determine_the_owners() {
     let registry = registry(0, 8);
     let (name, _) = instance(0);
     assert_eq!(
-        registry.is_owner_within(&name, &ZoneName::from("zone-3"), SOUGHT.owners),
+        registry.is_owner_within(&name, &ZoneName::from("zone-3"), OWNERS_SOUGHT.owners),
         None
     );
     assert_eq!(
-        registry.is_owner_within(&name, &ZoneName::from("empty"), SOUGHT.owners),
+        registry.is_owner_within(&name, &ZoneName::from("empty"), OWNERS_SOUGHT.owners),
         None
     );
 }
 
 #[test]
-fn those_that_come_first_are_those_of_the_order() {
+fn being_among_the_first_agrees_with_the_rank() {
     let registry = registry(7, 200);
     for group in (0..500).map(|index| format!("group-{index}")) {
-        let is_first = registry.is_among_first(&group, WATCHERS);
-        assert_eq!(is_first, registry.rank(&group) < WATCHERS, "{group}");
+        let is_first = registry.is_among_first(&group, WATCHER_COUNT);
+        assert_eq!(is_first, registry.rank(&group) < WATCHER_COUNT, "{group}");
     }
 }
 
-/// Nodes weighed by one node that decides for `nodes` groups and three instances each
-/// which it watches and owns.
-fn weighed_for_all(nodes: usize) -> u64 {
+/// Returns how many nodes one node weighs to decide which of `nodes` groups it watches and
+/// which of their instances it owns, with three instances in each group.
+fn nodes_weighed_for_all_groups(nodes: usize) -> u64 {
     let registry = registry(12, nodes);
     for group in 0..nodes {
-        registry.is_among_first(&format!("group-{group}"), WATCHERS);
+        registry.is_among_first(&format!("group-{group}"), WATCHER_COUNT);
         for (name, zone) in (group * 3..group * 3 + 3).map(instance) {
-            registry.is_owner_within(&name, &zone, SOUGHT.owners);
+            registry.is_owner_within(&name, &zone, OWNERS_SOUGHT.owners);
         }
     }
     registry.nodes_weighed()
 }
 
-/// Every node decides that for every group after each change of the nodes. With every
-/// node weighed for every group it would grow as the square of the fleet.
+/// Guards against weighing every node for every group, whose cost would grow with the
+/// square of the fleet.
 #[test]
-fn what_is_weighed_for_all_groups_grows_like_the_groups() {
-    let (small, large) = (weighed_for_all(100), weighed_for_all(400));
-    let power = (large as f64 / small as f64).log(4.0);
+fn the_cost_for_all_groups_grows_almost_linearly() {
+    let (small, large) = (
+        nodes_weighed_for_all_groups(100),
+        nodes_weighed_for_all_groups(400),
+    );
+    let exponent = (large as f64 / small as f64).log(4.0);
     assert!(
-        power < 1.4,
-        "{small} and {large} nodes were weighed: power {power:.2}"
+        exponent < 1.4,
+        "{small} and {large} nodes were weighed: exponent {exponent:.2}"
     );
-    let of_fleet = weighed_for_all(2_000);
+    let for_large_fleet = nodes_weighed_for_all_groups(2_000);
     assert!(
-        of_fleet < 2_000 * 80,
-        "{of_fleet} nodes were weighed before 2,000 groups"
+        for_large_fleet < 2_000 * 80,
+        "{for_large_fleet} nodes were weighed for 2,000 groups"
     );
 }
 
 #[test]
-fn how_a_node_went_changes_no_order() {
+fn a_departure_mark_does_not_change_the_ranking() {
     let registry = registry(3, 50);
     let version = registry.version();
     registry.changed(vec![node_entry(5, Some(Departure::Stopped), 60)]);
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn heartbeats_change_nothing_that_watchers_follow_from() {
+fn heartbeats_do_not_mark_groups_as_changed() {
     let directory = Directory::new("zone-0", 0, true);
     for index in 0..30 {
         assert!(directory.apply_record(instance_record(index, 1)).has_changed);
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn terms_on_a_lead_are_those_of_its_databases_and_of_all_tenants() {
+fn lead_terms_combine_those_of_the_databases_and_of_all_tenants() {
     let only = |region: &str| AllowedRegions::from_list([RegionName::from(region)]);
     let databases = [(0, only("north")), (0, only("south")), (1, AllowedRegions::Any)];
     let named = databases.into_iter().enumerate();
@@ -288,29 +291,29 @@
     }
 }
 
-/// A relay sends the whole catalog to 36 nodes that start at the same moment.
+/// A relay needs bandwidth to send the whole catalog to many nodes that start together.
 #[test]
-fn nodes_with_wide_links_are_relays_before_others() {
+fn nodes_with_fast_links_are_preferred_as_relays() {
     let directory = Arc::new(Directory::new("zone-0", 0, true));
     let registry = Registry::new("nodes/".to_owned(), "node-0".to_owned(), directory);
-    let wide = [12, 60, 108];
-    let link = |index: usize| if wide.contains(&index) { 200 } else { 20 };
+    let fast = [12, 60, 108];
+    let link = |index: usize| if fast.contains(&index) { 200 } else { 20 };
     let entries = (0..120).map(|index| entry_with_link(index, link(index)));
     registry.listed(Listing {
         revision: StoreRevision::new(0, 120),
         entries: entries.collect(),
     });
     let first: BTreeSet<_> = registry.zone_peers("zone-0").into_iter().take(3).collect();
-    let expected = wide.iter().map(|index| node_record(*index, None).peer_address);
+    let expected = fast.iter().map(|index| node_record(*index, None).peer_address);
     assert_eq!(first, expected.collect());
-    // This node has a narrow link.
+    // This node has a slow link.
     assert!(registry.zone_rank("zone-0") >= 3);
 }
 
-/// The nodes of the own zone tell a starting node its relays; who owns what follows from
-/// all nodes, and is not known by that.
+/// The nodes of the own zone let a starting node find its relays. The registry counts as
+/// listed only once all nodes are known.
 #[test]
-fn the_nodes_of_the_own_zone_are_known_before_all_others() {
+fn the_nodes_of_the_own_zone_can_be_learned_first() {
     let directory = Arc::new(Directory::new("zone-0", 0, true));
     let registry = Registry::new("nodes/".to_owned(), "node-0".to_owned(), directory);
     assert_eq!(registry.zone_prefix(), "nodes/zone-0/");
--- a/crates/millwind-engine/tests/slow_answers.rs
+++ b/crates/millwind-engine/tests/slow_answers.rs
@@ -1,4 +1,4 @@
-//! A peer whose answer is large is not taken for one that is silent.
+//! A large answer that arrives slowly is not mistaken for a silent peer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,16 +14,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Size of the answer.
-const BYTES: usize = 480_000;
-/// It is sent in so many parts.
+/// Size of the answer in bytes.
+const ANSWER_SIZE: usize = 480_000;
+/// Number of parts that the answer is sent in.
 const PARTS: usize = 24;
-/// Between two parts; all of them take 1.2 s.
-const PAUSE: Duration = Duration::from_millis(50);
-/// A peer that says nothing is given up within this time.
-const SILENT_LIMIT: Duration = Duration::from_millis(1_200);
+/// Interval between two parts; sending all parts takes 1.2 s.
+const PART_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time until a request to a silent peer fails.
+const GIVE_UP_LIMIT: Duration = Duration::from_millis(1_200);
 
-fn catalog_question() -> ExchangeRequest {
+fn catalog_request() -> ExchangeRequest {
     ExchangeRequest::Catalog {
         config_version: 0,
         instances_revision: StoreRevision::new(0, 0),
@@ -38,7 +38,7 @@
         key: String::new(),
         revision: StoreRevision::new(0, 7),
         removed: 0,
-        value: vec![7; BYTES],
+        value: vec![7; ANSWER_SIZE],
     };
     ExchangeReply::Catalog {
         config: vec![],
@@ -53,7 +53,7 @@
     }
 }
 
-/// Answers one question after another, large answers slowly.
+/// Answers requests in order, and sends catalogs slowly.
 async fn serve(stream: TcpStream) {
     let mut link = Framed::new(stream, LengthDelimitedCodec::new());
     while let Some(Ok(message)) = link.next().await {
@@ -69,7 +69,7 @@
         let stream = link.get_mut();
         stream.write_u32(answer.len() as u32).await.unwrap();
         for part in answer.chunks(answer.len().div_ceil(PARTS)) {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(PART_INTERVAL).await;
             if stream.write_all(part).await.is_err() {
                 return;
             }
@@ -89,18 +89,18 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_keeps_arriving_is_not_given_up() {
+async fn a_slowly_arriving_answer_is_received() {
     let peer = start_peer().await;
-    let answer = PeerClient::default().ask(peer, &catalog_question()).await;
+    let answer = PeerClient::default().ask(peer, &catalog_request()).await;
     assert!(answer.is_ok(), "{:?}", answer.err());
 }
 
 #[tokio::test]
-async fn a_silent_peer_is_given_up() {
+async fn a_request_to_a_silent_peer_times_out() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = listener.local_addr().unwrap();
-    let began = Instant::now();
-    let answer = PeerClient::default().ask(peer, &catalog_question()).await;
-    assert!(answer.is_err(), "nobody answers");
-    assert!(began.elapsed() < SILENT_LIMIT, "{:?}", began.elapsed());
+    let started = Instant::now();
+    let answer = PeerClient::default().ask(peer, &catalog_request()).await;
+    assert!(answer.is_err(), "the peer never answers");
+    assert!(started.elapsed() < GIVE_UP_LIMIT, "{:?}", started.elapsed());
 }
--- a/crates/millwind-engine/tests/stale_relays.rs
+++ b/crates/millwind-engine/tests/stale_relays.rs
@@ -1,5 +1,5 @@
-//! A relay that answers but does not hear the store is left for the next one, unless
-//! nobody hears it.
+//! A relay that answers but has no contact with the store is replaced by the next relay,
+//! unless the store is unavailable to all nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use millwind_engine::store_watch::Follower;
 use millwind_store::{Entry, Listing, StoreRevision};
 
-/// Enough for a deployment to have relays; all in one zone.
-const NODES: usize = 30;
+/// Number of nodes, all in one zone: enough for a deployment to use relays.
+const NODE_COUNT: usize = 30;
 const ZONE: &str = "zone";
-/// Bound on a configuration, in milliseconds.
+/// Time within which a configuration must be in force, in milliseconds.
 const CONFIG_BOUND_MS: u64 = 5_000;
-/// News of this age are not fresh under that bound, in milliseconds.
-const OLD_MS: u64 = 4_000;
+/// An age of the catalog that is stale under this bound, in milliseconds.
+const STALE_AGE_MS: u64 = 4_000;
 
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, index as u8 + 1], 7_000))
@@ -40,35 +40,35 @@
         }
     };
     registry.listed(Listing {
-        revision: StoreRevision::new(0, NODES as u64),
-        entries: (0..NODES).map(entry).collect(),
+        revision: StoreRevision::new(0, NODE_COUNT as u64),
+        entries: (0..NODE_COUNT).map(entry).collect(),
     });
     registry
 }
 
 #[test]
-fn a_relay_without_fresh_news_is_left_by_a_node_that_has_them() {
+fn a_stale_relay_is_avoided_by_a_node_with_fresh_data() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
     let first = relays.to_ask(&registry);
     relays.told(clock::now());
-    relays.told_by_relay(first[0], Some(OLD_MS));
-    let then = relays.to_ask(&registry);
-    assert!(!then.contains(&first[0]), "{then:?}");
-    assert_eq!(then.len(), first.len());
+    relays.told_by_relay(first[0], Some(STALE_AGE_MS));
+    let after = relays.to_ask(&registry);
+    assert!(!after.contains(&first[0]), "{after:?}");
+    assert_eq!(after.len(), first.len());
 }
 
 #[test]
-fn a_relay_without_fresh_news_is_kept_while_nobody_has_any() {
+fn a_stale_relay_is_kept_while_no_fresh_data_is_known() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
     let first = relays.to_ask(&registry);
-    relays.told_by_relay(first[0], Some(OLD_MS));
+    relays.told_by_relay(first[0], Some(STALE_AGE_MS));
     assert_eq!(relays.to_ask(&registry), first);
 }
 
 #[test]
-fn a_relay_with_fresh_news_is_kept() {
+fn a_relay_with_fresh_data_is_kept() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
     let first = relays.to_ask(&registry);
--- a/crates/millwind-engine/tests/store_watch.rs
+++ b/crates/millwind-engine/tests/store_watch.rs
@@ -1,4 +1,4 @@
-//! How a follower of the store starts.
+//! When a store follower lists and watches its prefix, depending on `StoreReading`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,20 +10,20 @@
 };
 use tokio::sync::watch;
 
-/// A starting node waits so long for the decision whether it reads the store.
+/// Longest time that a follower waits for `StoreReading` to be decided before it lists.
 const DECISION_LIMIT: Duration = Duration::from_millis(500);
-/// Time that a listing takes.
-const LISTING: Duration = Duration::from_millis(100);
+/// Duration of a listing.
+const LISTING_TIME: Duration = Duration::from_millis(100);
 
-/// A store whose listings take their time and whose watches say nothing.
+/// A store with slow listings and with watches that never report.
 #[derive(Default)]
 struct SlowStore {
     watches: Arc<AtomicUsize>,
 }
 
-struct SilentWatch(Arc<AtomicUsize>);
+struct PendingWatch(Arc<AtomicUsize>);
 
-impl Watch for SilentWatch {
+impl Watch for PendingWatch {
     async fn next(&mut self) -> Result<WatchReport, StoreError> {
         self.0.fetch_add(1, Ordering::SeqCst);
         std::future::pending().await
@@ -31,32 +31,32 @@
 }
 
 impl Store for SlowStore {
-    type Watch = SilentWatch;
+    type Watch = PendingWatch;
 
     async fn list(&self, _prefix: &str, _silence: Duration) -> Result<Listing, StoreError> {
-        tokio::time::sleep(LISTING).await;
+        tokio::time::sleep(LISTING_TIME).await;
         Ok(Listing {
             revision: StoreRevision::new(0, 1),
             entries: Vec::new(),
         })
     }
 
-    async fn watch(&self, _prefix: &str, _revision: StoreRevision) -> Result<SilentWatch, StoreError> {
-        Ok(SilentWatch(self.watches.clone()))
+    async fn watch(&self, _prefix: &str, _revision: StoreRevision) -> Result<PendingWatch, StoreError> {
+        Ok(PendingWatch(self.watches.clone()))
     }
 
     async fn swap(&self, _conditions: &[Condition], _writes: &[Write]) -> Result<Swap, StoreError> {
-        Err(StoreError::Refused("not written to".to_owned()))
+        Err(StoreError::Refused("the test store is read-only".to_owned()))
     }
 }
 
-/// Counts its listings.
-struct Counter {
+/// Counts the listings that it receives.
+struct CountingFollower {
     listings: AtomicUsize,
     reading: watch::Receiver<StoreReading>,
 }
 
-impl Follower for Counter {
+impl Follower for CountingFollower {
     fn name(&self) -> &'static str {
         "counter"
     }
@@ -72,11 +72,11 @@
     }
 }
 
-/// A fleet that starts as a whole would else read the whole catalog once for each node.
+/// Guards against one catalog listing per node when all nodes of a fleet start together.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_turns_out_to_be_no_relay_in_time_lists_nothing() {
-    let (decision, reading) = watch::channel(StoreReading::Undecided);
-    let follower = Arc::new(Counter {
+async fn a_node_decided_not_to_be_a_relay_within_the_limit_lists_nothing() {
+    let (reading_sender, reading) = watch::channel(StoreReading::Undecided);
+    let follower = Arc::new(CountingFollower {
         listings: AtomicUsize::new(0),
         reading,
     });
@@ -84,15 +84,15 @@
     let contact = Arc::new(StoreContact::default());
     tokio::spawn(follow(store, "prefix".to_owned(), follower.clone(), contact));
     tokio::time::sleep(DECISION_LIMIT / 2).await;
-    decision.send_replace(StoreReading::LeftToRelays);
-    tokio::time::sleep(LISTING * 4 + DECISION_LIMIT).await;
+    reading_sender.send_replace(StoreReading::LeftToRelays);
+    tokio::time::sleep(LISTING_TIME * 4 + DECISION_LIMIT).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 0, "listings");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_first_listing_is_not_given_up_when_the_node_turns_out_to_be_no_relay() {
-    let (decision, reading) = watch::channel(StoreReading::Undecided);
-    let follower = Arc::new(Counter {
+async fn a_first_listing_completes_after_reading_is_left_to_relays() {
+    let (reading_sender, reading) = watch::channel(StoreReading::Undecided);
+    let follower = Arc::new(CountingFollower {
         listings: AtomicUsize::new(0),
         reading,
     });
@@ -104,26 +104,25 @@
         follower.clone(),
         contact,
     ));
-    tokio::time::sleep(DECISION_LIMIT + LISTING / 2).await;
-    decision.send_replace(StoreReading::LeftToRelays);
-    tokio::time::sleep(LISTING * 4).await;
+    tokio::time::sleep(DECISION_LIMIT + LISTING_TIME / 2).await;
+    reading_sender.send_replace(StoreReading::LeftToRelays);
+    tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 0, "watches");
-    // It reads on once it has to.
-    decision.send_replace(StoreReading::Reading);
-    tokio::time::sleep(LISTING * 4).await;
+    // The follower lists and watches once the node has to read the store.
+    reading_sender.send_replace(StoreReading::Reading);
+    tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 1, "watches");
 }
 
-/// A sentinel that leaves the store to relays as soon as it hears that a store which
-/// was out answers again.
-struct Sentinel {
+/// A sentinel that leaves reading to relays when the store becomes available again.
+struct SentinelFollower {
     listings: AtomicUsize,
     reading: watch::Sender<StoreReading>,
 }
 
-impl Follower for Sentinel {
+impl Follower for SentinelFollower {
     fn name(&self) -> &'static str {
         "sentinel"
     }
@@ -148,8 +147,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_whose_relays_have_no_news_reads_a_store_that_answers_it_at_once() {
-    let follower = Arc::new(Sentinel {
+async fn a_node_with_outdated_relays_reads_an_available_store_at_once() {
+    let follower = Arc::new(SentinelFollower {
         listings: AtomicUsize::new(0),
         reading: watch::Sender::new(StoreReading::Undecided),
     });
@@ -160,13 +159,13 @@
         follower.clone(),
         contact.clone(),
     ));
-    tokio::time::sleep(DECISION_LIMIT + LISTING / 2).await;
+    tokio::time::sleep(DECISION_LIMIT + LISTING_TIME / 2).await;
     follower.reading.send_replace(StoreReading::LeftToRelays);
-    tokio::time::sleep(LISTING * 4).await;
+    tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
-    // Its news have grown old; the store was never out for this node.
+    // The relays' data is outdated, while this node's own calls to the store never failed.
     contact.note_lost();
     follower.reading.send_replace(StoreReading::Reading);
-    tokio::time::sleep(LISTING * 4).await;
+    tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
 }
--- a/crates/millwind-engine/tests/turns.rs
+++ b/crates/millwind-engine/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of statements at one instance.
+//! The order in which statements get turns to run at one instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     turns.take(urgency, deadline, deadline).await
 }
 
-/// Takes all turns.
-async fn fill(turns: &Arc<Turns>) -> Vec<Turn> {
+/// Takes all available turns.
+async fn take_all(turns: &Arc<Turns>) -> Vec<Turn> {
     let mut taken = Vec::new();
     for _ in 0..SLOTS {
         taken.push(take(turns, Urgency::Priority(1)).await.unwrap());
@@ -25,8 +25,8 @@
     taken
 }
 
-/// Makes the mean time of a turn some `millis`.
-async fn teach(turns: &Arc<Turns>, millis: u64) {
+/// Runs enough turns of `millis` for the mean turn time to approach that value.
+async fn set_mean_turn_time(turns: &Arc<Turns>, millis: u64) {
     for _ in 0..60 {
         let turn = take(turns, Urgency::Priority(1)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -35,9 +35,9 @@
 }
 
 #[tokio::test]
-async fn the_most_urgent_goes_first_when_a_turn_is_over() {
+async fn the_most_urgent_statement_gets_the_next_turn() {
     let turns = Turns::new(SLOTS);
-    let mut taken = fill(&turns).await;
+    let mut taken = take_all(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let urgencies = [Urgency::Priority(2), Urgency::Priority(0), Urgency::InTransaction];
     for urgency in urgencies {
@@ -56,44 +56,47 @@
 }
 
 #[tokio::test]
-async fn a_statement_that_would_come_too_late_is_refused_at_once() {
+async fn a_statement_that_would_miss_its_deadline_is_refused_at_once() {
     let turns = Turns::new(SLOTS);
-    teach(&turns, 20).await;
-    let _taken = fill(&turns).await;
-    let began = clock::now();
+    set_mean_turn_time(&turns, 20).await;
+    let _taken = take_all(&turns).await;
+    let started = clock::now();
     let deadline = clock::now().plus_millis(5);
     let refused = turns.take(Urgency::Priority(1), deadline, deadline).await;
     assert_eq!(refused.err(), Some(LinkError::NoConnection));
     let deadline = clock::now().plus_millis(5);
     let in_transaction = turns.take(Urgency::InTransaction, deadline, deadline);
     assert_eq!(in_transaction.await.err(), Some(LinkError::NoConnection));
-    assert!(clock::now().millis_since(began) >= 5, "an open transaction waits");
+    assert!(
+        clock::now().millis_since(started) >= 5,
+        "a statement of an open transaction waits until its deadline"
+    );
 }
 
 #[tokio::test]
-async fn a_turn_that_nobody_takes_any_more_goes_to_the_next() {
+async fn a_turn_of_a_timed_out_statement_goes_to_the_next() {
     let turns = Turns::new(SLOTS);
-    let mut taken = fill(&turns).await;
+    let mut taken = take_all(&turns).await;
     let deadline = clock::now().plus_millis(10);
-    let given_up = turns.take(Urgency::Priority(0), deadline, deadline);
-    assert!(given_up.await.is_err());
+    let timed_out = turns.take(Urgency::Priority(0), deadline, deadline);
+    assert!(timed_out.await.is_err());
     taken.pop().unwrap().end(TurnEnd::TurnedAway);
     taken.pop().unwrap().end(TurnEnd::Unknown);
     assert!(take(&turns, Urgency::Priority(1)).await.is_ok());
 }
 
 #[tokio::test]
-async fn a_statement_that_will_be_late_waits_behind_those_that_can_be_in_time() {
+async fn a_late_statement_waits_behind_a_statement_that_can_be_in_time() {
     let turns = Turns::new(SLOTS);
-    teach(&turns, 20).await;
-    let mut taken = fill(&turns).await;
+    set_mean_turn_time(&turns, 20).await;
+    let mut taken = take_all(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let deadline = clock::now().plus_millis(2_000);
-    for (name, aim_ms) in [("late", 1), ("in time", 500)] {
+    for (name, target_ms) in [("late", 1), ("in time", 500)] {
         let (turns, sender) = (turns.clone(), sender.clone());
-        let aim = clock::now().plus_millis(aim_ms);
+        let target = clock::now().plus_millis(target_ms);
         tokio::spawn(async move {
-            let turn = turns.take(Urgency::Priority(1), aim, deadline).await.unwrap();
+            let turn = turns.take(Urgency::Priority(1), target, deadline).await.unwrap();
             sender.send(name).unwrap();
             turn.end(TurnEnd::Ran);
         });
