--- a/crates/millwind-model/src/checker.rs
+++ b/crates/millwind-model/src/checker.rs
@@ -1,5 +1,4 @@
-//! Breadth-first search over a model's states, for the shortest way to a state
-//! that breaks a property.
+//! Breadth-first search for the shortest path to a state that violates an invariant.
 
 use std::cell::Cell;
 use std::hash::Hash;
@@ -7,46 +6,46 @@
 use millwind_core::invariant::Invariant;
 use pathfinding::directed::bfs::bfs;
 
-/// A finite model.
+/// A state machine with a finite number of states.
 pub trait Model {
-    /// A state.
+    /// State of the machine.
     type State: Clone + Eq + Hash;
 
-    /// Name for reports.
+    /// Returns the name of the model in reports.
     fn name(&self) -> &'static str;
-    /// Properties it checks.
+    /// Returns the invariants that [`Model::violation`] checks.
     fn invariants(&self) -> &'static [Invariant];
-    /// Bounds, for reports.
+    /// Returns the bounds of the exploration, as reports print them.
     fn bounds(&self) -> String;
-    /// Where it starts.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
-    /// Every step from a state, with what happens in it.
+    /// Returns all successors of `state`, each with a label of its step.
     fn steps(&self, state: &Self::State) -> Vec<(String, Self::State)>;
-    /// The property a state breaks, and how.
+    /// Returns the invariant that `state` violates, with a description, or `None`.
     fn violation(&self, state: &Self::State) -> Option<(Invariant, String)>;
 }
 
-/// A way to a state that breaks a property.
+/// A path to a state that violates an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The property.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// How it is broken.
+    /// Description of the violation.
     pub detail: String,
-    /// What happens, step by step.
+    /// Labels of the steps from the initial state.
     pub trace: Vec<String>,
 }
 
 /// Result of a check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// States whose steps were explored.
+    /// Number of states whose successors were computed.
     pub states: usize,
-    /// The shortest counterexample, if there is one.
+    /// The shortest counterexample, if the search found one.
     pub counterexample: Option<Counterexample>,
 }
 
-/// Explores a model wholly, or up to its shortest counterexample.
+/// Explores all states of a model, or stops at the shortest counterexample.
 pub fn check<M: Model>(model: &M) -> Outcome {
     let states = Cell::new(0);
     let successors = |state: &M::State| {
@@ -62,11 +61,12 @@
     });
     Outcome {
         states: states.get(),
-        counterexample: path.and_then(|path| explain(model, &path)),
+        counterexample: path.and_then(|path| build_counterexample(model, &path)),
     }
 }
 
-fn explain<M: Model>(model: &M, path: &[M::State]) -> Option<Counterexample> {
+/// Labels the steps along `path`, whose last state must violate an invariant.
+fn build_counterexample<M: Model>(model: &M, path: &[M::State]) -> Option<Counterexample> {
     let (invariant, detail) = model.violation(path.last()?)?;
     let trace = path
         .windows(2)
--- a/crates/millwind-model/src/configuration.rs
+++ b/crates/millwind-model/src/configuration.rs
@@ -1,10 +1,8 @@
-//! Configuration: revisions, lost answers, racing operators, and the right to
-//! serve.
+//! Configuration: revisions, lost answers, concurrent operators, and the serving gate.
 //!
-//! Two operators change one document from the same revision; answers of the
-//! store may be lost, and operators then ask again. Two nodes in two zones
-//! learn of changes late and out of order, may be cut off, and time passes in
-//! units of the freshness bound.
+//! Two operators change one document based on the same revision. Answers of the store may be
+//! lost, and operators then retry. Two nodes in two zones receive changes late and out of
+//! order, and may be partitioned. A time unit is slightly longer than the freshness bound.
 
 use millwind_core::Instant;
 use millwind_core::config_state::ConfigState;
@@ -17,26 +15,26 @@
 
 const NODES: usize = 2;
 const OPERATORS: usize = 2;
-/// One unit of time, a little more than the freshness bound.
+/// Duration of a time unit in milliseconds.
 const UNIT_MS: u64 = FRESHNESS_BOUND_MS + FRESHNESS_MARGIN_MS;
 const START_UNIT: u64 = 10;
 const LATEST_UNIT: u64 = START_UNIT + 2;
 const KEY: &str = "tenant/t";
 
-/// The model, with one rule switched off or none.
+/// The model, with at most one rule disabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Configuration {
-    /// Rule that does not guard.
+    /// The disabled rule.
     pub broken: Option<Rule>,
-    /// Answers lost at most.
+    /// Maximum number of lost answers.
     pub losses: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Operator {
     Idle,
-    /// Asked; the answer was lost.
-    Doubtful,
+    /// The change was sent and the answer was lost.
+    AnswerLost,
     Stored(u64),
     InForce(u64),
     Refused,
@@ -45,22 +43,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
     revision: u64,
-    highest: u64,
+    highest_revision: u64,
     contact_unit: Option<u64>,
-    cut: bool,
-    /// Deltas still on their way, by revision.
+    is_partitioned: bool,
+    /// Revisions of the deltas in flight.
     deltas: Vec<u64>,
-    /// A sign of life on its way: when it was asked for, and the revision it
+    /// A platform contact in flight: the time of its request, and the revision that it
     /// vouches for.
-    sign: Option<(u64, u64)>,
+    pending_contact: Option<(u64, u64)>,
 }
 
 /// A state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Author of each revision; the first is the one operators start from.
+    /// Author of each revision. Operators base their changes on the first revision.
     store: Vec<usize>,
-    /// When each revision was stored.
+    /// Time at which each revision was stored.
     stored_unit: Vec<u64>,
     operators: [Operator; OPERATORS],
     nodes: Vec<Node>,
@@ -82,18 +80,18 @@
     }
 }
 
-fn newest(state: &State) -> u64 {
+fn newest_revision(state: &State) -> u64 {
     state.store.len() as u64
 }
 
 impl Configuration {
-    fn keeps(&self, rule: Rule) -> bool {
+    fn enforces(&self, rule: Rule) -> bool {
         self.broken != Some(rule)
     }
 
-    /// Whether a node serves, by the core's gate.
+    /// Whether a node serves, according to [`ServingGate`].
     fn serves(&self, state: &State, index: usize) -> bool {
-        if !self.keeps(Rule::Freshness) {
+        if !self.enforces(Rule::Freshness) {
             return true;
         }
         let node = &state.nodes[index];
@@ -103,8 +101,8 @@
         if let Some(unit) = node.contact_unit {
             gate.platform_contact(Instant::from_millis(unit * UNIT_MS));
         }
-        // The other zone is in contact and was heard lately unless cut off.
-        let age_ms = if node.cut { UNIT_MS as u32 } else { 0 };
+        // The report of the other zone is recent unless the node is partitioned.
+        let age_ms = if node.is_partitioned { UNIT_MS as u32 } else { 0 };
         gate.zone_report(
             now(state),
             &ZoneReport {
@@ -117,27 +115,27 @@
         gate.may_serve(now(state), true).is_ok()
     }
 
-    fn asking(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn change_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for operator in 0..OPERATORS {
-            let asks_again = state.operators[operator] == Operator::Doubtful;
-            if !asks_again && state.operators[operator] != Operator::Idle {
+            let is_retry = state.operators[operator] == Operator::AnswerLost;
+            if !is_retry && state.operators[operator] != Operator::Idle {
                 continue;
             }
             let mut next = state.clone();
             let own = state.store.iter().position(|author| *author == operator + 1);
-            let recognised = own.filter(|_| self.keeps(Rule::ChangeId));
+            let recognised = own.filter(|_| self.enforces(Rule::ChangeId));
             let outcome = match recognised {
                 Some(index) => Operator::Stored(index as u64 + 1),
-                None if newest(state) != 1
-                    && self.keeps(Rule::CompareAndSwap)
-                    && (self.keeps(Rule::ChangeId) || !asks_again) =>
+                None if newest_revision(state) != 1
+                    && self.enforces(Rule::CompareAndSwap)
+                    && (self.enforces(Rule::ChangeId) || !is_retry) =>
                 {
                     Operator::Refused
                 }
                 None => {
                     next.store.push(operator + 1);
                     next.stored_unit.push(state.unit);
-                    let revision = newest(&next);
+                    let revision = newest_revision(&next);
                     for node in &mut next.nodes {
                         node.deltas.push(revision);
                     }
@@ -145,80 +143,89 @@
                 }
             };
             next.operators[operator] = outcome;
-            steps.push((format!("operator {operator} asks: {outcome:?}"), next.clone()));
+            steps.push((
+                format!("operator {operator} sends its change: {outcome:?}"),
+                next.clone(),
+            ));
             if state.losses < self.losses && matches!(outcome, Operator::Stored(_)) {
                 next.losses += 1;
-                next.operators[operator] = Operator::Doubtful;
-                steps.push((format!("operator {operator} asks and the answer is lost"), next));
+                next.operators[operator] = Operator::AnswerLost;
+                steps.push((
+                    format!("operator {operator} sends its change and the answer is lost"),
+                    next,
+                ));
             }
         }
     }
 
-    fn spreading(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn propagation_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for index in 0..NODES {
             for slot in 0..state.nodes[index].deltas.len() {
                 let mut next = state.clone();
                 let node = &mut next.nodes[index];
                 let revision = node.deltas.remove(slot);
                 node.revision = self.applied(node.revision, revision);
-                steps.push((format!("node {index} hears of revision {revision}"), next));
+                steps.push((format!("node {index} receives revision {revision}"), next));
             }
-            self.signs(state, index, steps);
+            self.contact_steps(state, index, steps);
         }
     }
 
-    fn signs(&self, state: &State, index: usize, steps: &mut Vec<(String, State)>) {
+    fn contact_steps(&self, state: &State, index: usize, steps: &mut Vec<(String, State)>) {
         let node = &state.nodes[index];
-        let Some((asked, vouched)) = node.sign else {
-            if !node.cut {
+        let Some((requested_unit, vouched_revision)) = node.pending_contact else {
+            if !node.is_partitioned {
                 let mut next = state.clone();
-                next.nodes[index].sign = Some((state.unit, newest(state)));
-                steps.push((format!("node {index} asks the platform for a sign of life"), next));
+                next.nodes[index].pending_contact = Some((state.unit, newest_revision(state)));
+                steps.push((format!("node {index} requests a platform contact"), next));
             }
             return;
         };
         let mut next = state.clone();
-        next.nodes[index].sign = None;
-        if node.revision >= vouched || !self.keeps(Rule::ContactVouches) {
-            let from = if self.keeps(Rule::ContactFromAsking) {
-                asked
+        next.nodes[index].pending_contact = None;
+        if node.revision >= vouched_revision || !self.enforces(Rule::ContactVouches) {
+            let from = if self.enforces(Rule::ContactFromAsking) {
+                requested_unit
             } else {
                 state.unit
             };
             next.nodes[index].contact_unit = node.contact_unit.max(Some(from));
         }
         steps.push((
-            format!("node {index} gets the sign of life asked for at {asked}"),
+            format!("node {index} receives the platform contact requested at {requested_unit}"),
             next,
         ));
     }
 
-    /// The revision in force after a delta, by the core's state.
+    /// Returns the revision in force after a delta, according to [`ConfigState`].
     fn applied(&self, held: u64, revision: u64) -> u64 {
-        if !self.keeps(Rule::NewerOnly) {
+        if !self.enforces(Rule::NewerOnly) {
             return revision;
         }
         let mut config = ConfigState::default();
-        // An empty state takes whatever comes first.
+        // An empty state accepts any first revision.
         let _ = config.apply(0, held, &[document(held)]);
         let _ = config.apply(held, revision, &[document(revision)]);
         config.document(KEY).map_or(0, |document| document.revision)
     }
 
-    fn reporting(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn report_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for operator in 0..OPERATORS {
             let Operator::Stored(revision) = state.operators[operator] else {
                 continue;
             };
-            // A node counts when it has confirmed, or when the bound has passed
-            // since the change, so that its own rule has stopped it.
-            let lapsed = state.unit > state.stored_unit[revision as usize - 1];
-            let all = state.nodes.iter().all(|node| node.revision >= revision || lapsed);
+            // A node counts once it has the revision, or once the freshness bound has passed
+            // since the change, when a node without the revision has stopped serving.
+            let bound_has_passed = state.unit > state.stored_unit[revision as usize - 1];
+            let all = state
+                .nodes
+                .iter()
+                .all(|node| node.revision >= revision || bound_has_passed);
             if all {
                 let mut next = state.clone();
                 next.operators[operator] = Operator::InForce(revision);
                 steps.push((
-                    format!("operator {operator} is told that {revision} is in force"),
+                    format!("revision {revision} is reported to operator {operator} as in force"),
                     next,
                 ));
             }
@@ -244,12 +251,12 @@
     fn initial(&self) -> State {
         let node = Node {
             revision: 1,
-            highest: 1,
+            highest_revision: 1,
             contact_unit: Some(START_UNIT),
-            cut: false,
-            // An old delta is still on its way at the start.
+            is_partitioned: false,
+            // A delta of the first revision is still in flight.
             deltas: vec![1],
-            sign: None,
+            pending_contact: None,
         };
         State {
             store: vec![0],
@@ -263,23 +270,26 @@
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        self.asking(state, &mut steps);
-        self.spreading(state, &mut steps);
-        self.reporting(state, &mut steps);
+        self.change_steps(state, &mut steps);
+        self.propagation_steps(state, &mut steps);
+        self.report_steps(state, &mut steps);
         for index in 0..NODES {
             let mut next = state.clone();
-            next.nodes[index].cut = !state.nodes[index].cut;
-            steps.push((format!("node {index} cut={}", next.nodes[index].cut), next));
+            next.nodes[index].is_partitioned = !state.nodes[index].is_partitioned;
+            steps.push((
+                format!("node {index} partitioned={}", next.nodes[index].is_partitioned),
+                next,
+            ));
         }
         if state.unit < LATEST_UNIT {
             let mut next = state.clone();
             next.unit += 1;
             steps.push(("the freshness bound passes".to_owned(), next));
         }
-        // The highest revision a node ever had in force is remembered for the check.
+        // `violation` compares the revision in force with the highest earlier revision.
         for (_, next) in &mut steps {
             for (node, before) in next.nodes.iter_mut().zip(&state.nodes) {
-                node.highest = before.highest.max(before.revision);
+                node.highest_revision = before.highest_revision.max(before.revision);
             }
         }
         steps
@@ -288,10 +298,10 @@
     fn violation(&self, state: &State) -> Option<(Invariant, String)> {
         let broken = |detail: String| Some((Invariant::ConfigurationInForce, detail));
         for (index, node) in state.nodes.iter().enumerate() {
-            if node.revision < node.highest {
+            if node.revision < node.highest_revision {
                 return broken(format!(
-                    "node {index} fell from {} to {}",
-                    node.highest, node.revision
+                    "node {index} reverted from {} to {}",
+                    node.highest_revision, node.revision
                 ));
             }
         }
@@ -310,7 +320,7 @@
             for index in 0..NODES {
                 if state.nodes[index].revision < revision && self.serves(state, index) {
                     return broken(format!(
-                        "node {index} serves {} while {revision} is said in force",
+                        "node {index} serves {} while {revision} is reported as in force",
                         state.nodes[index].revision
                     ));
                 }
--- a/crates/millwind-model/src/leadership.rs
+++ b/crates/millwind-model/src/leadership.rs
@@ -1,16 +1,14 @@
-//! Leadership where a promotion does not take the lead from the old leader: no
-//! write that an old leader commits after a promotion is acknowledged.
+//! Leadership in groups whose promotions do not fence the old leader: no write that the old
+//! leader commits after a promotion is acknowledged.
 //!
-//! Two nodes send writes to the old leader; one of them registers late. They
-//! ask the store for closed terms, and answers take any time. A promoter closes
-//! the term, reads which nodes are registered, asks them for their permits, tells
-//! the old leader to step down, and orders the promotion. Any message may be
-//! late or never arrive. Time passes in halves of a permit's life.
+//! Two nodes send writes to the old leader; one of them registers late. The nodes ask the
+//! store for closed terms, with unbounded delays. A promoter closes the term, lists the
+//! registered nodes, revokes their permits, asks the old leader to step down, and orders the
+//! promotion. Any message may be delayed or lost. A time unit is half of a permit's duration.
 //!
-//! The old leader may begin anew: it has forgotten that it was told to step down, and
-//! leads its term on unless a promotion has taken effect. The promoter knows of its life
-//! what the instance's record and its own connections tell when it orders; an order takes
-//! effect at once.
+//! The old leader may restart. It then no longer knows that it was asked to step down, and
+//! continues to lead its term unless a promotion has taken effect. The promoter knows the
+//! current incarnation of the old leader when it orders, and an order takes effect at once.
 
 use millwind_core::Instant;
 use millwind_core::invariant::Invariant;
@@ -21,36 +19,36 @@
 use crate::rule::Rule;
 
 const NODES: usize = 2;
-/// One unit of time.
+/// Duration of a time unit in milliseconds.
 const UNIT_MS: u64 = PERMIT_MS / 2;
 const START_UNIT: u64 = 10;
 /// The old leader's term.
 const TERM: Term = Term(1);
 
-/// The model, with one rule switched off or none.
+/// The model, with at most one rule disabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Leadership {
-    /// Rule that does not guard.
+    /// The disabled rule.
     pub broken: Option<Rule>,
-    /// Units of time that pass at most; a permit lasts for two.
+    /// Maximum number of time units; a permit lasts for two.
     pub units: u64,
-    /// Nodes that take part, two at most; the second one registers late.
+    /// Number of nodes, at most two; the second node registers late.
     pub nodes: usize,
-    /// How often the old leader begins anew at most.
+    /// Maximum number of restarts of the old leader.
     pub restarts: u8,
 }
 
-/// A question for closed terms on its way.
+/// A pending request for the closed terms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Question {
+struct TermRequest {
     asked_unit: u64,
-    /// The node was registered when it asked.
+    /// Whether the node was registered when it sent the request.
     was_registered: bool,
-    /// What the store has answered: whether the term is closed.
+    /// Whether the term is closed, once the store has answered.
     answer: Option<bool>,
 }
 
-/// A write that a node has sent to the old leader.
+/// Progress of a write that a node has sent to the old leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Write {
     Sent,
@@ -61,7 +59,7 @@
 struct Node {
     terms: ClosedTerms,
     confirmed_unit: Option<u64>,
-    question: Option<Question>,
+    term_request: Option<TermRequest>,
     write: Option<Write>,
     is_registered: bool,
 }
@@ -69,13 +67,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Promoter {
     closed_unit: Option<u64>,
-    /// The nodes that it has read from the store.
+    /// Which nodes were registered when the promoter listed them.
     known: Option<[bool; NODES]>,
     answered: [bool; NODES],
-    /// The life of the old leader that it has told to step down.
-    told_life: Option<u8>,
-    /// The life that has said that it leads no longer.
-    heard_life: Option<u8>,
+    /// The incarnation of the old leader that the promoter has asked to step down.
+    step_down_sent_to: Option<u8>,
+    /// The incarnation of the old leader that has confirmed its step-down.
+    step_down_confirmed_by: Option<u8>,
     has_promoted: bool,
 }
 
@@ -85,11 +83,11 @@
     nodes: Vec<Node>,
     promoter: Promoter,
     old_leader_leads: bool,
-    /// How often the old leader has begun anew.
-    life: u8,
+    /// Number of restarts of the old leader.
+    incarnation: u8,
     unit: u64,
-    /// A node that acknowledged a write which came after the promotion.
-    acknowledged_late: Option<usize>,
+    /// A node that acknowledged a write committed after the promotion.
+    late_acknowledgement: Option<usize>,
 }
 
 fn at(unit: u64) -> Instant {
@@ -97,9 +95,9 @@
 }
 
 impl Leadership {
-    /// What is explored within `units` of time: two nodes before a leader that stays,
-    /// and one node before a leader that begins anew. Both at once are 9.3 million states
-    /// against 2.8, and add no way in which a node meets a leader of a former life.
+    /// Returns the models for `units` of time: two nodes with a leader that never restarts, and
+    /// one node with a leader that may restart. Combining both multiplies the states without
+    /// new interactions between a node and a restarted leader.
     pub fn bounded(broken: Option<Rule>, units: u64) -> [Leadership; 2] {
         [(2, 0), (1, 1)].map(|(nodes, restarts)| Leadership {
             broken,
@@ -109,7 +107,7 @@
         })
     }
 
-    /// The rules that guard here.
+    /// The rules that this model enforces.
     pub const RULES: [Rule; 9] = [
         Rule::PermitExpires,
         Rule::PermitAtAnswer,
@@ -122,31 +120,31 @@
         Rule::StepDownOfLife,
     ];
 
-    fn keeps(&self, rule: Rule) -> bool {
+    fn enforces(&self, rule: Rule) -> bool {
         self.broken != Some(rule)
     }
 
     fn permit(&self, state: &State, node: &Node) -> Permit {
         let mut confirmed = node.confirmed_unit.map(at);
-        if !self.keeps(Rule::PermitExpires) {
+        if !self.enforces(Rule::PermitExpires) {
             confirmed = confirmed.map(|_| at(state.unit));
         }
         node.terms.permit(TERM, at(state.unit), confirmed)
     }
 
-    /// What a node takes for the time of its news before the term was closed.
+    /// Returns the time of the last confirmation that the node assumes when it closes the term.
     fn confirmed_before(&self, state: &State, node: &Node) -> Option<Instant> {
-        match self.keeps(Rule::SettleWithinPermit) {
+        match self.enforces(Rule::SettleWithinPermit) {
             true => node.confirmed_unit.map(at),
             false => Some(at(state.unit)),
         }
     }
 
-    fn asking(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn request_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for (index, node) in state.nodes.iter().enumerate().take(self.nodes) {
             let mut next = state.clone();
-            let Some(question) = node.question else {
-                next.nodes[index].question = Some(Question {
+            let Some(term_request) = node.term_request else {
+                next.nodes[index].term_request = Some(TermRequest {
                     asked_unit: state.unit,
                     was_registered: node.is_registered,
                     answer: None,
@@ -154,11 +152,11 @@
                 steps.push((format!("node {index} asks for closed terms"), next));
                 continue;
             };
-            let Some(is_closed) = question.answer else {
+            let Some(is_closed) = term_request.answer else {
                 let is_closed = state.promoter.closed_unit.is_some();
-                next.nodes[index].question = Some(Question {
+                next.nodes[index].term_request = Some(TermRequest {
                     answer: Some(is_closed),
-                    ..question
+                    ..term_request
                 });
                 steps.push((
                     format!("the store answers node {index}: closed={is_closed}"),
@@ -166,28 +164,28 @@
                 ));
                 continue;
             };
-            self.take_answer(state, &mut next.nodes[index], question, is_closed);
-            steps.push((format!("node {index} takes the answer"), next));
+            self.receive_answer(state, &mut next.nodes[index], term_request, is_closed);
+            steps.push((format!("node {index} receives the closed terms"), next));
         }
     }
 
-    fn take_answer(&self, state: &State, node: &mut Node, question: Question, is_closed: bool) {
-        node.question = None;
+    fn receive_answer(&self, state: &State, node: &mut Node, term_request: TermRequest, is_closed: bool) {
+        node.term_request = None;
         if is_closed {
             let before = self.confirmed_before(state, node);
             node.terms.close(TERM, at(state.unit), before);
         }
-        if !question.was_registered && self.keeps(Rule::RegisteredFirst) {
+        if !term_request.was_registered && self.enforces(Rule::RegisteredFirst) {
             return;
         }
-        let known_unit = match self.keeps(Rule::NewsFromAsking) {
-            true => question.asked_unit,
+        let confirmed_unit_of_answer = match self.enforces(Rule::NewsFromAsking) {
+            true => term_request.asked_unit,
             false => state.unit,
         };
-        node.confirmed_unit = node.confirmed_unit.max(Some(known_unit));
+        node.confirmed_unit = node.confirmed_unit.max(Some(confirmed_unit_of_answer));
     }
 
-    fn writing(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn write_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for (index, node) in state.nodes.iter().enumerate().take(self.nodes) {
             let mut next = state.clone();
             let permit = self.permit(state, node);
@@ -204,18 +202,21 @@
                 }
                 Some(Write::Committed { is_after_promotion }) => {
                     next.nodes[index].write = None;
-                    let counts = permit.covers_answer() || !self.keeps(Rule::PermitAtAnswer);
+                    let counts = permit.covers_answer() || !self.enforces(Rule::PermitAtAnswer);
                     if counts && is_after_promotion {
-                        next.acknowledged_late = Some(index);
+                        next.late_acknowledgement = Some(index);
                     }
-                    steps.push((format!("node {index} takes the answer: counts={counts}"), next));
+                    steps.push((
+                        format!("node {index} receives the answer to its write: counts={counts}"),
+                        next,
+                    ));
                 }
                 _ => {}
             }
         }
     }
 
-    fn registering(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn registration_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for (index, node) in state.nodes.iter().enumerate().take(self.nodes) {
             if !node.is_registered {
                 let mut next = state.clone();
@@ -225,61 +226,66 @@
         }
     }
 
-    fn closing(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn closing_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         let promoter = &state.promoter;
         if promoter.closed_unit.is_none() {
             let mut next = state.clone();
             next.promoter.closed_unit = Some(state.unit);
             steps.push(("the promoter closes the term".to_owned(), next));
         }
-        let may_list = promoter.closed_unit.is_some() || !self.keeps(Rule::ListAfterClosing);
+        let may_list = promoter.closed_unit.is_some() || !self.enforces(Rule::ListAfterClosing);
         if promoter.known.is_none() && may_list {
             let mut next = state.clone();
             let registered = |index: usize| state.nodes[index].is_registered;
             next.promoter.known = Some(std::array::from_fn(registered));
-            steps.push(("the promoter reads the nodes".to_owned(), next));
+            steps.push(("the promoter lists the nodes".to_owned(), next));
         }
     }
 
-    /// What the promoter holds for true of the old leader's word.
+    /// Whether the promoter considers the old leader stepped down.
     fn has_stepped_down(&self, state: &State) -> bool {
-        let word = match self.keeps(Rule::StepDownHeard) {
-            true => state.promoter.heard_life,
-            false => state.promoter.told_life,
+        let stepped_down = match self.enforces(Rule::StepDownHeard) {
+            true => state.promoter.step_down_confirmed_by,
+            false => state.promoter.step_down_sent_to,
         };
-        word.is_some_and(|life| life == state.life || !self.keeps(Rule::StepDownOfLife))
+        stepped_down.is_some_and(|incarnation| {
+            incarnation == state.incarnation || !self.enforces(Rule::StepDownOfLife)
+        })
     }
 
-    fn stepping_down(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn step_down_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         let promoter = &state.promoter;
-        let has_told = promoter.told_life == Some(state.life);
-        if !has_told {
+        let has_sent = promoter.step_down_sent_to == Some(state.incarnation);
+        if !has_sent {
             let mut next = state.clone();
-            next.promoter.told_life = Some(state.life);
-            steps.push(("the promoter tells the old leader to step down".to_owned(), next));
+            next.promoter.step_down_sent_to = Some(state.incarnation);
+            steps.push(("the promoter asks the old leader to step down".to_owned(), next));
         }
-        if has_told && state.old_leader_leads {
+        if has_sent && state.old_leader_leads {
             let mut next = state.clone();
             next.old_leader_leads = false;
             steps.push(("the old leader steps down".to_owned(), next));
         }
-        if has_told && !state.old_leader_leads && promoter.heard_life != Some(state.life) {
+        if has_sent && !state.old_leader_leads && promoter.step_down_confirmed_by != Some(state.incarnation) {
             let mut next = state.clone();
-            next.promoter.heard_life = Some(state.life);
-            steps.push(("the promoter hears that it has".to_owned(), next));
+            next.promoter.step_down_confirmed_by = Some(state.incarnation);
+            steps.push((
+                "the old leader confirms its step-down to the promoter".to_owned(),
+                next,
+            ));
         }
     }
 
-    fn beginning_anew(&self, state: &State, steps: &mut Vec<(String, State)>) {
-        if state.life < self.restarts {
+    fn restart_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
+        if state.incarnation < self.restarts {
             let mut next = state.clone();
-            next.life += 1;
+            next.incarnation += 1;
             next.old_leader_leads = !state.promoter.has_promoted;
-            steps.push(("the old leader begins anew".to_owned(), next));
+            steps.push(("the old leader restarts".to_owned(), next));
         }
     }
 
-    fn revoking(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn revocation_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         let promoter = &state.promoter;
         let (Some(closed_unit), Some(known)) = (promoter.closed_unit, promoter.known) else {
             return;
@@ -294,9 +300,9 @@
             terms.close(TERM, at(state.unit), before);
             terms.hand_back(TERM);
             next.promoter.answered[index] = true;
-            steps.push((format!("node {index} hands its permit back"), next));
+            steps.push((format!("node {index} returns its permit"), next));
         }
-        self.stepping_down(state, steps);
+        self.step_down_steps(state, steps);
         let revocation = Revocation {
             closed: at(closed_unit),
             missing: (0..NODES)
@@ -304,7 +310,7 @@
                 .count(),
             has_stepped_down: self.has_stepped_down(state),
         };
-        let may = may_promote(at(state.unit), &revocation) || !self.keeps(Rule::RevokeBeforeOrder);
+        let may = may_promote(at(state.unit), &revocation) || !self.enforces(Rule::RevokeBeforeOrder);
         if may && !promoter.has_promoted {
             let mut next = state.clone();
             next.promoter.has_promoted = true;
@@ -344,30 +350,30 @@
             nodes: vec![first, Node::default()],
             promoter: Promoter::default(),
             old_leader_leads: true,
-            life: 0,
+            incarnation: 0,
             unit: START_UNIT,
-            acknowledged_late: None,
+            late_acknowledgement: None,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        self.asking(state, &mut steps);
-        self.writing(state, &mut steps);
-        self.registering(state, &mut steps);
-        self.closing(state, &mut steps);
-        self.revoking(state, &mut steps);
-        self.beginning_anew(state, &mut steps);
+        self.request_steps(state, &mut steps);
+        self.write_steps(state, &mut steps);
+        self.registration_steps(state, &mut steps);
+        self.closing_steps(state, &mut steps);
+        self.revocation_steps(state, &mut steps);
+        self.restart_steps(state, &mut steps);
         if state.unit < START_UNIT + self.units {
             let mut next = state.clone();
             next.unit += 1;
-            steps.push(("half of a permit's life passes".to_owned(), next));
+            steps.push(("half of the duration of a permit passes".to_owned(), next));
         }
         steps
     }
 
     fn violation(&self, state: &State) -> Option<(Invariant, String)> {
-        let node = state.acknowledged_late?;
+        let node = state.late_acknowledgement?;
         let detail = format!("node {node} acknowledged a write of the old leader after the promotion");
         Some((Invariant::NoOldPrimaryAcknowledgement, detail))
     }
--- a/crates/millwind-model/src/lib.rs
+++ b/crates/millwind-model/src/lib.rs
@@ -1,11 +1,15 @@
-//! A small specification of the core protocol and its explicit-state check.
+//! Explicit-state model checking of the core protocol.
 //!
-//! Five models share one checker: [`writes`] (terms, elections, confirmation,
-//! tokens, the ledger), [`configuration`] (revisions, lost answers, racing
-//! operators, the right to serve), [`links`] (pins and replies), [`leadership`]
-//! (permits where promotions don't fence) and [`pausing`] (what a comparison of
-//! positions rests on). Transitions call `millwind-core` where it decides. Each
-//! guarding rule can be switched off, and the check must then find a counterexample.
+//! Five models share one checker:
+//!
+//! - [`writes`]: terms, elections, confirmation, tokens and the request ledger.
+//! - [`configuration`]: revisions, lost answers, concurrent operators and the serving gate.
+//! - [`links`]: transaction pins and the matching of replies to requests.
+//! - [`leadership`]: permits in groups whose promotions do not fence the old leader.
+//! - [`pausing`]: the comparison of replica positions before a promotion.
+//!
+//! Transitions call `millwind-core` for its decisions. Each protocol rule can be disabled,
+//! and the check must then find a counterexample.
 
 pub mod checker;
 pub mod configuration;
--- a/crates/millwind-model/src/links.rs
+++ b/crates/millwind-model/src/links.rs
@@ -1,9 +1,8 @@
-//! Pins and replies: a caller's transaction goes on only where it began, and a
-//! reply reaches only the caller whose request it answers.
+//! Pins and replies: a caller's transaction continues only where it began, and a reply
+//! reaches only the caller that sent the request.
 //!
-//! Two callers of one gateway use one owner, which may be replaced by a new
-//! process at any time. Replies may come late and in any order, and callers
-//! give up waiting.
+//! Two callers of one gateway use one owner, which may be replaced by a new process at any
+//! time. Replies may arrive late and in any order, and callers may stop waiting.
 
 use millwind_core::invariant::Invariant;
 
@@ -12,14 +11,14 @@
 
 const CALLERS: usize = 2;
 
-/// The model, with one rule switched off or none.
+/// The model, with at most one rule disabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Links {
-    /// Rule that does not guard.
+    /// The disabled rule.
     pub broken: Option<Rule>,
-    /// Times the owner is replaced at most.
+    /// Maximum number of replacements of the owner process.
     pub restarts: u8,
-    /// Requests of each caller at most.
+    /// Maximum number of requests of each caller.
     pub requests: u8,
 }
 
@@ -54,27 +53,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     callers: Vec<Caller>,
-    /// Open transactions of the owner: pin and the caller that began it.
+    /// Open transactions of the owner: the pin, and the caller that began the transaction.
     transactions: Vec<(Pin, usize)>,
     epoch: u8,
     next_pin: u8,
     next_id: u8,
     requests: Vec<Request>,
     replies: Vec<Reply>,
-    mixed: bool,
-    crossed: bool,
+    ran_in_foreign_transaction: bool,
+    received_foreign_reply: bool,
 }
 
 impl Links {
-    fn keeps(&self, rule: Rule) -> bool {
+    fn enforces(&self, rule: Rule) -> bool {
         self.broken != Some(rule)
     }
 
-    fn same_pin(&self, held: Pin, asked: Pin) -> bool {
-        held.number == asked.number && (held.epoch == asked.epoch || !self.keeps(Rule::PinEpoch))
+    fn matches_pin(&self, held: Pin, asked: Pin) -> bool {
+        held.number == asked.number && (held.epoch == asked.epoch || !self.enforces(Rule::PinEpoch))
     }
 
-    fn sending(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn request_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for (index, caller) in state.callers.iter().enumerate() {
             if caller.waiting.is_some() || caller.sent >= self.requests {
                 continue;
@@ -92,7 +91,7 @@
         }
     }
 
-    fn running(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn execution_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for slot in 0..state.requests.len() {
             let mut next = state.clone();
             let request = next.requests.remove(slot);
@@ -110,8 +109,9 @@
                     let found = next
                         .transactions
                         .iter()
-                        .find(|(held, _)| self.same_pin(*held, asked));
-                    next.mixed |= found.is_some_and(|(_, owner)| *owner != request.caller);
+                        .find(|(held, _)| self.matches_pin(*held, asked));
+                    next.ran_in_foreign_transaction |=
+                        found.is_some_and(|(_, owner)| *owner != request.caller);
                     found.map(|(held, _)| *held)
                 }
             };
@@ -121,17 +121,17 @@
                 pin,
             });
             steps.push((
-                format!("owner runs request {} with pin {pin:?}", request.id),
+                format!("the owner runs request {} with pin {pin:?}", request.id),
                 next,
             ));
         }
     }
 
-    fn replying(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn reply_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for slot in 0..state.replies.len() {
             let mut next = state.clone();
             let reply = next.replies.remove(slot);
-            let receiver = if self.keeps(Rule::ReplyById) {
+            let receiver = if self.enforces(Rule::ReplyById) {
                 state
                     .callers
                     .iter()
@@ -140,7 +140,7 @@
                 state.callers.iter().position(|caller| caller.waiting.is_some())
             };
             if let Some(receiver) = receiver {
-                next.crossed |= receiver != reply.caller;
+                next.received_foreign_reply |= receiver != reply.caller;
                 next.callers[receiver].waiting = None;
                 next.callers[receiver].pin = reply.pin;
             }
@@ -173,22 +173,22 @@
             next_id: 0,
             requests: Vec::new(),
             replies: Vec::new(),
-            mixed: false,
-            crossed: false,
+            ran_in_foreign_transaction: false,
+            received_foreign_reply: false,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        self.sending(state, &mut steps);
-        self.running(state, &mut steps);
-        self.replying(state, &mut steps);
+        self.request_steps(state, &mut steps);
+        self.execution_steps(state, &mut steps);
+        self.reply_steps(state, &mut steps);
         for (index, caller) in state.callers.iter().enumerate() {
             if caller.waiting.is_some() {
                 let mut next = state.clone();
                 next.callers[index].waiting = None;
                 next.callers[index].pin = None;
-                steps.push((format!("caller {index} gives up waiting"), next));
+                steps.push((format!("caller {index} stops waiting"), next));
             }
         }
         if state.epoch < self.restarts {
@@ -202,12 +202,12 @@
     }
 
     fn violation(&self, state: &State) -> Option<(Invariant, String)> {
-        if state.mixed {
+        if state.ran_in_foreign_transaction {
             let detail = "a request ran in another caller's transaction".to_owned();
             return Some((Invariant::TransactionIsolation, detail));
         }
-        if state.crossed {
-            let detail = "a caller got the reply to another's request".to_owned();
+        if state.received_foreign_reply {
+            let detail = "a caller received the reply to another caller's request".to_owned();
             return Some((Invariant::WholeOwnAnswer, detail));
         }
         None
--- a/crates/millwind-model/src/main.rs
+++ b/crates/millwind-model/src/main.rs
@@ -1,4 +1,4 @@
-//! Checks the specification.
+//! Command line of the model checker.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use millwind_model::writes::{Bounds, Writes};
 use millwind_model::{Model, Outcome, Rule, check};
 
-/// Model checker of millwind's core protocol.
+/// Model checker for the core protocol of millwind.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -20,15 +20,15 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Explore the models.
+    /// Check the invariants of all models.
     Check {
-        /// Switch this rule off; a counterexample is then expected.
+        /// Disable this rule; the check must then find a counterexample.
         #[arg(long = "break", value_enum)]
         broken: Option<Rule>,
-        /// Switch each rule off in turn.
+        /// Disable each rule in turn.
         #[arg(long, conflicts_with = "broken")]
         every_rule: bool,
-        /// Explore the larger bounds.
+        /// Use the larger bounds.
         #[arg(long)]
         large: bool,
     },
@@ -54,11 +54,12 @@
     }
 }
 
-/// Checks all models; true when the result is the expected one.
+/// Checks all models. Returns whether the result is as expected: a counterexample if a rule is
+/// disabled, and none otherwise.
 fn check_all(broken: Option<Rule>, large: bool) -> bool {
     let bounds = match (large, broken) {
         (true, _) => Bounds::LARGE,
-        // These rules guard a second write, or a token raised by a read.
+        // These rules matter only with a second write, or with a token raised by a read.
         (false, Some(Rule::NoRepeatAfterSent)) => Bounds {
             writes: 2,
             ..Bounds::SMALL
@@ -81,13 +82,20 @@
         broken,
     );
     let units = if large { 3 } else { 2 };
-    let [staying, beginning_anew] = Leadership::bounded(broken, units);
-    let staying = report(&staying, broken);
-    let beginning_anew = report(&beginning_anew, broken);
+    let [stable_leader, restarting_leader] = Leadership::bounded(broken, units);
+    let stable_leader = report(&stable_leader, broken);
+    let restarting_leader = report(&restarting_leader, broken);
     let pausing = report(&Pausing { broken }, broken);
-    let found = [writes, configuration, links, staying, beginning_anew, pausing]
-        .iter()
-        .any(|outcome| outcome.counterexample.is_some());
+    let found = [
+        writes,
+        configuration,
+        links,
+        stable_leader,
+        restarting_leader,
+        pausing,
+    ]
+    .iter()
+    .any(|outcome| outcome.counterexample.is_some());
     if let Some(rule) = broken {
         let verdict = if found { "broken_as_expected" } else { "NOT_FOUND" };
         println!("rule={rule:?} result={verdict}");
@@ -95,6 +103,7 @@
     found == broken.is_some()
 }
 
+/// Checks one model and prints the outcome.
 fn report<M: Model>(model: &M, broken: Option<Rule>) -> Outcome {
     let outcome = check(model);
     let names: Vec<&str> = model
--- a/crates/millwind-model/src/pausing.rs
+++ b/crates/millwind-model/src/pausing.rs
@@ -1,11 +1,11 @@
-//! A promotion where a commit is acknowledged once one replica has received it: no
-//! acknowledged commit is undone.
+//! Promotion in a group that acknowledges a commit once one replica has received it: no
+//! acknowledged commit is lost.
 //!
-//! The leader commits on while the promoter, which does not reach it, has the replicas
-//! stop receiving, compares what they hold, and promotes the one that holds most. A
-//! replica may begin anew with its log, and then receives again. The promoter knows of
-//! the replicas' lives what their connections tell when it orders; an order takes effect
-//! at once, and takes the lead from the old leader.
+//! The leader continues to commit while the promoter, which cannot reach it, pauses
+//! replication on the replicas, compares their positions, and promotes the most advanced
+//! replica. A replica may restart with its log, and then resumes replication. The promoter
+//! knows the current incarnation of each replica when it orders. An order takes effect at
+//! once and fences the old leader.
 
 use millwind_core::failover::{Successor, choose_successor};
 use millwind_core::ids::InstanceName;
@@ -16,24 +16,24 @@
 use crate::rule::Rule;
 
 const REPLICAS: usize = 2;
-/// Replicas that have received a commit before it is acknowledged.
+/// Number of replicas that must receive a commit before it is acknowledged.
 const SYNC_REPLICAS: usize = 1;
-/// Commits at most.
-const MOST_COMMITS: u64 = 3;
-/// How often each replica begins anew at most.
-const MOST_LIVES: u8 = 1;
+/// Maximum number of commits.
+const MAX_COMMITS: u64 = 3;
+/// Maximum number of restarts of each replica.
+const MAX_RESTARTS: u8 = 1;
 
-/// The model, with one rule switched off or none.
+/// The model, with at most one rule disabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Pausing {
-    /// Rule that does not guard.
+    /// The disabled rule.
     pub broken: Option<Rule>,
 }
 
-/// What a replica answered when it was told to pause.
+/// Answer of a replica to the request to pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Pause {
-    life: u8,
+    incarnation: u8,
     received: u64,
 }
 
@@ -41,8 +41,8 @@
 struct Replica {
     received: u64,
     is_paused: bool,
-    life: u8,
-    /// Its answer, once the promoter has it.
+    incarnation: u8,
+    /// The last answer that the promoter has received from this replica.
     answer: Option<Pause>,
 }
 
@@ -56,8 +56,8 @@
 }
 
 impl Pausing {
-    fn replicating(state: &State, steps: &mut Vec<(String, State)>) {
-        if state.committed < MOST_COMMITS {
+    fn replication_steps(state: &State, steps: &mut Vec<(String, State)>) {
+        if state.committed < MAX_COMMITS {
             let mut next = state.clone();
             next.committed += 1;
             steps.push(("the leader commits".to_owned(), next));
@@ -73,36 +73,36 @@
             let holds = |replica: &&Replica| replica.received >= commit;
             state.replicas.iter().filter(holds).count()
         };
-        let waiting = state.acknowledged + 1;
-        if waiting <= state.committed && held_by(waiting) >= SYNC_REPLICAS {
+        let next_commit = state.acknowledged + 1;
+        if next_commit <= state.committed && held_by(next_commit) >= SYNC_REPLICAS {
             let mut next = state.clone();
-            next.acknowledged = waiting;
+            next.acknowledged = next_commit;
             steps.push(("the leader acknowledges a commit".to_owned(), next));
         }
     }
 
-    fn pausing(state: &State, steps: &mut Vec<(String, State)>) {
+    fn pause_steps(state: &State, steps: &mut Vec<(String, State)>) {
         for (index, replica) in state.replicas.iter().enumerate() {
             let mut next = state.clone();
             next.replicas[index].is_paused = true;
             next.replicas[index].answer = Some(Pause {
-                life: replica.life,
+                incarnation: replica.incarnation,
                 received: replica.received,
             });
-            steps.push((format!("replica {index} pauses and tells its position"), next));
-            if replica.life < MOST_LIVES {
+            steps.push((format!("replica {index} pauses and reports its position"), next));
+            if replica.incarnation < MAX_RESTARTS {
                 let mut next = state.clone();
-                next.replicas[index].life += 1;
+                next.replicas[index].incarnation += 1;
                 next.replicas[index].is_paused = false;
-                steps.push((format!("replica {index} begins anew"), next));
+                steps.push((format!("replica {index} restarts"), next));
             }
         }
     }
 
-    /// The replica that the promoter chooses by the answers that count.
+    /// Returns the replica that the promoter chooses by the valid answers.
     fn choose(&self, state: &State) -> Option<usize> {
         let counts = |replica: &Replica, pause: &Pause| {
-            pause.life == replica.life || self.broken == Some(Rule::PauseOfLife)
+            pause.incarnation == replica.incarnation || self.broken == Some(Rule::PauseOfLife)
         };
         let answered: Vec<_> = state
             .replicas
@@ -120,7 +120,7 @@
         successors
             .iter()
             .position(|successor| successor == chosen)
-            .map(|place| answered[place].0)
+            .map(|position_in_answers| answered[position_in_answers].0)
     }
 }
 
@@ -149,7 +149,7 @@
     }
 
     fn bounds(&self) -> String {
-        format!("replicas={REPLICAS} sync={SYNC_REPLICAS} commits={MOST_COMMITS} lives={MOST_LIVES}")
+        format!("replicas={REPLICAS} sync={SYNC_REPLICAS} commits={MAX_COMMITS} restarts={MAX_RESTARTS}")
     }
 
     fn initial(&self) -> State {
@@ -161,8 +161,8 @@
         if state.promoted.is_some() {
             return steps;
         }
-        Self::replicating(state, &mut steps);
-        Self::pausing(state, &mut steps);
+        Self::replication_steps(state, &mut steps);
+        Self::pause_steps(state, &mut steps);
         if let Some(chosen) = self.choose(state) {
             let mut next = state.clone();
             next.promoted = Some(chosen);
--- a/crates/millwind-model/src/rule.rs
+++ b/crates/millwind-model/src/rule.rs
@@ -1,58 +1,58 @@
-//! The guarding rules, each of which can be switched off.
+//! The protocol rules, each of which can be disabled.
 
 use clap::ValueEnum;
 
-/// A rule that some property rests on.
+/// A protocol rule that at least one invariant depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, ValueEnum)]
 pub enum Rule {
     /// A write is acknowledged only after its confirmation.
     Confirmation,
-    /// The confirming majority has received the commit.
+    /// Only instances that have received the commit count towards its confirmation.
     Replicated,
-    /// A read is released only when the position covers the token.
+    /// A read is answered only at a position that covers the session's token.
     Coverage,
-    /// A position of a later term covers only what that term kept.
+    /// A position of a later term covers only the log entries that this term kept.
     BranchPoint,
-    /// "Not run" after sending is told only behind a fence in the ledger.
+    /// A sent write is reported as "not run" only after a fence in the ledger.
     Fence,
-    /// A request with an id is recorded in its own transaction.
+    /// A request with an id is recorded in the ledger in the same transaction.
     LedgerRow,
-    /// A request without an id is not sent again once sent.
+    /// A request without an id is not resent after its answer is lost.
     NoRepeatAfterSent,
-    /// A configuration document is replaced only by a newer one.
+    /// A configuration document is replaced only by a newer revision.
     NewerOnly,
-    /// A change names the revision it was made from.
+    /// A change states the revision that it is based on.
     CompareAndSwap,
-    /// A change is recognised by its id when its answer was lost.
+    /// A change that is retried after a lost answer is recognised by its id.
     ChangeId,
-    /// A node without a fresh contact stops serving.
+    /// A node without recent contact to the platform stops serving.
     Freshness,
-    /// A contact passed on counts only with a configuration as new.
+    /// A contact counts only if the node has the configuration revision that it vouches for.
     ContactVouches,
-    /// The age of a contact counts from when it was asked for.
+    /// The age of a contact is measured from its request.
     ContactFromAsking,
-    /// Pins of an earlier process never name a transaction of this one.
+    /// A pin of an earlier owner process never matches a transaction of the current process.
     PinEpoch,
-    /// A reply is matched by its request id, not by its order.
+    /// A reply is matched by its request id, not by its order of arrival.
     ReplyById,
-    /// A permit to count on a leader ends with the news that it rests on.
+    /// A permit expires with the last confirmation of closed terms.
     PermitExpires,
-    /// A permit is looked at when an answer is taken in, not only before.
+    /// A permit is checked when the answer arrives, not only when the request is sent.
     PermitAtAnswer,
-    /// Statements settle only while the permit of before would have lasted.
+    /// Answers after the closing of a term count only while the former permit would have lasted.
     SettleWithinPermit,
-    /// The age of news counts from when they were asked for.
+    /// The age of a confirmation of closed terms is measured from its request.
     NewsFromAsking,
-    /// News give permits only to a node that was registered when it asked.
+    /// A confirmation gives a permit only if the node was registered at the request.
     RegisteredFirst,
-    /// The promoter reads the nodes after it has closed the term.
+    /// The promoter lists the nodes after it has closed the term.
     ListAfterClosing,
-    /// Every permit is revoked before the order.
+    /// Every permit is revoked or has expired before the promotion.
     RevokeBeforeOrder,
-    /// A leader counts as stepped down once it has said so.
+    /// A leader counts as stepped down only after it has confirmed the step-down.
     StepDownHeard,
-    /// That word counts for the life of the leader that gave it.
+    /// A confirmed step-down holds only for the incarnation that confirmed it.
     StepDownOfLife,
-    /// A comparison of positions counts while all who paused for it live on.
+    /// A paused position counts only while the replica has not restarted since.
     PauseOfLife,
 }
--- a/crates/millwind-model/src/writes.rs
+++ b/crates/millwind-model/src/writes.rs
@@ -1,10 +1,9 @@
-//! Terms, elections, writes and their confirmation, tokens and replica reads,
-//! and at-most-once by the ledger.
+//! Terms, elections, writes and their confirmation, tokens and replica reads, and
+//! at-most-once execution by the request ledger.
 //!
-//! A group of three instances; one caller with two writes, of which the first
-//! carries a request id and the second must not be repeated. Messages to an
-//! instance may arrive late, answers may be lost, instances may be cut off
-//! while they believe that they lead.
+//! A group has three instances. One caller has two writes: the first carries a request id,
+//! and the second must not be repeated. Messages to an instance may arrive late, answers may
+//! be lost, and a partitioned instance may still consider itself the leader.
 
 use std::collections::BTreeMap;
 
@@ -20,29 +19,29 @@
 
 const INSTANCES: usize = 3;
 const MAJORITY: usize = 2;
-/// Questions of the model are asked after the commit they confirm.
-const ASKED_AFTER: Sequence = Sequence(2);
+/// Sequence of every observation: observations follow the commit that they confirm.
+const OBSERVED_AFTER: Sequence = Sequence(2);
 const WRITES: usize = 2;
-/// The write that carries a request id; the other must not be repeated.
-const IDENTIFIED: usize = 0;
+/// The write that carries a request id; the other write must not be repeated.
+const WRITE_WITH_ID: usize = 0;
 
-/// How far the model goes.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Elections at most.
+    /// Maximum number of elections.
     pub elections: u8,
-    /// Cuts at most.
+    /// Maximum number of partitions that isolate an instance.
     pub cuts: u8,
-    /// Answers lost at most.
+    /// Maximum number of lost answers.
     pub losses: u8,
-    /// Writes that are made.
+    /// Number of writes.
     pub writes: usize,
-    /// Reads that raise the session's token at most.
+    /// Maximum number of reads that raise the session's token.
     pub reads: u8,
 }
 
 impl Bounds {
-    /// A size that CI explores.
+    /// Bounds for continuous integration.
     pub const SMALL: Bounds = Bounds {
         elections: 1,
         cuts: 1,
@@ -50,7 +49,7 @@
         writes: 1,
         reads: 0,
     };
-    /// A larger size, for runs by hand.
+    /// Larger bounds for manual runs.
     pub const LARGE: Bounds = Bounds {
         elections: 2,
         cuts: 1,
@@ -60,12 +59,12 @@
     };
 }
 
-/// The model, with one rule switched off or none.
+/// The model, with at most one rule disabled.
 #[derive(Debug, Clone, Copy)]
 pub struct Writes {
-    /// How far to go.
+    /// Bounds of the exploration.
     pub bounds: Bounds,
-    /// Rule that does not guard.
+    /// The disabled rule.
     pub broken: Option<Rule>,
 }
 
@@ -90,28 +89,28 @@
     log: Vec<(u64, Record)>,
     applied: usize,
     adopted: [bool; INSTANCES],
-    cut: bool,
+    is_partitioned: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Told {
-    Nothing,
+enum ReportedOutcome {
+    NotReported,
     Acknowledged,
     NotRun,
     Unknown,
 }
 
-/// Where a write of the caller stands at the proxy.
+/// Progress of a write at the proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Stage {
     NotSent,
-    /// On its way to an instance, or being run there.
+    /// The write is in flight, or an instance runs it.
     Sent,
-    /// Committed by an instance; its answer waits for confirmation.
+    /// An instance has committed the write, and the answer waits for confirmation.
     Committed(Pending),
-    /// Its answer was lost.
+    /// The answer was lost.
     Ambiguous,
-    /// A fence was written; it waits for confirmation.
+    /// A fence is written and waits for confirmation.
     Fencing(Pending),
     Done,
 }
@@ -119,15 +118,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Pending {
     position: Position,
-    /// What each instance showed when it was last asked: term and log end.
-    shown: [Option<(u64, usize)>; INSTANCES],
+    /// Term and log end of each instance when it was last observed.
+    observed: [Option<(u64, usize)>; INSTANCES],
 }
 
 impl Pending {
     fn new(position: Position) -> Self {
         Pending {
             position,
-            shown: [None; INSTANCES],
+            observed: [None; INSTANCES],
         }
     }
 }
@@ -137,13 +136,13 @@
 pub struct State {
     instances: Vec<Instance>,
     stages: [Stage; WRITES],
-    told: [Told; WRITES],
-    /// Copies of each write still on their way, by instance.
+    reported: [ReportedOutcome; WRITES],
+    /// Writes in flight, each with its target instance.
     in_flight: Vec<(usize, usize)>,
     token: Option<Position>,
-    /// Writes the session has seen or made; it must go on seeing them.
+    /// Writes that were acknowledged to or read by the session. Later reads must return them.
     seen: [bool; WRITES],
-    bad_read: bool,
+    read_missed_write: bool,
     reads: u8,
     elections: u8,
     cuts: u8,
@@ -178,20 +177,21 @@
 }
 
 impl Writes {
-    fn keeps(&self, rule: Rule) -> bool {
+    fn enforces(&self, rule: Rule) -> bool {
         self.broken != Some(rule)
     }
 
-    fn elections(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn election_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         if state.elections >= self.bounds.elections {
             return;
         }
         for candidate in 0..INSTANCES {
-            if state.instances[candidate].cut || state.instances[candidate].role != Role::Follower {
+            if state.instances[candidate].is_partitioned || state.instances[candidate].role != Role::Follower
+            {
                 continue;
             }
             for voter in 0..INSTANCES {
-                if voter == candidate || state.instances[voter].cut {
+                if voter == candidate || state.instances[voter].is_partitioned {
                     continue;
                 }
                 let newest = |instance: &Instance| {
@@ -229,15 +229,15 @@
         }
     }
 
-    fn replication(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn replication_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for from in 0..INSTANCES {
             let leader = &state.instances[from];
-            if leader.role == Role::Follower || leader.cut {
+            if leader.role == Role::Follower || leader.is_partitioned {
                 continue;
             }
             for to in 0..INSTANCES {
                 let follower = &state.instances[to];
-                if to == from || follower.cut || follower.voted > log_term(leader) {
+                if to == from || follower.is_partitioned || follower.voted > log_term(leader) {
                     continue;
                 }
                 let mut next = state.clone();
@@ -246,19 +246,21 @@
                 if !adopts && !behind {
                     continue;
                 }
-                let taken = &mut next.instances[to];
-                taken.voted = log_term(leader);
-                step_down(taken);
-                taken.log = leader.log.clone();
-                taken.history = leader.history.clone();
-                taken.applied = taken.applied.min(common(&follower.log, &leader.log));
-                let opened = &mut next.instances[from];
-                opened.adopted[to] = true;
-                let adopting = 1 + opened.adopted.iter().filter(|adopted| **adopted).count();
+                let follower_after = &mut next.instances[to];
+                follower_after.voted = log_term(leader);
+                step_down(follower_after);
+                follower_after.log = leader.log.clone();
+                follower_after.history = leader.history.clone();
+                follower_after.applied = follower_after
+                    .applied
+                    .min(common_prefix_length(&follower.log, &leader.log));
+                let leader_after = &mut next.instances[from];
+                leader_after.adopted[to] = true;
+                let adopting = 1 + leader_after.adopted.iter().filter(|adopted| **adopted).count();
                 if adopting >= MAJORITY {
-                    opened.role = Role::Leader;
+                    leader_after.role = Role::Leader;
                 }
-                steps.push((format!("i{to} takes i{from}'s log"), next));
+                steps.push((format!("i{to} adopts the log of i{from}"), next));
             }
         }
         for index in 0..INSTANCES {
@@ -270,25 +272,25 @@
         }
     }
 
-    fn cuts(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn partition_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for index in 0..INSTANCES {
-            let cut = state.instances[index].cut;
-            if !cut && state.cuts >= self.bounds.cuts {
+            let is_partitioned = state.instances[index].is_partitioned;
+            if !is_partitioned && state.cuts >= self.bounds.cuts {
                 continue;
             }
             let mut next = state.clone();
-            next.instances[index].cut = !cut;
-            next.cuts += u8::from(!cut);
-            let what = if cut {
-                "is reached again"
+            next.instances[index].is_partitioned = !is_partitioned;
+            next.cuts += u8::from(!is_partitioned);
+            let what = if is_partitioned {
+                "is reconnected to its peers"
             } else {
-                "is cut off from its peers"
+                "is partitioned from its peers"
             };
             steps.push((format!("i{index} {what}"), next));
         }
     }
 
-    fn sending(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn send_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for write in 0..self.bounds.writes {
             if state.stages[write] != Stage::NotSent {
                 continue;
@@ -305,21 +307,21 @@
         }
     }
 
-    fn arrivals(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn arrival_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for (slot, (write, index)) in state.in_flight.iter().copied().enumerate() {
             let mut next = state.clone();
             next.in_flight.remove(slot);
             let instance = &mut next.instances[index];
             if instance.role != Role::Leader {
                 if next.stages[write] == Stage::Sent {
-                    // Refused as read only: proven undone.
+                    // The instance is read-only, so the write did not run.
                     next.stages[write] = Stage::NotSent;
                 }
                 steps.push((format!("i{index} refuses w{write}"), next));
                 continue;
             }
             let recorded = holds(instance, Record::Write(write)) || holds(instance, Record::Fence(write));
-            if write == IDENTIFIED && recorded && self.keeps(Rule::LedgerRow) {
+            if write == WRITE_WITH_ID && recorded && self.enforces(Rule::LedgerRow) {
                 if next.stages[write] == Stage::Sent {
                     next.stages[write] = Stage::Ambiguous;
                 }
@@ -337,7 +339,7 @@
         }
     }
 
-    fn losses(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn loss_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         if state.losses >= self.bounds.losses {
             return;
         }
@@ -347,20 +349,20 @@
             }
             let mut next = state.clone();
             next.losses += 1;
-            self.give_up(&mut next, write);
+            self.handle_lost_answer(&mut next, write);
             steps.push((format!("the answer to w{write} is lost"), next));
         }
     }
 
-    /// What follows when a sent write gets no answer, by the core's decision.
-    fn give_up(&self, state: &mut State, write: usize) {
+    /// Updates a sent write without an answer as [`after_failure`] decides.
+    fn handle_lost_answer(&self, state: &mut State, write: usize) {
         let traits = RequestTraits {
             read_only: false,
             may_repeat: false,
-            has_request_id: write == IDENTIFIED,
+            has_request_id: write == WRITE_WITH_ID,
         };
         let next = after_failure(Progress::Sent, traits, ErrorKind::BackEndUnreachable);
-        if !self.keeps(Rule::NoRepeatAfterSent) && write != IDENTIFIED {
+        if !self.enforces(Rule::NoRepeatAfterSent) && write != WRITE_WITH_ID {
             state.stages[write] = Stage::NotSent;
             return;
         }
@@ -369,12 +371,12 @@
             NextStep::RunAgain => state.stages[write] = Stage::NotSent,
             NextStep::Tell(_) => {
                 state.stages[write] = Stage::Done;
-                state.told[write] = Told::Unknown;
+                state.reported[write] = ReportedOutcome::Unknown;
             }
         }
     }
 
-    fn resolving(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn resolution_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for write in 0..WRITES {
             if state.stages[write] != Stage::Ambiguous {
                 continue;
@@ -391,7 +393,7 @@
                     steps.push((format!("w{write} is found in i{index}'s ledger"), next));
                     continue;
                 }
-                if self.keeps(Rule::Fence) {
+                if self.enforces(Rule::Fence) {
                     if !holds(instance, Record::Fence(write)) {
                         let term = log_term(instance);
                         instance.log.push((term, Record::Fence(write)));
@@ -402,9 +404,9 @@
                     steps.push((format!("w{write} is fenced on i{index}"), next));
                 } else {
                     next.stages[write] = Stage::Done;
-                    next.told[write] = Told::NotRun;
+                    next.reported[write] = ReportedOutcome::NotRun;
                     steps.push((
-                        format!("w{write} is not found on i{index} and told as not run"),
+                        format!("w{write} is not found on i{index} and reported as not run"),
                         next,
                     ));
                 }
@@ -412,44 +414,44 @@
         }
     }
 
-    fn confirming(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn confirmation_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for write in 0..WRITES {
             let (pending, acknowledges) = match &state.stages[write] {
                 Stage::Committed(pending) => (pending, true),
                 Stage::Fencing(pending) => (pending, false),
                 _ => continue,
             };
-            if !self.keeps(Rule::Confirmation) {
-                let next = self.concluded(state, write, pending.position, acknowledges);
-                steps.push((format!("w{write} is concluded unconfirmed"), next));
+            if !self.enforces(Rule::Confirmation) {
+                let next = self.conclude(state, write, pending.position, acknowledges);
+                steps.push((format!("w{write} is completed without confirmation"), next));
                 continue;
             }
             for index in 0..INSTANCES {
                 let instance = &state.instances[index];
-                let mut asked = pending.clone();
-                asked.shown[index] = Some((log_term(instance), instance.log.len()));
-                if asked == *pending && self.verdict(&asked).is_none() {
+                let mut observed_pending = pending.clone();
+                observed_pending.observed[index] = Some((log_term(instance), instance.log.len()));
+                if observed_pending == *pending && self.verdict(&observed_pending).is_none() {
                     continue;
                 }
-                let next = match self.verdict(&asked) {
-                    Some(Verdict::Confirmed) => self.concluded(state, write, pending.position, acknowledges),
+                let next = match self.verdict(&observed_pending) {
+                    Some(Verdict::Confirmed) => self.conclude(state, write, pending.position, acknowledges),
                     Some(Verdict::Superseded) => {
                         let mut next = state.clone();
-                        self.give_up(&mut next, write);
+                        self.handle_lost_answer(&mut next, write);
                         next
                     }
                     None => {
                         let mut next = state.clone();
                         next.stages[write] = match acknowledges {
-                            true => Stage::Committed(asked),
-                            false => Stage::Fencing(asked),
+                            true => Stage::Committed(observed_pending),
+                            false => Stage::Fencing(observed_pending),
                         };
                         next
                     }
                 };
                 steps.push((
                     format!(
-                        "i{index} is asked for w{write} and shows {}",
+                        "i{index} is observed for w{write} at {}",
                         position_of(instance, instance.log.len())
                     ),
                     next,
@@ -458,9 +460,9 @@
         }
     }
 
-    /// The verdict of the core's own tracker on what was shown.
+    /// Returns the verdict of [`ConfirmationTracker`] on the observed positions.
     fn verdict(&self, pending: &Pending) -> Option<Verdict> {
-        let rule = if self.keeps(Rule::Replicated) {
+        let rule = if self.enforces(Rule::Replicated) {
             ConfirmationRule::Replicated
         } else {
             ConfirmationRule::Term
@@ -468,11 +470,13 @@
         let mut tracker = ConfirmationTracker::new(INSTANCES, rule);
         tracker.register(0, pending.position);
         let mut decided = BTreeMap::new();
-        for (index, shown) in pending.shown.iter().enumerate() {
-            let Some((term, received)) = shown else { continue };
+        for (index, observed) in pending.observed.iter().enumerate() {
+            let Some((term, received)) = observed else {
+                continue;
+            };
             let verdicts = tracker.observe(
                 &instance_name(index),
-                ASKED_AFTER,
+                OBSERVED_AFTER,
                 Term(*term),
                 LogPosition(*received as u64),
             );
@@ -481,20 +485,20 @@
         decided.get(&0).copied()
     }
 
-    fn concluded(&self, state: &State, write: usize, position: Position, acknowledges: bool) -> State {
+    fn conclude(&self, state: &State, write: usize, position: Position, acknowledges: bool) -> State {
         let mut next = state.clone();
         next.stages[write] = Stage::Done;
         if acknowledges {
-            next.told[write] = Told::Acknowledged;
+            next.reported[write] = ReportedOutcome::Acknowledged;
             next.seen[write] = true;
             next.token = next.token.max(Some(position));
         } else {
-            next.told[write] = Told::NotRun;
+            next.reported[write] = ReportedOutcome::NotRun;
         }
         next
     }
 
-    fn reading(&self, state: &State, steps: &mut Vec<(String, State)>) {
+    fn read_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for index in 0..INSTANCES {
             let instance = &state.instances[index];
             let held = position_of(instance, instance.applied);
@@ -515,7 +519,7 @@
             let missing = (0..WRITES).any(|write| state.seen[write] && !visible(write));
             if missing {
                 let mut next = state.clone();
-                next.bad_read = true;
+                next.read_missed_write = true;
                 steps.push((label(), next));
             } else if state.reads < self.bounds.reads {
                 let mut next = state.clone();
@@ -531,7 +535,7 @@
 
     fn may_read(&self, instance: &Instance, held: Position, token: Option<Position>) -> bool {
         let Some(token) = token else {
-            // A session without a token gets a confirmed floor first.
+            // A session without a token first obtains a confirmed minimum position.
             return false;
         };
         match self.broken {
@@ -546,7 +550,7 @@
     instance.role = Role::Follower;
 }
 
-fn common(left: &[(u64, Record)], right: &[(u64, Record)]) -> usize {
+fn common_prefix_length(left: &[(u64, Record)], right: &[(u64, Record)]) -> usize {
     left.iter()
         .zip(right)
         .take_while(|(left, right)| left == right)
@@ -588,18 +592,18 @@
             log: Vec::new(),
             applied: 0,
             adopted: [false; INSTANCES],
-            cut: false,
+            is_partitioned: false,
         };
         let mut instances = vec![follower; INSTANCES];
         instances[0].role = Role::Leader;
         State {
             instances,
             stages: [Stage::NotSent, Stage::NotSent],
-            told: [Told::Nothing; WRITES],
+            reported: [ReportedOutcome::NotReported; WRITES],
             in_flight: Vec::new(),
             token: None,
             seen: [false; WRITES],
-            bad_read: false,
+            read_missed_write: false,
             reads: 0,
             elections: 0,
             cuts: 0,
@@ -609,23 +613,23 @@
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        self.elections(state, &mut steps);
-        self.replication(state, &mut steps);
-        self.cuts(state, &mut steps);
-        self.sending(state, &mut steps);
-        self.arrivals(state, &mut steps);
-        self.losses(state, &mut steps);
-        self.resolving(state, &mut steps);
-        self.confirming(state, &mut steps);
-        self.reading(state, &mut steps);
+        self.election_steps(state, &mut steps);
+        self.replication_steps(state, &mut steps);
+        self.partition_steps(state, &mut steps);
+        self.send_steps(state, &mut steps);
+        self.arrival_steps(state, &mut steps);
+        self.loss_steps(state, &mut steps);
+        self.resolution_steps(state, &mut steps);
+        self.confirmation_steps(state, &mut steps);
+        self.read_steps(state, &mut steps);
         steps
     }
 
     fn violation(&self, state: &State) -> Option<(Invariant, String)> {
-        if state.bad_read {
+        if state.read_missed_write {
             return Some((
                 Invariant::ReadYourWrites,
-                "a read lacked an acknowledged write".to_owned(),
+                "a read did not return a write that the session had seen".to_owned(),
             ));
         }
         let leader = state
@@ -633,7 +637,7 @@
             .iter()
             .filter(|instance| instance.role == Role::Leader)
             .max_by_key(|instance| log_term(instance))?;
-        // While a newer term has no leader, an old one's log says nothing.
+        // The log of an old leader is not authoritative while a newer term has no leader.
         if state
             .instances
             .iter()
@@ -647,13 +651,15 @@
                 .iter()
                 .filter(|(_, record)| *record == Record::Write(write))
                 .count();
-            let found = match (state.told[write], copies) {
+            let found = match (state.reported[write], copies) {
                 (_, 2..) => Some((Invariant::AtMostOnce, "ran twice")),
-                (Told::Acknowledged, 0) => Some((
+                (ReportedOutcome::Acknowledged, 0) => Some((
                     Invariant::NoOldPrimaryAcknowledgement,
                     "was acknowledged and is lost",
                 )),
-                (Told::NotRun, 1..) => Some((Invariant::NotRunIsTrue, "was told as not run and took effect")),
+                (ReportedOutcome::NotRun, 1..) => {
+                    Some((Invariant::NotRunIsTrue, "was reported as not run and took effect"))
+                }
                 _ => None,
             };
             if let Some((invariant, what)) = found {
--- a/crates/millwind-model/tests/check.rs
+++ b/crates/millwind-model/tests/check.rs
@@ -1,4 +1,4 @@
-//! The specification holds within the small bounds, and every rule is needed.
+//! All invariants hold within the small bounds, and each protocol rule is necessary.
 
 use clap::ValueEnum;
 use millwind_model::configuration::Configuration;
@@ -20,7 +20,7 @@
     Leadership::bounded(broken, 2)
 }
 
-/// Looks only where the rule guards something: the whole model takes long.
+/// Skips rules that the model does not enforce, since a full exploration is slow.
 fn leadership_violation(broken: Option<Rule>) -> Option<Counterexample> {
     let rule = broken.filter(|rule| Leadership::RULES.contains(rule))?;
     let mut models = leadership(Some(rule)).into_iter();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_protocol_holds() {
+fn all_invariants_hold() {
     let writes = check(&Writes {
         bounds: Bounds::SMALL,
         broken: None,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn each_rule_switched_off_gives_a_counterexample() {
+fn each_disabled_rule_gives_a_counterexample() {
     for rule in Rule::value_variants() {
         let broken = Some(*rule);
         let counterexample = leadership_violation(broken)
@@ -88,7 +88,7 @@
             .or_else(|| writes(broken))
             .or_else(|| check(&links(broken)).counterexample)
             .or_else(|| check(&Configuration { broken, losses: 1 }).counterexample)
-            .unwrap_or_else(|| panic!("{rule:?} switched off breaks nothing"));
+            .unwrap_or_else(|| panic!("disabling {rule:?} gives no counterexample"));
         assert!(!counterexample.trace.is_empty());
     }
 }
