--- a/crates/millwind-ctl/src/apply.rs
+++ b/crates/millwind-ctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! Changes of documents: stored first, then in force.
+//! Changes of documents: a change is stored first, and then comes into force on the nodes.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -9,36 +9,39 @@
 use crate::EXIT_STORED_ONLY;
 use crate::client::{Admin, ClientError};
 
-/// Starts the line that names the revision a file was made from.
+/// Prefix of the line that states the revision a file is based on.
 pub const REVISION_LINE: &str = "# revision = ";
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A document file.
+/// Contents of a document file.
 struct DocumentFile {
     name: String,
     revision: Option<u64>,
     body: String,
 }
 
-fn read(path: &Path) -> Result<DocumentFile, ClientError> {
-    let shown = path.display().to_string();
-    let text =
-        std::fs::read_to_string(path).map_err(|error| ClientError::File(shown.clone(), error.to_string()))?;
+fn read_document(path: &Path) -> Result<DocumentFile, ClientError> {
+    let display_path = path.display().to_string();
+    let text = std::fs::read_to_string(path)
+        .map_err(|error| ClientError::File(display_path.clone(), error.to_string()))?;
     let table: toml::Table = text
         .parse()
-        .map_err(|error: toml::de::Error| ClientError::File(shown.clone(), error.to_string()))?;
+        .map_err(|error: toml::de::Error| ClientError::File(display_path.clone(), error.to_string()))?;
     let name = table
         .get("name")
         .and_then(|value| value.as_str())
-        .ok_or_else(|| ClientError::File(shown, "field name is missing or not a text".to_owned()))?;
+        .ok_or_else(|| {
+            ClientError::File(display_path, "field `name` is missing or not a string".to_owned())
+        })?;
     Ok(DocumentFile {
         name: name.to_owned(),
-        revision: stated_revision(&text),
+        revision: base_revision(&text),
         body: text,
     })
 }
 
-fn stated_revision(text: &str) -> Option<u64> {
+/// Returns the revision that the first line of a file states, if any.
+fn base_revision(text: &str) -> Option<u64> {
     text.lines()
         .next()?
         .strip_prefix(REVISION_LINE)?
@@ -47,7 +50,8 @@
         .ok()
 }
 
-/// Stores a file and waits for it to be in force.
+/// Stores a file as a document and waits until it is in force on all nodes. The exit code is
+/// [`EXIT_STORED_ONLY`] if that takes longer than `wait` seconds.
 pub async fn apply(
     admin: &Admin,
     kind: &str,
@@ -55,7 +59,7 @@
     change_id: Option<String>,
     wait: u64,
 ) -> Result<ExitCode, ClientError> {
-    let document = read(file)?;
+    let document = read_document(file)?;
     let body = ChangeBody {
         change_id: change_id.unwrap_or_else(new_change_id),
         expected_revision: document.revision,
@@ -64,7 +68,7 @@
     store(admin, kind, &document.name, &body, wait).await
 }
 
-/// Deletes a document and waits for that to be in force.
+/// Deletes a document and waits like [`apply`] until the deletion is in force.
 pub async fn delete(admin: &Admin, kind: &str, name: &str, wait: u64) -> Result<ExitCode, ClientError> {
     let body = ChangeBody {
         change_id: new_change_id(),
@@ -88,23 +92,26 @@
     println!("change_id={}", body.change_id);
     let stored: StoredBody = admin.put(&format!("/documents/{kind}/{name}"), body).await?;
     println!("stored revision={}", stored.revision);
-    let give_up = Instant::now() + Duration::from_secs(wait);
-    let mut shown = String::new();
+    let deadline = Instant::now() + Duration::from_secs(wait);
+    let mut printed = String::new();
     loop {
         let report = standings(admin, stored.revision).await?;
-        let line = describe(&report);
-        if line != shown {
+        let line = summary(&report);
+        if line != printed {
             println!("{line}");
-            shown = line;
+            printed = line;
         }
         if report.pending.is_empty() {
             return Ok(ExitCode::SUCCESS);
         }
-        if Instant::now() >= give_up {
-            println!("only stored; not yet known of: {}", report.pending.join(" "));
+        if Instant::now() >= deadline {
+            println!(
+                "stored but not yet in force; pending nodes: {}",
+                report.pending.join(" ")
+            );
             return Ok(ExitCode::from(EXIT_STORED_ONLY));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -112,7 +119,7 @@
     admin.get(&format!("/standings?revision={revision}")).await
 }
 
-fn describe(report: &StandingsReport) -> String {
+fn summary(report: &StandingsReport) -> String {
     let live = report.in_force + report.pending.len();
     format!(
         "in force {} of {live} nodes, {} stopped",
@@ -120,35 +127,35 @@
     )
 }
 
-/// Prints how far a revision has come into force.
+/// Prints on how many nodes a revision is in force.
 pub async fn report(admin: &Admin, revision: Option<u64>) -> Result<ExitCode, ClientError> {
     let revision = match revision {
         Some(revision) => revision,
         None => admin.get::<StatusReport>("/status").await?.revision,
     };
-    // The first question makes the node ask the relays; the second knows more.
+    // The first request makes the node query the relays; the second returns their answers.
     standings(admin, revision).await?;
-    tokio::time::sleep(POLL).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
     let report = standings(admin, revision).await?;
-    println!("revision={revision} {}", describe(&report));
+    println!("revision={revision} {}", summary(&report));
     if report.pending.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
-    println!("not known of: {}", report.pending.join(" "));
+    println!("pending nodes: {}", report.pending.join(" "));
     Ok(ExitCode::from(EXIT_STORED_ONLY))
 }
 
-/// Prints how a file differs from what is in force.
+/// Prints how a file differs from the document in force.
 pub async fn diff(admin: &Admin, kind: &str, file: &Path) -> Result<(), ClientError> {
-    let document = read(file)?;
-    let held: DocumentRow = admin.get(&format!("/documents/{kind}/{}", document.name)).await?;
+    let document = read_document(file)?;
+    let in_force: DocumentRow = admin.get(&format!("/documents/{kind}/{}", document.name)).await?;
     let without_header = |text: &str| {
         text.lines()
             .filter(|line| !line.starts_with(REVISION_LINE))
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let old = without_header(&held.body);
+    let old = without_header(&in_force.body);
     let new = without_header(&document.body);
     for line in old.iter().filter(|line| !new.contains(line)) {
         println!("- {line}");
--- a/crates/millwind-ctl/src/client.rs
+++ b/crates/millwind-ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of a node's administration.
+//! HTTP client for the administration interface of a node.
 
 use std::net::SocketAddr;
 
@@ -16,31 +16,31 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The node cannot be reached or broke off.
+    /// The node is unreachable, or communication with it failed.
     #[error("node {0}: {1}")]
     Transport(SocketAddr, String),
-    /// The node refused.
+    /// The node refused the request.
     #[error("{0}")]
     Refused(String),
-    /// Somebody else changed the document first.
+    /// The document was changed concurrently.
     #[error("{0}")]
     Conflict(String),
     /// The change may or may not be stored.
     #[error("{0}")]
     Unknown(String),
-    /// A file cannot be used.
+    /// A file cannot be read or is invalid.
     #[error("{0}: {1}")]
     File(String, String),
 }
 
-/// A node's administration.
+/// Client of the administration interface of one node.
 #[derive(Debug)]
 pub struct Admin {
     address: SocketAddr,
 }
 
 impl Admin {
-    /// The administration at this address.
+    /// Creates a client for the node at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Admin { address }
     }
@@ -49,7 +49,8 @@
         ClientError::Transport(self.address, error.to_string())
     }
 
-    async fn call(
+    /// Sends a request. Fails if the response status is no success.
+    async fn send(
         &self,
         method: Method,
         path: &str,
@@ -70,61 +71,61 @@
             return Ok(response);
         }
         let status = response.status();
-        let bytes = self.body(response).await?;
-        Err(refusal(status, &bytes))
+        let bytes = self.read_body(response).await?;
+        Err(response_error(status, &bytes))
     }
 
-    async fn body(&self, response: Response<Incoming>) -> Result<Bytes, ClientError> {
+    async fn read_body(&self, response: Response<Incoming>) -> Result<Bytes, ClientError> {
         let collected = response.into_body().collect().await;
         Ok(collected.map_err(|error| self.transport(error))?.to_bytes())
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and parses the JSON response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
-        let response = self.call(Method::GET, path, Vec::new()).await?;
-        let bytes = self.body(response).await?;
+        let response = self.send(Method::GET, path, Vec::new()).await?;
+        let bytes = self.read_body(response).await?;
         serde_json::from_slice(&bytes).map_err(|error| self.transport(error))
     }
 
-    /// Sends a request without a body.
+    /// Sends a POST request without a body.
     pub async fn post(&self, path: &str) -> Result<(), ClientError> {
-        self.call(Method::POST, path, Vec::new()).await?;
+        self.send(Method::POST, path, Vec::new()).await?;
         Ok(())
     }
 
-    /// Stores JSON and reads JSON.
+    /// Sends a PUT request with a JSON body and parses the JSON response.
     pub async fn put<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         body: &T,
     ) -> Result<R, ClientError> {
-        self.exchange(Method::PUT, path, body).await
+        self.send_json(Method::PUT, path, body).await
     }
 
-    /// Posts JSON and reads JSON.
+    /// Sends a POST request with a JSON body and parses the JSON response.
     pub async fn post_json<T: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         body: &T,
     ) -> Result<R, ClientError> {
-        self.exchange(Method::POST, path, body).await
+        self.send_json(Method::POST, path, body).await
     }
 
-    async fn exchange<T: Serialize, R: DeserializeOwned>(
+    async fn send_json<T: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: &T,
     ) -> Result<R, ClientError> {
         let bytes = serde_json::to_vec(body).map_err(|error| self.transport(error))?;
-        let response = self.call(method, path, bytes).await?;
-        let answer = self.body(response).await?;
+        let response = self.send(method, path, bytes).await?;
+        let answer = self.read_body(response).await?;
         serde_json::from_slice(&answer).map_err(|error| self.transport(error))
     }
 
-    /// Prints lines as they come.
+    /// Prints the response body as it arrives.
     pub async fn stream(&self, path: &str) -> Result<(), ClientError> {
-        let response = self.call(Method::GET, path, Vec::new()).await?;
+        let response = self.send(Method::GET, path, Vec::new()).await?;
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| self.transport(error))?;
@@ -136,13 +137,14 @@
     }
 }
 
-fn refusal(status: StatusCode, bytes: &[u8]) -> ClientError {
+/// Converts an error response to a [`ClientError`].
+fn response_error(status: StatusCode, bytes: &[u8]) -> ClientError {
     let Ok(body) = serde_json::from_slice::<ErrorBody>(bytes) else {
         return ClientError::Refused(format!("{status}: {}", String::from_utf8_lossy(bytes)));
     };
     match status {
         StatusCode::CONFLICT => ClientError::Conflict(format!(
-            "{}\n--- stored now (revision {})\n{}\n--- yours\n{}",
+            "{}\n--- stored (revision {})\n{}\n--- yours\n{}",
             body.error,
             body.current_revision.unwrap_or(0),
             body.current.unwrap_or_default().trim_end(),
--- a/crates/millwind-ctl/src/main.rs
+++ b/crates/millwind-ctl/src/main.rs
@@ -1,4 +1,5 @@
-//! Command line for operators of millwind: goes through any node.
+//! Command-line tool for operators of millwind. It talks to the administration interface of any
+//! node.
 
 mod apply;
 mod client;
@@ -19,11 +20,11 @@
 use crate::client::{Admin, ClientError};
 use crate::tables::Table;
 
-/// Exit code when a change is stored but not yet in force everywhere.
+/// Exit code when a change is stored but not yet in force on all nodes.
 const EXIT_STORED_ONLY: u8 = 3;
-/// Exit code when somebody else changed the document first.
+/// Exit code when the document was changed concurrently.
 const EXIT_CONFLICT: u8 = 4;
-/// Exit code when the outcome of a change is unknown; ask again with its id.
+/// Exit code when the outcome of a change is unknown. Retry with the same change id.
 const EXIT_UNKNOWN: u8 = 5;
 
 /// Operate millwind through any of its nodes.
@@ -33,7 +34,7 @@
     /// Administration address of a node.
     #[arg(long, env = "MILLWIND_ADMIN", default_value = "127.0.0.1:8432")]
     node: SocketAddr,
-    /// How to print.
+    /// Output format.
     #[arg(long, value_enum, default_value = "table")]
     output: Output,
     #[command(subcommand)]
@@ -42,90 +43,90 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Output {
-    /// Tables for people.
+    /// Human-readable tables.
     Table,
-    /// JSON for programs.
+    /// JSON.
     Json,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// The node at a glance.
+    /// Show a summary of the node.
     Status,
-    /// Members as the node sees them.
+    /// List the cluster members known to the node.
     Nodes,
-    /// Database instances, their owners and positions.
+    /// List database instances with their owners and positions.
     Groups,
-    /// Pools the node keeps.
+    /// List the node's connection pools.
     Pools,
-    /// Tenants' settings in force.
+    /// List the tenant settings in force.
     Tenants,
-    /// Database groups.
+    /// Manage database groups.
     Group {
         #[command(subcommand)]
         action: DocumentAction,
     },
-    /// Templates.
+    /// Manage templates.
     Template {
         #[command(subcommand)]
         action: DocumentAction,
     },
-    /// Tenants.
+    /// Manage tenants.
     Tenant {
         #[command(subcommand)]
         action: DocumentAction,
     },
-    /// How far a revision has come into force.
+    /// Show on how many nodes a revision is in force.
     Config {
-        /// The revision; the node's own if none.
+        /// The revision; defaults to the node's current revision.
         #[arg(long)]
         revision: Option<u64>,
     },
-    /// Explain what would happen to a statement now, without running it.
+    /// Explain how a statement would be routed now, without running it.
     Explain {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// The statement.
+        /// Text of the statement.
         statement: String,
     },
-    /// Watch decisions as they are made.
+    /// Stream routing decisions as they are made.
     Watch,
-    /// Stop the node as planned.
+    /// Drain the node for a planned stop.
     Drain,
 }
 
-/// What to do with documents of a kind.
+/// Actions on the documents of one kind.
 #[derive(Debug, Clone, Subcommand)]
 pub enum DocumentAction {
     /// List names and revisions.
     List,
-    /// Print one, with the revision it is at.
+    /// Print a document with its revision.
     Get {
-        /// Its name.
+        /// Name of the document.
         name: String,
     },
-    /// Store a file and wait for it to be in force.
+    /// Store a file as a document and wait until it is in force.
     Apply {
-        /// TOML file; a first line `# revision = N` names the revision it was
-        /// made from.
+        /// TOML file. A first line `# revision = N` states the revision that the file is
+        /// based on.
         file: PathBuf,
-        /// Names the change; give the same again after an unknown outcome.
+        /// Id of the change. Pass the same id to retry after an unknown outcome.
         #[arg(long)]
         change_id: Option<String>,
-        /// Longest wait for the change to be in force, in seconds.
+        /// Maximum time to wait for the change to be in force, in seconds.
         #[arg(long, default_value_t = 20)]
         wait: u64,
     },
-    /// Show how a file differs from what is in force.
+    /// Show how a file differs from the document in force.
     Diff {
         /// TOML file.
         file: PathBuf,
     },
-    /// Delete one and wait for it to be in force.
+    /// Delete a document and wait until the deletion is in force.
     Delete {
-        /// Its name.
+        /// Name of the document.
         name: String,
-        /// Longest wait for the change to be in force, in seconds.
+        /// Maximum time to wait for the change to be in force, in seconds.
         #[arg(long, default_value_t = 20)]
         wait: u64,
     },
@@ -160,9 +161,9 @@
         Command::Groups => print_list::<InstanceRow>(admin, output, "/groups", tables::groups).await?,
         Command::Pools => print_list::<PoolRow>(admin, output, "/pools", tables::pools).await?,
         Command::Tenants => print_list::<TenantRow>(admin, output, "/tenants", tables::tenants).await?,
-        Command::Group { action } => return documents(admin, output, "group", action).await,
-        Command::Template { action } => return documents(admin, output, "template", action).await,
-        Command::Tenant { action } => return documents(admin, output, "tenant", action).await,
+        Command::Group { action } => return run_document_action(admin, output, "group", action).await,
+        Command::Template { action } => return run_document_action(admin, output, "template", action).await,
+        Command::Tenant { action } => return run_document_action(admin, output, "tenant", action).await,
         Command::Config { revision } => return apply::report(admin, *revision).await,
         Command::Explain { tenant, statement } => {
             let body = ExplainBody {
@@ -181,7 +182,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn documents(
+async fn run_document_action(
     admin: &Admin,
     output: Output,
     kind: &'static str,
--- a/crates/millwind-ctl/src/tables.rs
+++ b/crates/millwind-ctl/src/tables.rs
@@ -1,11 +1,11 @@
-//! Tables for people.
+//! Human-readable tables.
 
 use std::fmt;
 
 use millwind_node::admin::{DocumentRow, InstanceRow, NodeRow, PoolRow, StatusReport, TenantRow};
 use millwind_node::gateway::Explanation;
 
-/// A table with a header.
+/// A table with a header, printed in aligned columns.
 #[derive(Debug)]
 pub struct Table {
     header: Vec<&'static str>,
@@ -32,15 +32,15 @@
     }
 }
 
-fn yes(value: bool) -> String {
+fn yes_or_no(value: bool) -> String {
     if value { "yes" } else { "no" }.to_owned()
 }
 
-fn optional(value: Option<u64>) -> String {
+fn number_or_dash(value: Option<u64>) -> String {
     value.map_or("-".to_owned(), |value| value.to_string())
 }
 
-/// A node at a glance, with its zones.
+/// Summary of a node and of its contact with each zone.
 pub fn status(status: &StatusReport) -> Table {
     let mut rows = vec![
         vec!["node".to_owned(), status.node.clone()],
@@ -48,16 +48,16 @@
         vec!["state".to_owned(), status.state.clone()],
         vec!["revision".to_owned(), status.revision.to_string()],
         vec![
-            "platform heard".to_owned(),
+            "platform contact".to_owned(),
             format!("{} ms ago", status.platform_age_ms),
         ],
-        vec!["relay".to_owned(), yes(status.relay)],
+        vec!["relay".to_owned(), yes_or_no(status.relay)],
         vec!["sessions".to_owned(), status.sessions.to_string()],
         vec!["owner load".to_owned(), status.owner_load.to_string()],
     ];
     for zone in &status.zones {
         let text = format!(
-            "heard {} ms ago, platform {} ms before",
+            "contact {} ms ago, platform contact {} ms before that",
             zone.age_ms, zone.platform_age_ms
         );
         rows.push(vec![format!("zone {}", zone.zone), text]);
@@ -68,7 +68,7 @@
     }
 }
 
-/// What would happen to a statement.
+/// Explanation of how a statement would be routed.
 pub fn explanation(explanation: &Explanation) -> Table {
     let mut rows = vec![
         vec!["node".to_owned(), explanation.node.clone()],
@@ -76,7 +76,7 @@
         vec!["action".to_owned(), explanation.action.clone()],
         vec!["class".to_owned(), explanation.class.clone()],
         vec!["window".to_owned(), format!("{} ms", explanation.window_ms)],
-        vec!["may be repeated".to_owned(), yes(explanation.may_repeat)],
+        vec!["may be repeated".to_owned(), yes_or_no(explanation.may_repeat)],
     ];
     for (place, candidate) in explanation.candidates.iter().enumerate() {
         let text = format!("{} ({})", candidate.instance, candidate.reason);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Members.
+/// Cluster members.
 pub fn nodes(rows: &[NodeRow]) -> Table {
     Table {
         header: vec!["node", "zone", "region", "address", "liveness", "leaving"],
@@ -101,14 +101,14 @@
                     row.region.clone(),
                     row.address.clone(),
                     row.liveness.clone(),
-                    yes(row.leaving),
+                    yes_or_no(row.leaving),
                 ]
             })
             .collect(),
     }
 }
 
-/// Instances.
+/// Database instances.
 pub fn groups(rows: &[InstanceRow]) -> Table {
     Table {
         header: vec![
@@ -124,15 +124,15 @@
                     row.owner.clone(),
                     row.role.clone(),
                     row.position.clone(),
-                    optional(row.lag_ms),
-                    yes(row.leaving),
+                    number_or_dash(row.lag_ms),
+                    yes_or_no(row.leaving),
                 ]
             })
             .collect(),
     }
 }
 
-/// Pools.
+/// Connection pools.
 pub fn pools(rows: &[PoolRow]) -> Table {
     Table {
         header: vec!["instance", "slots", "connections", "running", "queued"],
@@ -151,7 +151,7 @@
     }
 }
 
-/// Tenants.
+/// Tenant settings in force.
 pub fn tenants(rows: &[TenantRow]) -> Table {
     Table {
         header: vec![
@@ -182,7 +182,7 @@
     }
 }
 
-/// Documents.
+/// Names and revisions of documents.
 pub fn documents(rows: &[DocumentRow]) -> Table {
     Table {
         header: vec!["document", "revision"],
