--- a/crates/millwind-ctl/src/apply.rs
+++ b/crates/millwind-ctl/src/apply.rs
@@ -148,14 +148,14 @@
 /// Prints how a file differs from the document in force.
 pub async fn diff(admin: &Admin, kind: &str, file: &Path) -> Result<(), ClientError> {
     let document = read_document(file)?;
-    let in_force: DocumentRow = admin.get(&format!("/documents/{kind}/{}", document.name)).await?;
+    let current: DocumentRow = admin.get(&format!("/documents/{kind}/{}", document.name)).await?;
     let without_header = |text: &str| {
         text.lines()
             .filter(|line| !line.starts_with(REVISION_LINE))
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let old = without_header(&in_force.body);
+    let old = without_header(&current.body);
     let new = without_header(&document.body);
     for line in old.iter().filter(|line| !new.contains(line)) {
         println!("- {line}");
--- a/crates/millwind-model/src/writes.rs
+++ b/crates/millwind-model/src/writes.rs
@@ -31,7 +31,7 @@
     /// Maximum number of elections.
     pub elections: u8,
     /// Maximum number of partitions that isolate an instance.
-    pub cuts: u8,
+    pub partitions: u8,
     /// Maximum number of lost answers.
     pub losses: u8,
     /// Number of writes.
@@ -44,7 +44,7 @@
     /// Bounds for continuous integration.
     pub const SMALL: Bounds = Bounds {
         elections: 1,
-        cuts: 1,
+        partitions: 1,
         losses: 1,
         writes: 1,
         reads: 0,
@@ -52,7 +52,7 @@
     /// Larger bounds for manual runs.
     pub const LARGE: Bounds = Bounds {
         elections: 2,
-        cuts: 1,
+        partitions: 1,
         losses: 1,
         writes: 1,
         reads: 1,
@@ -145,7 +145,7 @@
     read_missed_write: bool,
     reads: u8,
     elections: u8,
-    cuts: u8,
+    partitions: u8,
     losses: u8,
 }
 
@@ -275,12 +275,12 @@
     fn partition_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         for index in 0..INSTANCES {
             let is_partitioned = state.instances[index].is_partitioned;
-            if !is_partitioned && state.cuts >= self.bounds.cuts {
+            if !is_partitioned && state.partitions >= self.bounds.partitions {
                 continue;
             }
             let mut next = state.clone();
             next.instances[index].is_partitioned = !is_partitioned;
-            next.cuts += u8::from(!is_partitioned);
+            next.partitions += u8::from(!is_partitioned);
             let what = if is_partitioned {
                 "is reconnected to its peers"
             } else {
@@ -470,8 +470,8 @@
         let mut tracker = ConfirmationTracker::new(INSTANCES, rule);
         tracker.register(0, pending.position);
         let mut decided = BTreeMap::new();
-        for (index, observed) in pending.observed.iter().enumerate() {
-            let Some((term, received)) = observed else {
+        for (index, view) in pending.observed.iter().enumerate() {
+            let Some((term, received)) = view else {
                 continue;
             };
             let verdicts = tracker.observe(
@@ -576,12 +576,14 @@
     fn bounds(&self) -> String {
         let Bounds {
             elections,
-            cuts,
+            partitions,
             losses,
             writes,
             reads,
         } = self.bounds;
-        format!("instances=3 elections={elections} cuts={cuts} losses={losses} writes={writes} reads={reads}")
+        format!(
+            "instances=3 elections={elections} partitions={partitions} losses={losses} writes={writes} reads={reads}"
+        )
     }
 
     fn initial(&self) -> State {
@@ -606,7 +608,7 @@
             read_missed_write: false,
             reads: 0,
             elections: 0,
-            cuts: 0,
+            partitions: 0,
             losses: 0,
         }
     }
