--- a/crates/millwind-model/src/writes.rs
+++ b/crates/millwind-model/src/writes.rs
@@ -471,9 +471,7 @@
         tracker.register(0, pending.position);
         let mut decided = BTreeMap::new();
         for (index, view) in pending.observed.iter().enumerate() {
-            let Some((term, received)) = view else {
-                continue;
-            };
+            let Some((term, received)) = view else { continue };
             let verdicts = tracker.observe(
                 &instance_name(index),
                 OBSERVED_AFTER,
