--- a/crates/millwind-engine/tests/incarnations.rs
+++ b/crates/millwind-engine/tests/incarnations.rs
@@ -61,10 +61,10 @@
 fn a_restarted_instance_starts_without_contact_history() {
     let directory = directory_with_leader(true);
     let initial_contact = directory.instance(&leader()).unwrap().contact;
-    directory.answered(&leader(), Some(700_000));
-    directory.failed(&leader(), clock::now().plus_millis(1), false);
-    directory.statement_ended(&leader(), false);
-    directory.heard_of(
+    directory.record_response(&leader(), Some(700_000));
+    directory.record_failure(&leader(), clock::now().plus_millis(1), false);
+    directory.record_outcome(&leader(), false);
+    directory.record_peer_reachability(
         &leader(),
         PeerReachability {
             reaching: 0,
@@ -72,7 +72,7 @@
         },
     );
     let change = directory.apply_record(record(500, true));
-    assert!(change.has_begun_anew);
+    assert!(change.has_restarted);
     assert_eq!(directory.instance(&leader()).unwrap().contact, initial_contact);
     assert_eq!(directory.testimony(&leader(), 10_000), None);
 }
@@ -80,7 +80,7 @@
 #[test]
 fn a_heartbeat_of_the_same_incarnation_keeps_all_observations() {
     let directory = directory_with_leader(true);
-    directory.failed(&leader(), clock::now().plus_millis(1), false);
+    directory.record_failure(&leader(), clock::now().plus_millis(1), false);
     let change = directory.apply_record(record(1_000, true));
     assert!(!change.has_restarted);
     assert!(directory.is_failing(&leader()));
@@ -98,9 +98,9 @@
         "the claim in the record is no proof"
     );
     // Proof from the former incarnation may arrive late or through a peer.
-    directory.leader_proved(&group(), &leader(), before, Position::new(3, 9));
+    directory.record_leader_proof(&group(), &leader(), before, Position::new(3, 9));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -109,7 +109,7 @@
     let directory = directory_with_leader(true);
     directory.apply_record(record_of("i-b", 1_000, false));
     directory.apply_record(record(2_000, true));
-    assert!(!directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
+    assert!(!directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
     assert_eq!(
         directory.newest_observation(&group()).unwrap().position,
@@ -129,9 +129,9 @@
     }
     directory.apply_record(record(2_000, true));
     directory.apply_record(record_of("i-b", 2_000, false));
-    assert!(!directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
+    assert!(!directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()), None);
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -141,7 +141,7 @@
     directory.apply_record(record_of("i-b", 1_000, false));
     directory.mark_removed(&InstanceName::from("i-b"));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 4)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 4)));
     assert_eq!(directory.leader(&group()).unwrap().instance, leader());
 }
 
@@ -149,18 +149,18 @@
 fn an_instance_promoted_after_a_restart_leads_without_its_former_log() {
     let directory = directory_with_leader(true);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(4, 1)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(4, 1)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
 fn a_step_down_holds_for_one_incarnation() {
     let directory = directory_with_leader(false);
-    directory.has_stepped_down(&group(), &leader(), Term(3));
-    assert_eq!(directory.stepped_down(&group()), Term(3));
+    directory.record_step_down(&group(), &leader(), Term(3));
+    assert_eq!(directory.stepped_down_term(&group()), Term(3));
     directory.apply_record(record(2_000, true));
     assert_eq!(
-        directory.stepped_down(&group()),
+        directory.stepped_down_term(&group()),
         Term(0),
         "the restarted instance no longer knows that it stepped down"
     );
@@ -169,15 +169,15 @@
 #[test]
 fn a_step_down_does_not_outlast_the_process() {
     let directory = directory_with_leader(false);
-    directory.has_stepped_down(&group(), &leader(), Term(3));
-    directory.failed(&leader(), clock::now().plus_millis(1), true);
-    assert_eq!(directory.stepped_down(&group()), Term(0));
+    directory.record_step_down(&group(), &leader(), Term(3));
+    directory.record_failure(&leader(), clock::now().plus_millis(1), true);
+    assert_eq!(directory.stepped_down_term(&group()), Term(0));
 }
 
 #[test]
 fn a_restart_keeps_the_step_down_of_another_instance() {
     let directory = directory_with_leader(false);
-    directory.has_stepped_down(&group(), &InstanceName::from("i-b"), Term(4));
+    directory.record_step_down(&group(), &InstanceName::from("i-b"), Term(4));
     directory.apply_record(record(2_000, true));
     assert_eq!(directory.stepped_down_term(&group()), Term(4));
 }
@@ -185,9 +185,9 @@
 #[test]
 fn a_term_of_the_former_incarnation_is_discarded_on_restart() {
     let directory = directory_with_leader(false);
-    directory.leads_term(&group(), &leader(), Term(7));
+    directory.record_announced_term(&group(), &leader(), Term(7));
     directory.apply_record(record(2_000, true));
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
 
@@ -203,20 +203,20 @@
     );
     directory.apply_record(record(3_000, false));
     assert!(!directory.is_retired(&group(), &leader()));
-    directory.leads_term(&group(), &leader(), Term(4));
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
+    directory.record_announced_term(&group(), &leader(), Term(4));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(4)));
 }
 
 #[test]
 fn a_forgotten_instance_returns_without_observations() {
     let directory = directory_with_leader(false);
-    directory.leads_term(&group(), &leader(), Term(7));
-    directory.remove_record(&leader());
+    directory.record_announced_term(&group(), &leader(), Term(7));
+    directory.mark_removed(&leader());
     std::thread::sleep(Duration::from_millis(3));
     assert_eq!(directory.drop_removed(0), [leader()]);
     assert_eq!(directory.leader(&group()), None);
     directory.apply_record(record(2_000, false));
-    assert!(directory.leader_proved(&group(), &leader(), after_all_events(), Position::new(3, 9)));
+    assert!(directory.record_leader_proof(&group(), &leader(), after_all_events(), Position::new(3, 9)));
     assert_eq!(directory.leader(&group()).unwrap().term, Some(Term(3)));
 }
--- a/crates/millwind-engine/tests/inquiry.rs
+++ b/crates/millwind-engine/tests/inquiry.rs
@@ -31,8 +31,8 @@
 fn an_answer_by_another_node_is_no_contact_with_the_instance() {
     let directory = directory();
     let instance = InstanceName::from(INSTANCE);
-    directory.failed(&instance, clock::now(), false);
-    Inquiry::new(&directory, &instance).passed();
+    directory.record_failure(&instance, clock::now(), false);
+    RequestTracker::new(&directory, &instance).answered_by_peer();
     let contact = directory.instance(&instance).unwrap().contact;
     assert!(directory.is_failing(&instance));
     assert_eq!(contact.last_success, None);
@@ -43,7 +43,7 @@
 fn an_instance_that_accepts_an_inquiry_is_no_longer_failing() {
     let directory = directory();
     let instance = InstanceName::from(INSTANCE);
-    directory.failed(&instance, clock::now(), false);
-    Inquiry::new(&directory, &instance).taken();
+    directory.record_failure(&instance, clock::now(), false);
+    RequestTracker::new(&directory, &instance).answered_without_sample();
     assert!(!directory.is_failing(&instance));
 }
--- a/crates/millwind-engine/tests/own_keys.rs
+++ b/crates/millwind-engine/tests/own_keys.rs
@@ -31,7 +31,7 @@
 
 fn own_keys() -> (OwnKeys, Arc<RecordingFollower>) {
     let follower = Arc::new(RecordingFollower::default());
-    let (_, reads_store) = watch::channel(StoreReading::Reading);
+    let (_, reads_store) = watch::channel(CatalogSource::Store);
     (OwnKeys::new(vec![follower.clone()], reads_store), follower)
 }
 
@@ -67,7 +67,7 @@
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
     let (target, follower) = own_keys();
-    target.learn(
+    target.apply_documents(
         documents_after(&source, StoreRevision::NONE),
         source.known_revision(),
     );
@@ -82,15 +82,15 @@
     let (source, _) = own_keys();
     source.listed(listing(7, vec![entry("a", Some("1"), 3)]));
     let (target, follower) = own_keys();
-    target.learn(
+    target.apply_documents(
         documents_after(&source, StoreRevision::NONE),
         source.known_revision(),
     );
     source.changed(vec![entry("b", Some("2"), 9)]);
     let changed_documents = documents_after(&source, target.known_revision());
     assert_eq!(changed_documents.len(), 1);
-    target.learn(changed_documents.clone(), source.known_revision());
-    target.learn(changed_documents, source.known_revision());
+    target.apply_documents(changed_documents.clone(), source.known_revision());
+    target.apply_documents(changed_documents, source.known_revision());
     assert_eq!(
         *follower.changes.lock().unwrap(),
         [entry("b", Some("2"), 9)],
@@ -107,12 +107,12 @@
         vec![entry("a", Some("1"), 3), entry("b", Some("2"), 5)],
     ));
     let (target, follower) = own_keys();
-    target.learn(
+    target.apply_documents(
         documents_after(&source, StoreRevision::NONE),
         source.known_revision(),
     );
     source.listed(listing(12, vec![entry("b", Some("2"), 5)]));
-    target.learn(
+    target.apply_documents(
         documents_after(&source, target.known_revision()),
         source.known_revision(),
     );
@@ -134,7 +134,7 @@
 #[test]
 fn an_empty_reply_of_a_peer_changes_nothing() {
     let (target, follower) = own_keys();
-    target.learn(Vec::new(), StoreRevision::NONE);
+    target.apply_documents(Vec::new(), StoreRevision::NONE);
     assert_eq!(target.known_revision(), first_era(0));
     assert!(follower.listings.lock().unwrap().is_empty());
 }
@@ -199,7 +199,7 @@
         entry("nodes/zone-1/node-1", None, 2_002),
     ]);
     let (target, follower) = own_keys();
-    target.learn(
+    target.apply_documents(
         documents_after(&source, StoreRevision::NONE),
         source.known_revision(),
     );
@@ -255,12 +255,12 @@
         70,
         vec![entry("a", Some("new"), 65), entry("b", Some("lost"), 60)],
     ));
-    restored.learn(
+    restored.apply_documents(
         documents_after(&outdated, restored.known_revision()),
         outdated.known_revision(),
     );
     assert_eq!(restored.known_revision(), StoreRevision::new(1, 50));
-    outdated.learn(
+    outdated.apply_documents(
         documents_after(&restored, outdated.known_revision()),
         restored.known_revision(),
     );
@@ -284,7 +284,7 @@
     source.listed(listing(100, present));
     for known in [StoreRevision::NONE, after] {
         let (target, follower) = own_keys();
-        target.learn(documents_after(&source, known), source.known_revision());
+        target.apply_documents(documents_after(&source, known), source.known_revision());
         let listings = follower.listings.lock().unwrap();
         let is_present = listings[0].entries.iter().any(|entry| entry.key == gone.key);
         assert!(!is_present, "{} is sent as present after {known}", gone.key);
--- a/crates/millwind-engine/tests/owner_links.rs
+++ b/crates/millwind-engine/tests/owner_links.rs
@@ -103,7 +103,7 @@
     });
     let stream = TcpStream::connect(address).await.unwrap();
     (
-        OwnerLink::start(address, stream, Arc::new(LinkDoubt::default())),
+        OwnerLink::start(address, stream, Arc::new(LinkSuspicion::default())),
         ended_receiver,
     )
 }
@@ -125,8 +125,8 @@
 #[tokio::test]
 async fn a_link_with_a_failed_probe_takes_no_new_leases_and_serves_open_ones() {
     let (link, _ended) = connect_to(OwnerBehaviour::IgnoresProbes).await;
-    assert!(!link.prove(PROBE_LIMIT).await, "the owner ignores probes");
-    assert!(!link.takes_leases());
+    assert!(!link.probe(PROBE_LIMIT).await, "the owner ignores probes");
+    assert!(!link.accepts_leases());
     let answered = link.call(1, statement(1));
     let answer = tokio::time::timeout(TEST_TIMEOUT, answered).await.unwrap();
     assert!(answer.is_ok(), "a statement of an open transaction did not run");
@@ -136,7 +136,7 @@
 async fn a_link_closes_when_its_last_reference_is_dropped() {
     let (link, ended) = connect_to(OwnerBehaviour::IgnoresProbes).await;
     let lease = link.clone();
-    assert!(!link.prove(PROBE_LIMIT).await, "the owner ignores probes");
+    assert!(!link.probe(PROBE_LIMIT).await, "the owner ignores probes");
     drop(link);
     let answered = lease.call(1, statement(1));
     assert!(
--- a/crates/millwind-engine/tests/permits.rs
+++ b/crates/millwind-engine/tests/permits.rs
@@ -61,10 +61,10 @@
     let (directory, registry) = node();
     let asked_before = clock::now();
     std::thread::sleep(std::time::Duration::from_millis(2));
-    registry.written(OWN_NODE, record(None), StoreRevision::new(0, 5));
-    directory.confirm_terms(asked_before);
+    registry.record_written(OWN_NODE, record(None), StoreRevision::new(0, 5));
+    directory.confirm_closed_terms(asked_before);
     assert!(!accepts_leader(&directory, 1));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(accepts_leader(&directory, 1));
 }
 
@@ -73,7 +73,7 @@
     let (directory, registry) = node();
     let asked = clock::now();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(asked);
+    directory.confirm_closed_terms(asked);
     assert!(accepts_leader(&directory, 1));
 }
 
@@ -83,7 +83,7 @@
     std::thread::sleep(std::time::Duration::from_millis(2));
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(asked_before);
+    directory.confirm_closed_terms(asked_before);
     assert!(!accepts_leader(&directory, 1));
 }
 
@@ -91,10 +91,10 @@
 fn a_node_marked_unreachable_gets_no_permit_until_it_registers_again() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(Some(Departure::Unreachable), 5)]));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(!accepts_leader(&directory, 1));
-    registry.written(OWN_NODE, record(None), StoreRevision::new(0, 6));
-    directory.confirm_terms(clock::now());
+    registry.record_written(OWN_NODE, record(None), StoreRevision::new(0, 6));
+    directory.confirm_closed_terms(clock::now());
     assert!(accepts_leader(&directory, 1));
 }
 
@@ -109,7 +109,7 @@
     directory.close_term(&group, Term(1), Some(&leader));
     assert_eq!(directory.leader(&group), None);
     assert!(!directory.may_lead(&group, &leader, true));
-    directory.hand_back(&group, Term(1));
+    directory.release_permits(&group, Term(1));
     assert!(!accepts_leader(&directory, 1));
     assert!(accepts_leader(&directory, 2));
     assert!(directory.may_lead(&group, &leader, true));
@@ -123,7 +123,7 @@
         ..entry(departure, 6)
     };
     registry.listed(listing(vec![other_node_entry(None)]));
-    assert_eq!(registry.permit_holders().len(), 1);
+    assert_eq!(registry.possible_permit_holders().len(), 1);
     registry.listed(listing(vec![other_node_entry(Some(Departure::Unreachable))]));
     assert_eq!(
         registry.possible_permit_holders().len(),
@@ -131,17 +131,17 @@
         "marked unreachable more recently than a permit lasts"
     );
     registry.listed(listing(vec![other_node_entry(Some(Departure::Stopped))]));
-    assert!(registry.permit_holders().is_empty());
+    assert!(registry.possible_permit_holders().is_empty());
 }
 
 #[test]
 fn a_stopping_node_obtains_no_permits() {
     let (directory, registry) = node();
     registry.listed(listing(vec![entry(None, 5)]));
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(accepts_leader(&directory, 1));
     directory.drop_permits();
     registry.apply(vec![entry(None, 6)]);
-    directory.confirm_terms(clock::now());
+    directory.confirm_closed_terms(clock::now());
     assert!(!accepts_leader(&directory, 1));
 }
--- a/crates/millwind-engine/tests/restored_duties.rs
+++ b/crates/millwind-engine/tests/restored_duties.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    fn record(&self, key: &str) -> Option<DutyRecord> {
+    fn record(&self, key: &str) -> Option<FailoverRecord> {
         let state = self.0.lock().unwrap();
         let (value, _) = state.content.values.get(key)?;
         Some(serde_json::from_slice(value).unwrap())
@@ -128,7 +128,7 @@
 }
 
 struct TestNode {
-    duties: Duties<RestorableStore>,
+    duties: FailoverOwnership<RestorableStore>,
     directory: Arc<Directory>,
 }
 
--- a/crates/millwind-engine/tests/scaling.rs
+++ b/crates/millwind-engine/tests/scaling.rs
@@ -19,7 +19,7 @@
 const ZONES: usize = 6;
 /// Number of zones with instances.
 const INSTANCE_ZONES: usize = 3;
-const OWNERS_SOUGHT: OwnersSought = OwnersSought {
+const OWNERS_SOUGHT: OwnerCounts = OwnerCounts {
     owners: 3,
     backup_owners: 5,
 };
--- a/crates/millwind-engine/tests/stale_relays.rs
+++ b/crates/millwind-engine/tests/stale_relays.rs
@@ -50,10 +50,10 @@
 fn a_stale_relay_is_avoided_by_a_node_with_fresh_data() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
-    let first = relays.to_ask(&registry);
-    relays.told(clock::now());
-    relays.told_by_relay(first[0], Some(STALE_AGE_MS));
-    let after = relays.to_ask(&registry);
+    let first = relays.relays_to_ask(&registry);
+    relays.record_peer_freshness(clock::now());
+    relays.record_relay_answer(first[0], Some(STALE_AGE_MS));
+    let after = relays.relays_to_ask(&registry);
     assert!(!after.contains(&first[0]), "{after:?}");
     assert_eq!(after.len(), first.len());
 }
@@ -62,9 +62,9 @@
 fn a_stale_relay_is_kept_while_no_fresh_data_is_known() {
     let registry = registry();
     let relays = Relays::new(ZONE, 1, CONFIG_BOUND_MS);
-    let first = relays.to_ask(&registry);
-    relays.told_by_relay(first[0], Some(STALE_AGE_MS));
-    assert_eq!(relays.to_ask(&registry), first);
+    let first = relays.relays_to_ask(&registry);
+    relays.record_relay_answer(first[0], Some(STALE_AGE_MS));
+    assert_eq!(relays.relays_to_ask(&registry), first);
 }
 
 #[test]
--- a/crates/millwind-engine/tests/store_watch.rs
+++ b/crates/millwind-engine/tests/store_watch.rs
@@ -1,4 +1,4 @@
-//! When a store follower lists and watches its prefix, depending on `StoreReading`.
+//! When a store follower lists and watches its prefix, depending on `CatalogSource`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,7 +10,7 @@
 };
 use tokio::sync::watch;
 
-/// Longest time that a follower waits for `StoreReading` to be decided before it lists.
+/// Longest time that a follower waits for `CatalogSource` to be decided before it lists.
 const DECISION_LIMIT: Duration = Duration::from_millis(500);
 /// Duration of a listing.
 const LISTING_TIME: Duration = Duration::from_millis(100);
@@ -75,7 +75,7 @@
 /// Guards against one catalog listing per node when all nodes of a fleet start together.
 #[tokio::test(start_paused = true)]
 async fn a_node_decided_not_to_be_a_relay_within_the_limit_lists_nothing() {
-    let (reading_sender, reading) = watch::channel(StoreReading::Undecided);
+    let (reading_sender, reading) = watch::channel(CatalogSource::Undecided);
     let follower = Arc::new(CountingFollower {
         listings: AtomicUsize::new(0),
         reading,
@@ -84,14 +84,14 @@
     let contact = Arc::new(StoreContact::default());
     tokio::spawn(follow(store, "prefix".to_owned(), follower.clone(), contact));
     tokio::time::sleep(DECISION_LIMIT / 2).await;
-    reading_sender.send_replace(StoreReading::LeftToRelays);
+    reading_sender.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING_TIME * 4 + DECISION_LIMIT).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 0, "listings");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_first_listing_completes_after_reading_is_left_to_relays() {
-    let (reading_sender, reading) = watch::channel(StoreReading::Undecided);
+    let (reading_sender, reading) = watch::channel(CatalogSource::Undecided);
     let follower = Arc::new(CountingFollower {
         listings: AtomicUsize::new(0),
         reading,
@@ -105,12 +105,12 @@
         contact,
     ));
     tokio::time::sleep(DECISION_LIMIT + LISTING_TIME / 2).await;
-    reading_sender.send_replace(StoreReading::LeftToRelays);
+    reading_sender.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 0, "watches");
     // The follower lists and watches once the node has to read the store.
-    reading_sender.send_replace(StoreReading::Reading);
+    reading_sender.send_replace(CatalogSource::Store);
     tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
     assert_eq!(store.watches.load(Ordering::SeqCst), 1, "watches");
@@ -160,12 +160,12 @@
         contact.clone(),
     ));
     tokio::time::sleep(DECISION_LIMIT + LISTING_TIME / 2).await;
-    follower.reading.send_replace(StoreReading::LeftToRelays);
+    follower.reading.send_replace(CatalogSource::Relays);
     tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 1, "listings");
     // The relays' data is outdated, while this node's own calls to the store never failed.
-    contact.note_lost();
-    follower.reading.send_replace(StoreReading::Reading);
+    contact.mark_lost();
+    follower.reading.send_replace(CatalogSource::Store);
     tokio::time::sleep(LISTING_TIME * 4).await;
     assert_eq!(follower.listings.load(Ordering::SeqCst), 2, "listings");
 }
--- a/crates/millwind-engine/tests/turns.rs
+++ b/crates/millwind-engine/tests/turns.rs
@@ -17,7 +17,7 @@
 }
 
 /// Takes all available turns.
-async fn take_all(turns: &Arc<Turns>) -> Vec<Turn> {
+async fn take_all(turns: &Arc<StatementAdmission>) -> Vec<ExecutionSlot> {
     let mut taken = Vec::new();
     for _ in 0..SLOTS {
         taken.push(take(turns, Urgency::Priority(1)).await.unwrap());
@@ -26,7 +26,7 @@
 }
 
 /// Runs enough turns of `millis` for the mean turn time to approach that value.
-async fn set_mean_turn_time(turns: &Arc<Turns>, millis: u64) {
+async fn set_mean_turn_time(turns: &Arc<StatementAdmission>, millis: u64) {
     for _ in 0..60 {
         let turn = take(turns, Urgency::Priority(1)).await.unwrap();
         tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -36,7 +36,7 @@
 
 #[tokio::test]
 async fn the_most_urgent_statement_gets_the_next_turn() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     let mut taken = take_all(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let urgencies = [Urgency::Priority(2), Urgency::Priority(0), Urgency::InTransaction];
@@ -57,7 +57,7 @@
 
 #[tokio::test]
 async fn a_statement_that_would_miss_its_deadline_is_refused_at_once() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     set_mean_turn_time(&turns, 20).await;
     let _taken = take_all(&turns).await;
     let started = clock::now();
@@ -65,8 +65,8 @@
     let refused = turns.acquire(Urgency::Priority(1), deadline, deadline).await;
     assert_eq!(refused.err(), Some(ExchangeError::QueueTimeout));
     let deadline = clock::now().plus_millis(5);
-    let in_transaction = turns.take(Urgency::InTransaction, deadline, deadline);
-    assert_eq!(in_transaction.await.err(), Some(LinkError::NoConnection));
+    let in_transaction = turns.acquire(Urgency::InTransaction, deadline, deadline);
+    assert_eq!(in_transaction.await.err(), Some(ExchangeError::QueueTimeout));
     assert!(
         clock::now().millis_since(started) >= 5,
         "a statement of an open transaction waits until its deadline"
@@ -75,19 +75,19 @@
 
 #[tokio::test]
 async fn a_turn_of_a_timed_out_statement_goes_to_the_next() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     let mut taken = take_all(&turns).await;
     let deadline = clock::now().plus_millis(10);
-    let timed_out = turns.take(Urgency::Priority(0), deadline, deadline);
+    let timed_out = turns.acquire(Urgency::Priority(0), deadline, deadline);
     assert!(timed_out.await.is_err());
-    taken.pop().unwrap().end(TurnEnd::TurnedAway);
-    taken.pop().unwrap().end(TurnEnd::Unknown);
+    taken.pop().unwrap().end(ExecutionEnd::Rejected);
+    taken.pop().unwrap().end(ExecutionEnd::Unknown);
     assert!(take(&turns, Urgency::Priority(1)).await.is_ok());
 }
 
 #[tokio::test]
 async fn a_late_statement_waits_behind_a_statement_that_can_be_in_time() {
-    let turns = Turns::new(SLOTS);
+    let turns = StatementAdmission::new(SLOTS);
     set_mean_turn_time(&turns, 20).await;
     let mut taken = take_all(&turns).await;
     let (sender, mut receiver) = mpsc::unbounded_channel();
@@ -96,7 +96,10 @@
         let (turns, sender) = (turns.clone(), sender.clone());
         let target = clock::now().plus_millis(target_ms);
         tokio::spawn(async move {
-            let turn = turns.take(Urgency::Priority(1), target, deadline).await.unwrap();
+            let turn = turns
+                .acquire(Urgency::Priority(1), target, deadline)
+                .await
+                .unwrap();
             sender.send(name).unwrap();
             turn.end(ExecutionEnd::Ran);
         });
--- a/crates/millwind-lab/src/hollow/simulation.rs
+++ b/crates/millwind-lab/src/hollow/simulation.rs
@@ -242,7 +242,7 @@
             .collect();
         self.network.run_on_node(relay, |control_plane, now| {
             let outgoing = control_plane.platform_changes(now, revision, &changes);
-            control_plane.platform_heard(now, revision);
+            control_plane.record_platform_contact(now, revision);
             outgoing
         });
     }
@@ -603,7 +603,7 @@
 fn probe_exchange_bytes() -> usize {
     let mut request = bytes::BytesMut::new();
     // Encoding constant messages cannot fail.
-    let _ = millwind_node::pg::status::put_status(&mut request);
+    let _ = millwind_node::pg::status::put_status_request(&mut request);
     let row = ["t", "1A/FFFFFFFF", "12", "1\t0/12345\tpromotion\n", "1A/FFFFFFFF"];
     let mut data = bytes::BytesMut::new();
     for value in row {
--- a/crates/millwind-lab/tests/error_kinds.rs
+++ b/crates/millwind-lab/tests/error_kinds.rs
@@ -321,7 +321,7 @@
     assert!(
         refused
             .iter()
-            .any(|(text, _)| *text == hint(ErrorKind::WindowTooShort)),
+            .any(|(text, _)| *text == hint(ErrorKind::DeadlineTooShort)),
         "{refused:?}"
     );
     let allowed = [ErrorKind::DeadlineTooShort, ErrorKind::QueueFull].map(hint);
--- a/crates/millwind-model/src/configuration.rs
+++ b/crates/millwind-model/src/configuration.rs
@@ -103,7 +103,7 @@
         }
         // The report of the other zone is recent unless the node is partitioned.
         let age_ms = if node.is_partitioned { UNIT_MS as u32 } else { 0 };
-        gate.zone_report(
+        gate.record_zone_report(
             now(state),
             &ZoneReport {
                 zone: "z1".to_owned(),
--- a/crates/millwind-model/src/writes.rs
+++ b/crates/millwind-model/src/writes.rs
@@ -354,14 +354,14 @@
         }
     }
 
-    /// Updates a sent write without an answer as [`after_failure`] decides.
+    /// Updates a sent write without an answer as [`next_step_after_failure`] decides.
     fn handle_lost_answer(&self, state: &mut State, write: usize) {
         let traits = RequestTraits {
             read_only: false,
             may_repeat: false,
             has_request_id: write == WRITE_WITH_ID,
         };
-        let next = after_failure(Progress::Sent, traits, ErrorKind::BackEndUnreachable);
+        let next = next_step_after_failure(RequestProgress::Sent, traits, ErrorKind::BackEndUnreachable);
         if !self.enforces(Rule::NoRepeatAfterSent) && write != WRITE_WITH_ID {
             state.stages[write] = Stage::NotSent;
             return;
@@ -472,7 +472,7 @@
         let mut decided = BTreeMap::new();
         for (index, view) in pending.observed.iter().enumerate() {
             let Some((term, received)) = view else { continue };
-            let verdicts = tracker.observe(
+            let verdicts = tracker.record_status(
                 &instance_name(index),
                 OBSERVED_AFTER,
                 Term(*term),
