--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -86,7 +86,7 @@
     }
 
     /// Gives up the permits for `term` and all earlier terms.
-    pub fn hand_back(&mut self, term: Term) {
+    pub fn return_permits(&mut self, term: Term) {
         self.handed_back = self.handed_back.max(term);
     }
 
--- a/crates/millwind-core/tests/lead_permit.rs
+++ b/crates/millwind-core/tests/lead_permit.rs
@@ -38,7 +38,7 @@
 fn a_permit_that_was_handed_back_does_not_drain() {
     let mut terms = ClosedTerms::default();
     terms.close(Term(3), START, Some(START));
-    terms.hand_back(Term(3));
+    terms.return_permits(Term(3));
     assert_eq!(terms.permit(Term(3), START, Some(START)), Permit::Closed);
 }
 
@@ -46,7 +46,7 @@
 fn closing_a_later_term_does_not_restore_a_handed_back_permit() {
     let mut terms = ClosedTerms::default();
     terms.close(Term(3), START, Some(START));
-    terms.hand_back(Term(3));
+    terms.return_permits(Term(3));
     terms.close(Term(4), START.plus_millis(1_000), Some(START));
     let now = START.plus_millis(1_001);
     assert_eq!(terms.permit(Term(3), now, Some(START)), Permit::Closed);
@@ -110,7 +110,7 @@
     }
     if let Some(asked) = history.asked.filter(|asked| *asked <= history.answer) {
         terms.close(Term(1), at(asked), confirmed);
-        terms.hand_back(Term(1));
+        terms.return_permits(Term(1));
     }
     terms
         .permit(Term(1), at(history.answer), confirmed)
--- a/crates/millwind-engine/src/directory/permits.rs
+++ b/crates/millwind-engine/src/directory/permits.rs
@@ -86,7 +86,7 @@
     pub fn release_permits(&self, group: &GroupName, term: Term) {
         let mut state = self.state();
         let entry = state.groups.entry(group.clone()).or_default();
-        entry.closed_terms.hand_back(term);
+        entry.closed_terms.return_permits(term);
     }
 
     /// Records that `instance` announced that it leads `term`. While the instance answers as
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -26,7 +26,7 @@
 use crate::leader_demand::LeaderDemandTracker;
 use crate::logging::RequestLog;
 use crate::metrics::Metrics;
-use crate::own_keys::OwnKeys;
+use crate::own_keys::SystemKeys;
 use crate::peer_reach::{self, PeerReach};
 use crate::peers::{self, CatalogExchange, PeerClient};
 use crate::ports::{BackEndCodec, CallerCodec, CatalogCodec, Promoter};
@@ -115,7 +115,7 @@
     /// Documents in the store that cannot be read.
     pub unreadable_documents: UnreadableDocuments,
     /// Documents under the system's own prefix in the store.
-    pub own_keys: Arc<OwnKeys>,
+    pub own_keys: Arc<SystemKeys>,
     /// The nodes that read the store on behalf of others.
     pub relays: Relays,
     /// Connectivity of the store.
@@ -501,7 +501,7 @@
     let zones = settings.topology.zone_count();
     let relays = Relays::new(&settings.zone, zones, settings.config_bound_ms);
     let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), duties];
-    let own_keys = OwnKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
+    let own_keys = SystemKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
     Arc::new(Engine {
         directory,
         caller_codec: ports.caller_codec.clone(),
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -29,7 +29,7 @@
 }
 
 /// Follows the system's own keys and passes them to other followers.
-pub struct OwnKeys {
+pub struct SystemKeys {
     followers: Vec<Arc<dyn Follower>>,
     /// Registry to fill first with the nodes of the own zone, if enabled.
     nodes: Option<Arc<Registry>>,
@@ -37,17 +37,17 @@
     state: Mutex<State>,
 }
 
-impl std::fmt::Debug for OwnKeys {
+impl std::fmt::Debug for SystemKeys {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "OwnKeys({})", self.known_revision())
+        write!(formatter, "SystemKeys({})", self.known_revision())
     }
 }
 
-impl OwnKeys {
+impl SystemKeys {
     /// Creates a replica that passes all documents to `followers`. `reads_store` tells
     /// whether the node reads them from the store.
     pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<CatalogSource>) -> Self {
-        OwnKeys {
+        SystemKeys {
             followers,
             nodes: None,
             reads_store,
@@ -58,7 +58,7 @@
     /// Makes a starting node read the nodes of its own zone first. They include its
     /// relays, which deliver the rest.
     pub fn with_zone_first(self, nodes: Arc<Registry>) -> Self {
-        OwnKeys {
+        SystemKeys {
             nodes: Some(nodes),
             ..self
         }
@@ -197,7 +197,7 @@
     }
 }
 
-impl Follower for OwnKeys {
+impl Follower for SystemKeys {
     fn name(&self) -> &'static str {
         "own_keys"
     }
--- a/crates/millwind-engine/tests/own_keys.rs
+++ b/crates/millwind-engine/tests/own_keys.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use millwind_engine::own_keys::OwnKeys;
+use millwind_engine::own_keys::SystemKeys;
 use millwind_engine::store_watch::{CatalogSource, Follower};
 use millwind_store::{Entry, Listing, StoreRevision};
 use millwind_wire::exchange::{DocumentList, ExchangeReply, StoredDocument, encode_exchange};
@@ -29,10 +29,10 @@
     }
 }
 
-fn own_keys() -> (OwnKeys, Arc<RecordingFollower>) {
+fn own_keys() -> (SystemKeys, Arc<RecordingFollower>) {
     let follower = Arc::new(RecordingFollower::default());
     let (_, reads_store) = watch::channel(CatalogSource::Store);
-    (OwnKeys::new(vec![follower.clone()], reads_store), follower)
+    (SystemKeys::new(vec![follower.clone()], reads_store), follower)
 }
 
 /// Returns a revision of a store that was never restored.
@@ -40,7 +40,7 @@
     StoreRevision::new(0, number)
 }
 
-fn documents_after(source: &OwnKeys, revision: StoreRevision) -> Vec<StoredDocument> {
+fn documents_after(source: &SystemKeys, revision: StoreRevision) -> Vec<StoredDocument> {
     source.documents_after(revision).into_documents().unwrap()
 }
 
--- a/crates/millwind-lab/src/client.rs
+++ b/crates/millwind-lab/src/client.rs
@@ -11,11 +11,11 @@
 
 /// Last session token that the node reported; clones share the token.
 #[derive(Debug, Clone, Default)]
-pub struct TokenCell {
+pub struct SessionTokenTracker {
     token: Arc<Mutex<Option<String>>>,
 }
 
-impl TokenCell {
+impl SessionTokenTracker {
     /// Returns the token, or none if none was reported.
     pub fn get(&self) -> Option<String> {
         self.token.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -49,7 +49,7 @@
     address: SocketAddr,
     tenant: &str,
     token: Option<&str>,
-) -> Result<(Client, TokenCell), tokio_postgres::Error> {
+) -> Result<(Client, SessionTokenTracker), tokio_postgres::Error> {
     let mut config = Config::new();
     config
         .host(address.ip().to_string())
@@ -61,7 +61,7 @@
         config.options(format!("-c millwind.session={token}"));
     }
     let (client, mut connection) = config.connect(NoTls).await?;
-    let cell = TokenCell::default();
+    let cell = SessionTokenTracker::default();
     let token_cell = cell.clone();
     tokio::spawn(async move {
         loop {
--- a/crates/millwind-lab/src/cluster.rs
+++ b/crates/millwind-lab/src/cluster.rs
@@ -68,7 +68,7 @@
     /// Simulated execution time of a statement, in microseconds.
     pub service_us: u64,
     /// Whether processes connect directly, without relays and injected latency.
-    pub flat: bool,
+    pub direct_connections: bool,
     /// Rule by which a write is confirmed before it is acknowledged.
     pub confirmation: ConfirmationRule,
     /// Whether the template's read policy is replaced by `primary_only`.
@@ -86,7 +86,7 @@
             groups: None,
             lag_ms: 50,
             service_us: 1_000,
-            flat: false,
+            direct_connections: false,
             confirmation: ConfirmationRule::Replicated,
             primary_only: false,
             hold_ms: None,
@@ -210,7 +210,7 @@
         target_zone: &str,
         target: SocketAddr,
     ) -> std::io::Result<SocketAddr> {
-        if self.options.flat || zone == target_zone {
+        if self.options.direct_connections || zone == target_zone {
             return Ok(target);
         }
         let latency = if target_zone == PLATFORM_ENDPOINT {
@@ -362,7 +362,7 @@
                 drain_ms: 15_000,
                 log_level: log::LevelFilter::Info,
             };
-            let client_address = if self.options.flat {
+            let client_address = if self.options.direct_connections {
                 *client
             } else {
                 let key = EndpointPair::new(CLIENT_ENDPOINT, name);
@@ -402,14 +402,20 @@
 
     async fn write_machine_list(&self, machines: &[(String, SocketAddr)]) -> Result<(), ClusterError> {
         for (name, address) in machines {
-            self.list_machine(name, &address.to_string(), false).await?;
+            self.write_machine_entry(name, &address.to_string(), false)
+                .await?;
         }
         Ok(())
     }
 
     /// Writes an entry of the platform's machine list; retries until the platform
     /// accepts the write, and fails after a timeout.
-    pub async fn list_machine(&self, name: &str, address: &str, leaving: bool) -> Result<(), ClusterError> {
+    pub async fn write_machine_entry(
+        &self,
+        name: &str,
+        address: &str,
+        leaving: bool,
+    ) -> Result<(), ClusterError> {
         let machine = Machine {
             name: name.to_owned(),
             address: address.to_owned(),
@@ -470,7 +476,7 @@
             let text = toml::to_string(&tenant).map_err(std::io::Error::other)?;
             revision = self.store(0, &format!("tenant/{}", tenant.name), &text).await?;
         }
-        self.await_in_force(0, revision).await
+        self.wait_until_in_force(0, revision).await
     }
 
     fn template_text(&self) -> String {
@@ -540,7 +546,7 @@
     }
 
     /// Waits until a revision is in force on every live node, as reported by `node`.
-    pub async fn await_in_force(&self, node: usize, revision: u64) -> Result<(), ClusterError> {
+    pub async fn wait_until_in_force(&self, node: usize, revision: u64) -> Result<(), ClusterError> {
         let address = self.nodes[node].settings.admin_address;
         poll_until(&format!("revision {revision} to be in force"), || async move {
             http::get::<StandingsReport>(address, &format!("/standings?revision={revision}"))
@@ -585,7 +591,7 @@
     }
 
     /// Waits until a group has a primary in a term above `term`.
-    pub async fn await_leader(
+    pub async fn wait_for_leader(
         &self,
         group: &str,
         term: u64,
@@ -610,7 +616,7 @@
     }
 
     /// Starts or ends a partition between a zone and the other zones and platform.
-    pub fn set_zone_cut(&self, zone: &str, cut: bool) {
+    pub fn set_zone_partitioned(&self, zone: &str, cut: bool) {
         for other in self.deployment.zones {
             if other.name != zone {
                 self.relays.set_partitioned(zone, other.name, cut);
--- a/crates/millwind-lab/src/deployment.rs
+++ b/crates/millwind-lab/src/deployment.rs
@@ -63,7 +63,7 @@
 
 impl Deployment {
     /// Returns the deployment of this name.
-    pub fn of(name: DeploymentName) -> Deployment {
+    pub fn with_name(name: DeploymentName) -> Deployment {
         match name {
             DeploymentName::Glasfail => glasfail(),
             DeploymentName::Dixie => dixie(),
--- a/crates/millwind-lab/src/experiment.rs
+++ b/crates/millwind-lab/src/experiment.rs
@@ -179,7 +179,7 @@
     name: ExperimentName,
     options: &ExperimentOptions,
 ) -> Result<(Summary, History), ClusterError> {
-    let deployment = Deployment::of(options.deployment);
+    let deployment = Deployment::with_name(options.deployment);
     let mut cluster = Cluster::start(deployment, options.cluster_options()).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let counters = Arc::new(LiveCounters::default());
--- a/crates/millwind-lab/src/experiment/faults.rs
+++ b/crates/millwind-lab/src/experiment/faults.rs
@@ -62,19 +62,19 @@
     report: &mut FaultReport,
 ) -> Result<(), ClusterError> {
     let group = cluster.deployment.group(group);
-    let (index, old) = cluster.await_leader(&group, 0).await?;
+    let (index, old) = cluster.wait_for_leader(&group, 0).await?;
     cluster.instances[index].process.kill();
-    let (_, new) = cluster.await_leader(&group, old.term).await?;
+    let (_, new) = cluster.wait_for_leader(&group, old.term).await?;
     report.failovers.push((group, new.opened_at_ms));
     cluster.restart_instance(index)
 }
 
 async fn isolate_primary(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let group = cluster.deployment.group(0);
-    let (index, old) = cluster.await_leader(&group, 0).await?;
+    let (index, old) = cluster.wait_for_leader(&group, 0).await?;
     let control = cluster.instances[index].settings.control;
     set_isolated(control, true).await?;
-    let (_, new) = cluster.await_leader(&group, old.term).await?;
+    let (_, new) = cluster.wait_for_leader(&group, old.term).await?;
     report.failovers.push((group, new.opened_at_ms));
     sleep(Duration::from_secs(3)).await;
     let old_primary: InstanceReport = http::get(control, "/report").await?;
@@ -227,7 +227,7 @@
             format!("a retried change was stored twice: revisions {revision} and {retried_revision}");
         report.record_violation(Invariant::ConfigurationInForce, detail);
     }
-    cluster.await_in_force(0, revision).await
+    cluster.wait_until_in_force(0, revision).await
 }
 
 async fn race_changes(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
@@ -256,7 +256,7 @@
             report.record_violation(Invariant::ConfigurationInForce, detail);
         }
         if let Some(revision) = first.ok().or(second.ok()) {
-            cluster.await_in_force(0, revision).await?;
+            cluster.wait_until_in_force(0, revision).await?;
         }
     }
     report
@@ -270,7 +270,7 @@
     for round in 0..5u64 {
         let started = Instant::now();
         let revision = put_tenant(cluster, 0, &format!("spread-{round}"), None, 10 + round).await?;
-        cluster.await_in_force(0, revision).await?;
+        cluster.wait_until_in_force(0, revision).await?;
         let elapsed = started.elapsed();
         slowest = slowest.max(elapsed);
         if elapsed > PROPAGATION_TIMEOUT {
@@ -301,7 +301,7 @@
     report: &mut FaultReport,
 ) -> Result<(), ClusterError> {
     let zone = cluster.deployment.zones[0].name;
-    cluster.set_zone_cut(zone, true);
+    cluster.set_zone_partitioned(zone, true);
     let inside = cluster
         .nodes
         .iter()
@@ -314,7 +314,7 @@
         .unwrap_or(0);
     let started = Instant::now();
     let revision = put_tenant(cluster, outside, "zone-cut", None, 55).await?;
-    cluster.await_in_force(outside, revision).await?;
+    cluster.wait_until_in_force(outside, revision).await?;
     report.notes.push(format!(
         "change reported in force after {} ms",
         started.elapsed().as_millis()
@@ -334,7 +334,7 @@
         report.record_violation(Invariant::ConfigurationInForce, detail);
     }
     sleep(fault_duration.saturating_sub(started.elapsed())).await;
-    cluster.set_zone_cut(zone, false);
+    cluster.set_zone_partitioned(zone, false);
     await_serving(cluster, inside, report).await
 }
 
@@ -385,7 +385,7 @@
 
 async fn mark_instance_leaving(cluster: &mut Cluster, report: &mut FaultReport) -> Result<(), ClusterError> {
     let group = cluster.deployment.group(0);
-    let (leader, _) = cluster.await_leader(&group, 0).await?;
+    let (leader, _) = cluster.wait_for_leader(&group, 0).await?;
     let leaving = cluster
         .instances
         .iter()
@@ -395,7 +395,7 @@
         .unwrap_or(0);
     let name = cluster.instances[leaving].settings.name.clone();
     let control = cluster.instances[leaving].settings.control;
-    cluster.list_machine(&name, "", true).await?;
+    cluster.write_machine_entry(&name, "", true).await?;
     sleep(DRAIN_TIMEOUT).await;
     let before: InstanceReport = http::get(control, "/report").await?;
     sleep(Duration::from_secs(3)).await;
@@ -408,7 +408,7 @@
         let detail = format!("{name} got {new_statements} statements after {DRAIN_TIMEOUT:?}");
         report.record_violation(Invariant::LeavingGetsNoWork, detail);
     }
-    cluster.list_machine(&name, "", false).await
+    cluster.write_machine_entry(&name, "", false).await
 }
 
 async fn chaos(
@@ -454,9 +454,9 @@
             5 => {
                 let zone = cluster.deployment.zones[random.random_range(0..3)].name;
                 report.notes.push(format!("chaos: isolate zone {zone}"));
-                cluster.set_zone_cut(zone, true);
+                cluster.set_zone_partitioned(zone, true);
                 sleep(Duration::from_millis(random.random_range(500..4_000))).await;
-                cluster.set_zone_cut(zone, false);
+                cluster.set_zone_partitioned(zone, false);
             }
             _ => {
                 report.notes.push("chaos: platform outage".to_owned());
--- a/crates/millwind-lab/src/hollow.rs
+++ b/crates/millwind-lab/src/hollow.rs
@@ -16,7 +16,7 @@
 
 /// Size of a simulated cluster.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct HollowSize {
+pub struct SimulationSize {
     /// Total number of nodes.
     pub nodes: usize,
     /// Total number of database instances, three per group.
@@ -32,6 +32,6 @@
 }
 
 /// Simulates a cluster of this size and returns the measurements.
-pub fn run(size: HollowSize) -> SimulationReport {
+pub fn run(size: SimulationSize) -> SimulationReport {
     simulation::run(size)
 }
--- a/crates/millwind-lab/src/hollow/report.rs
+++ b/crates/millwind-lab/src/hollow/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::HollowSize;
+use super::SimulationSize;
 use super::network::SimulatedNode;
 
 /// Rate of messages of one type.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SimulationReport {
     /// Size of the simulated cluster.
-    pub size: Option<HollowSize>,
+    pub size: Option<SimulationSize>,
     /// Load in steady state, by role.
     pub steady: BTreeMap<&'static str, RoleLoad>,
     /// Memory of the control plane per node, in bytes.
--- a/crates/millwind-lab/src/hollow/simulation.rs
+++ b/crates/millwind-lab/src/hollow/simulation.rs
@@ -16,7 +16,7 @@
 use pgwire::messages::extendedquery::BindComplete;
 use pgwire::messages::response::{CommandComplete, ReadyForQuery, TransactionStatus};
 
-use super::HollowSize;
+use super::SimulationSize;
 use super::network::{Network, SimulatedNode, TICK_MS};
 use super::report::{SimulationReport, role_load};
 use crate::process_memory::resident_bytes;
@@ -47,7 +47,7 @@
 const PRIMARY_SEARCH_INTERVAL_MS: f64 = 10.0;
 
 struct Simulation {
-    size: HollowSize,
+    size: SimulationSize,
     network: Network,
     revision: u64,
     documents: BTreeMap<String, WireDocument>,
@@ -56,7 +56,7 @@
 }
 
 /// Simulates all events and returns the measurements.
-pub(super) fn run(size: HollowSize) -> SimulationReport {
+pub(super) fn run(size: SimulationSize) -> SimulationReport {
     let started = WallInstant::now();
     let before = resident_bytes("self");
     let mut simulation = Simulation::new(size);
@@ -79,7 +79,7 @@
     report
 }
 
-fn member_record(size: &HollowSize, index: usize, incarnation: u64) -> MemberRecord {
+fn member_record(size: &SimulationSize, index: usize, incarnation: u64) -> MemberRecord {
     let zone = index % size.zones;
     let region = zone * size.regions / size.zones;
     MemberRecord {
@@ -93,7 +93,7 @@
     }
 }
 
-fn new_node(size: &HollowSize, index: usize, incarnation: u64) -> SimulatedNode {
+fn new_node(size: &SimulationSize, index: usize, incarnation: u64) -> SimulatedNode {
     let own = member_record(size, index, incarnation);
     let seeds = (0..3).map(|seed| member_record(size, seed, 1).address).collect();
     SimulatedNode {
@@ -118,7 +118,7 @@
     }
 }
 
-fn group_body(size: &HollowSize, group: usize) -> String {
+fn group_body(size: &SimulationSize, group: usize) -> String {
     let mut body = format!("name = \"group-{group}\"\nuser = \"millwind\"\ndatabase = \"group-{group}\"\n");
     for member in 0..INSTANCES_PER_GROUP {
         let zone = (group + member) % size.zones;
@@ -131,7 +131,7 @@
 }
 
 impl Simulation {
-    fn new(size: HollowSize) -> Self {
+    fn new(size: SimulationSize) -> Self {
         let nodes = (0..size.nodes).map(|index| new_node(&size, index, 1)).collect();
         let mut simulation = Simulation {
             size,
--- a/crates/millwind-lab/src/main.rs
+++ b/crates/millwind-lab/src/main.rs
@@ -8,7 +8,7 @@
 use millwind_lab::deployment::DeploymentName;
 use millwind_lab::experiment::{self, Baseline, ExperimentName, ExperimentOptions, Summary};
 use millwind_lab::history::History;
-use millwind_lab::hollow::{self, HollowSize};
+use millwind_lab::hollow::{self, SimulationSize};
 use millwind_lab::instance::{Instance, InstanceSettings};
 use millwind_lab::platform::Platform;
 use millwind_lab::report::{self, RecordedRun};
@@ -181,14 +181,14 @@
         Command::Platform { listen, control } => run_platform(listen, control).await,
         Command::Node { config } => match NodeSettings::read(&config) {
             Ok(settings) => daemon::run(settings).await,
-            Err(error) => daemon::refuse(&error.to_string()),
+            Err(error) => daemon::fail_startup(&error.to_string()),
         },
         Command::Demo { deployment, seed } => run_demo(program, deployment, seed).await,
         Command::Overhead {
             callers,
             idle_callers,
         } => run_overhead(program, callers, idle_callers).await,
-        Command::Report { directory } => match report::make(&directory) {
+        Command::Report { directory } => match report::write_index(&directory) {
             Ok(path) => {
                 println!("{}", path.display());
                 ExitCode::SUCCESS
@@ -204,7 +204,7 @@
             seed,
             json,
         } => {
-            let size = HollowSize {
+            let size = SimulationSize {
                 nodes,
                 databases,
                 zones,
@@ -212,7 +212,7 @@
                 seconds,
                 seed,
             };
-            run_hollow(size, json)
+            run_simulation(size, json)
         }
         Command::Experiment(arguments) => run_experiment(program, &arguments).await,
         Command::Cluster {
@@ -247,7 +247,7 @@
     }
 }
 
-fn run_hollow(size: HollowSize, json: bool) -> ExitCode {
+fn run_simulation(size: SimulationSize, json: bool) -> ExitCode {
     let measured = hollow::run(size);
     let text = if json {
         serde_json::to_string(&measured)
@@ -333,7 +333,7 @@
     use millwind_lab::deployment::Deployment;
     let mut options = ClusterOptions::new(program);
     options.nodes_per_zone = nodes_per_zone;
-    let cluster = match Cluster::start(Deployment::of(deployment), options).await {
+    let cluster = match Cluster::start(Deployment::with_name(deployment), options).await {
         Ok(cluster) => cluster,
         Err(error) => return fail(&error),
     };
--- a/crates/millwind-lab/src/overhead.rs
+++ b/crates/millwind-lab/src/overhead.rs
@@ -65,17 +65,17 @@
     idle_callers: usize,
 ) -> Result<OverheadReport, ClusterError> {
     let mut options = ClusterOptions::new(program);
-    options.flat = true;
+    options.direct_connections = true;
     options.service_us = 0;
     options.lag_ms = 0;
     options.groups = Some(1);
-    let mut deployment = Deployment::of(DeploymentName::Dixie);
+    let mut deployment = Deployment::with_name(DeploymentName::Dixie);
     deployment.slots = 64;
     deployment.connections = 400;
     deployment.connect_ms = 0;
     let cluster = Cluster::start(deployment, options).await?;
     let tenant = cluster.deployment.tenant(0);
-    let (leader, _) = cluster.await_leader(&cluster.deployment.group(0), 0).await?;
+    let (leader, _) = cluster.wait_for_leader(&cluster.deployment.group(0), 0).await?;
     let primary = &cluster.instances[leader];
     let zone = primary.zone.clone();
     let primary_node = cluster.nodes.iter().find(|node| node.settings.zone == zone);
--- a/crates/millwind-lab/src/report.rs
+++ b/crates/millwind-lab/src/report.rs
@@ -117,7 +117,7 @@
 ///
 /// Fails if a file cannot be read or written, if a JSON file is not a recorded
 /// run, or if a plot cannot be drawn.
-pub fn make(directory: &Path) -> Result<PathBuf, ReportError> {
+pub fn write_index(directory: &Path) -> Result<PathBuf, ReportError> {
     let file_error = |path: &Path| {
         let path = path.to_owned();
         move |error| ReportError::File(path, error)
--- a/crates/millwind-lab/src/workload.rs
+++ b/crates/millwind-lab/src/workload.rs
@@ -14,7 +14,7 @@
 use tokio_postgres::types::Type;
 use tokio_postgres::{Client, SimpleQueryMessage};
 
-use crate::client::{TokenCell, connect};
+use crate::client::{SessionTokenTracker, connect};
 use crate::history::{History, ReadRecord, Violation, WriteOutcome, WriteRecord};
 
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
@@ -119,7 +119,7 @@
     settings: WorkloadSettings,
     target: Target,
     node: usize,
-    connection: Option<(Client, TokenCell)>,
+    connection: Option<(Client, SessionTokenTracker)>,
     token: Option<String>,
     sequence: u64,
     /// Sequence number of the last acknowledged write.
--- a/crates/millwind-lab/tests/error_kinds.rs
+++ b/crates/millwind-lab/tests/error_kinds.rs
@@ -18,7 +18,7 @@
     let mut options = ClusterOptions::new(PathBuf::from(env!("CARGO_BIN_EXE_millwind-lab")));
     options.groups = Some(1);
     change(&mut options);
-    Cluster::start(Deployment::of(DeploymentName::Dixie), options)
+    Cluster::start(Deployment::with_name(DeploymentName::Dixie), options)
         .await
         .expect("the deployment starts")
 }
@@ -63,7 +63,7 @@
 async fn apply_document(cluster: &mut Cluster, key: &str, text: &str) {
     let revision = cluster.store(0, key, text).await.expect("document is stored");
     cluster
-        .await_in_force(0, revision)
+        .wait_until_in_force(0, revision)
         .await
         .expect("revision is in force");
 }
@@ -147,7 +147,7 @@
         .await
         .expect("write succeeds");
     let (leader, _) = cluster
-        .await_leader(&cluster.deployment.group(0), 0)
+        .wait_for_leader(&cluster.deployment.group(0), 0)
         .await
         .expect("the group has a leader");
     let survivor = (leader + 1) % cluster.instances.len();
@@ -174,7 +174,7 @@
         .expect("write succeeds");
     let group = cluster.deployment.group(0);
     let (leader, _) = cluster
-        .await_leader(&group, 0)
+        .wait_for_leader(&group, 0)
         .await
         .expect("the group has a leader");
     // The replicas are stopped and then partitioned, so that none wins an election.
@@ -214,7 +214,7 @@
     let tenant = cluster.deployment.tenant(0);
     let group = cluster.deployment.group(0);
     let (leader, report) = cluster
-        .await_leader(&group, 0)
+        .wait_for_leader(&group, 0)
         .await
         .expect("the group has a leader");
     let zone = cluster.instances[leader].zone.clone();
@@ -247,7 +247,7 @@
     let allowed = [hint(ErrorKind::RequestFenced), hint(ErrorKind::TransactionLost)];
     assert!(allowed.contains(&fenced_hint), "{fenced_hint}");
     let (_, new) = cluster
-        .await_leader(&group, report.term)
+        .wait_for_leader(&group, report.term)
         .await
         .expect("the group has a leader");
     assert!(new.term > report.term);
@@ -275,12 +275,12 @@
         .await
         .expect("write succeeds");
     let (leader, report) = cluster
-        .await_leader(&group, 0)
+        .wait_for_leader(&group, 0)
         .await
         .expect("the group has a leader");
     cluster.instances[leader].process.kill();
     cluster
-        .await_leader(&group, report.term)
+        .wait_for_leader(&group, report.term)
         .await
         .expect("the group has a leader");
     caller
@@ -338,7 +338,7 @@
     let zone = cluster.deployment.zones[0].name;
     let caller = connect_client(cluster.nodes[0].client_address, &tenant).await;
     caller.simple_query("SELECT 1").await.expect("read succeeds");
-    cluster.set_zone_cut(zone, true);
+    cluster.set_zone_partitioned(zone, true);
     tokio::time::sleep(Duration::from_secs(10)).await;
     expect_error(&caller, "SELECT count(*) FROM booking", ErrorKind::NotServing).await;
 }
--- a/crates/millwind-lab/tests/whole_path.rs
+++ b/crates/millwind-lab/tests/whole_path.rs
@@ -17,7 +17,7 @@
     let mut options = ClusterOptions::new(program());
     options.groups = Some(1);
     options.lag_ms = 100;
-    Cluster::start(Deployment::of(DeploymentName::Dixie), options)
+    Cluster::start(Deployment::with_name(DeploymentName::Dixie), options)
         .await
         .expect("the deployment starts")
 }
--- a/crates/millwind-model/src/leadership.rs
+++ b/crates/millwind-model/src/leadership.rs
@@ -298,7 +298,7 @@
             let before = self.confirmed_before(state, &state.nodes[index]);
             let terms = &mut next.nodes[index].terms;
             terms.close(TERM, at(state.unit), before);
-            terms.hand_back(TERM);
+            terms.return_permits(TERM);
             next.promoter.answered[index] = true;
             steps.push((format!("node {index} returns its permit"), next));
         }
--- a/crates/millwind-node/src/bin/millwindd.rs
+++ b/crates/millwind-node/src/bin/millwindd.rs
@@ -59,7 +59,7 @@
     let arguments = Arguments::parse();
     let mut settings = match NodeSettings::read(&arguments.config) {
         Ok(settings) => settings,
-        Err(error) => return daemon::refuse(&error.to_string()),
+        Err(error) => return daemon::fail_startup(&error.to_string()),
     };
     arguments.apply(&mut settings);
     if arguments.check_config {
--- a/crates/millwind-node/src/config_watch.rs
+++ b/crates/millwind-node/src/config_watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock;
-use crate::control::{ControlHandle, FromPlatform};
+use crate::control::{ControlHandle, PlatformUpdate};
 
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -137,7 +137,7 @@
         documents.len()
     );
     let mut watch = store.watch(keys.prefix(), listing.revision).await?;
-    let snapshot = FromPlatform::Snapshot {
+    let snapshot = PlatformUpdate::Snapshot {
         asked,
         revision: listing.revision.number,
         documents,
@@ -146,7 +146,7 @@
     backoff.reset();
     while control.view().is_relay() {
         let report = watch.next().await?;
-        let changes = FromPlatform::Changes {
+        let changes = PlatformUpdate::Changes {
             asked: report.asked.map(clock::from_std),
             revision: report.revision.number,
             documents: self::documents(keys, &report.changes),
--- a/crates/millwind-node/src/control.rs
+++ b/crates/millwind-node/src/control.rs
@@ -334,7 +334,7 @@
 }
 
 /// An update from the platform's configuration store.
-pub enum FromPlatform {
+pub enum PlatformUpdate {
     /// All documents at a revision.
     Snapshot {
         /// Time at which the snapshot was requested.
@@ -356,18 +356,18 @@
     },
 }
 
-impl Handler<FromPlatform> for ControlActor {
+impl Handler<PlatformUpdate> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, update: FromPlatform, _context: &mut Context<Self>) {
+    async fn handle(&mut self, update: PlatformUpdate, _context: &mut Context<Self>) {
         let now = clock::now();
         let outgoing = match update {
-            FromPlatform::Snapshot {
+            PlatformUpdate::Snapshot {
                 asked,
                 revision,
                 documents,
             } => self.plane.platform_snapshot(now, asked, revision, &documents),
-            FromPlatform::Changes {
+            PlatformUpdate::Changes {
                 asked,
                 revision,
                 documents,
--- a/crates/millwind-node/src/daemon.rs
+++ b/crates/millwind-node/src/daemon.rs
@@ -15,7 +15,7 @@
 pub const EXIT_DRAIN_TIMEOUT: u8 = 3;
 
 /// Prints the error that prevents startup and returns the exit code.
-pub fn refuse(error: &str) -> ExitCode {
+pub fn fail_startup(error: &str) -> ExitCode {
     eprintln!("millwindd: {error}");
     ExitCode::from(EXIT_STARTUP_FAILED)
 }
@@ -27,23 +27,23 @@
             println!("settings are valid");
             ExitCode::SUCCESS
         }
-        Err(error) => refuse(&error.to_string()),
+        Err(error) => fail_startup(&error.to_string()),
     }
 }
 
 /// Runs a node until a signal or an operator stops it, then drains it.
 pub async fn run(settings: NodeSettings) -> ExitCode {
     if let Err(error) = logging::init(settings.log_level) {
-        return refuse(&error.to_string());
+        return fail_startup(&error.to_string());
     }
     let mut node = match Node::start(settings).await {
         Ok(node) => node,
-        Err(error) => return refuse(&error.to_string()),
+        Err(error) => return fail_startup(&error.to_string()),
     };
     let (mut terminate, mut interrupt) =
         match (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) {
             (Ok(terminate), Ok(interrupt)) => (terminate, interrupt),
-            _ => return refuse("signal handlers cannot be installed"),
+            _ => return fail_startup("signal handlers cannot be installed"),
         };
     tokio::select! {
         _ = terminate.recv() => info!("event=signal name=SIGTERM"),
--- a/crates/millwind-node/src/gateway/client_settings.rs
+++ b/crates/millwind-node/src/gateway/client_settings.rs
@@ -3,7 +3,7 @@
 use millwind_core::token::{SessionToken, TokenError};
 use thiserror::Error;
 
-use crate::owner::is_valid_key;
+use crate::owner::is_valid_request_key;
 
 const MAXIMUM_CLASS_BYTES: usize = 64;
 const MAXIMUM_STALENESS_MS: u64 = 3_600_000;
@@ -76,7 +76,7 @@
     if value.is_empty() {
         return Ok(None);
     }
-    if !is_valid_key(value) {
+    if !is_valid_request_key(value) {
         return Err(ClientSettingError::Range {
             name: "request_id",
             allowed: "1 to 128 letters, digits, '-', '_', '.', ':' or '/'",
--- a/crates/millwind-node/src/gateway/directory.rs
+++ b/crates/millwind-node/src/gateway/directory.rs
@@ -17,7 +17,7 @@
 
 use super::{Gateway, Owner};
 use crate::clock;
-use crate::peer::{CallError, Patience};
+use crate::peer::{CallError, OnSilence};
 
 /// How long an owner may wait for a primary before it replies to a query.
 const SEARCH_WAIT_MS: u32 = 1_000;
@@ -319,7 +319,7 @@
     let message = PeerMessage::AwaitPrimary(request);
     match gateway
         .links
-        .call(address, id, message, limit, Patience::WhileHeard)
+        .call(address, id, message, limit, OnSilence::FailCall)
         .await
     {
         Ok(PeerMessage::GroupStatus(status)) => Some(status),
--- a/crates/millwind-node/src/gateway/dispatch.rs
+++ b/crates/millwind-node/src/gateway/dispatch.rs
@@ -21,7 +21,7 @@
 use super::{Gateway, Owner, TenantRuntime, directory, residency};
 use crate::clock;
 use crate::owner::LOCAL_LINK;
-use crate::peer::{CallError, Patience};
+use crate::peer::{CallError, OnSilence};
 use crate::pg::STATUS_IDLE;
 
 /// Delay between two rounds of attempts.
@@ -195,8 +195,8 @@
             Some(address) => {
                 let id = request.request_id;
                 let patience = match request.intent {
-                    Intent::Read | Intent::Describe | Intent::Floor => Patience::WhileHeard,
-                    _ => Patience::UntilLimit,
+                    Intent::Read | Intent::Describe | Intent::Floor => OnSilence::FailCall,
+                    _ => OnSilence::KeepWaiting,
                 };
                 let message = PeerMessage::Execute(request);
                 match self
@@ -567,7 +567,7 @@
                         id,
                         message,
                         remaining + REPLY_TIMEOUT_MARGIN,
-                        Patience::WhileHeard,
+                        OnSilence::FailCall,
                     )
                     .await
                 {
--- a/crates/millwind-node/src/owner/ledger.rs
+++ b/crates/millwind-node/src/owner/ledger.rs
@@ -37,7 +37,7 @@
 
 /// Whether a request key contains only characters that need no quoting in SQL;
 /// statements embed the key verbatim.
-pub fn is_valid_key(key: &str) -> bool {
+pub fn is_valid_request_key(key: &str) -> bool {
     let legal = |character: char| character.is_ascii_alphanumeric() || "-_.:/".contains(character);
     !key.is_empty() && key.len() <= MAXIMUM_REQUEST_KEY_BYTES && key.chars().all(legal)
 }
--- a/crates/millwind-node/src/owner/mod.rs
+++ b/crates/millwind-node/src/owner/mod.rs
@@ -9,6 +9,6 @@
 mod pool;
 mod service;
 
-pub use ledger::{CREATE_LEDGER, is_valid_key};
+pub use ledger::{CREATE_LEDGER, is_valid_request_key};
 pub use monitor::{GroupSnapshot, MonitorHandle};
 pub use service::{LOCAL_LINK, OwnerService, PeerService};
--- a/crates/millwind-node/src/peer/link.rs
+++ b/crates/millwind-node/src/peer/link.rs
@@ -42,18 +42,18 @@
 
 /// How long a call waits for its reply once the link is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum OnSilence {
     /// Waits until the call's own time limit. For calls whose effects make a repeat
     /// unsafe.
-    UntilLimit,
+    KeepWaiting,
     /// Fails as soon as the link counts as silent. For calls that another node can
     /// run instead.
-    WhileHeard,
+    FailCall,
 }
 
 /// A call that waits for its reply.
 struct PendingCall {
-    patience: Patience,
+    patience: OnSilence,
     reply: CallReply,
 }
 
@@ -122,7 +122,7 @@
         request_id: u64,
         message: PeerMessage,
         limit: Duration,
-        patience: Patience,
+        patience: OnSilence,
     ) -> Result<PeerMessage, CallError> {
         let link = self.link(address);
         if link.silent.load(Ordering::Relaxed) {
@@ -225,7 +225,7 @@
                 if last_received.elapsed() > SILENT_AFTER {
                     silent.store(true, Ordering::Relaxed);
                     // Dropping a call's reply sender fails the call as lost.
-                    pending.retain(|_, call| call.patience == Patience::UntilLimit);
+                    pending.retain(|_, call| call.patience == OnSilence::KeepWaiting);
                 }
                 if last_received.elapsed() > DISCONNECT_AFTER {
                     return;
--- a/crates/millwind-node/src/peer/mod.rs
+++ b/crates/millwind-node/src/peer/mod.rs
@@ -4,7 +4,7 @@
 mod link;
 mod server;
 
-pub use link::{CallError, DialAddressMap, Patience, PeerLinks};
+pub use link::{CallError, DialAddressMap, OnSilence, PeerLinks};
 pub use server::{InboundLink, PeerHandler, serve};
 
 use millwind_wire::MAX_FRAME_BYTES;
--- a/crates/millwind-node/tests/links.rs
+++ b/crates/millwind-node/tests/links.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use millwind_node::peer::{CallError, DialAddressMap, Patience, PeerLinks};
+use millwind_node::peer::{CallError, DialAddressMap, OnSilence, PeerLinks};
 use millwind_wire::{AwaitPrimary, ExecuteReply, ExecuteResult, Hello, PeerMessage, WirePosition, encode};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -45,7 +45,7 @@
             1,
             request(1),
             Duration::from_secs(10),
-            Patience::UntilLimit,
+            OnSilence::KeepWaiting,
         )
         .await;
     assert_eq!(result.expect_err("nothing listens"), CallError::NotSent);
@@ -63,7 +63,7 @@
         let limit = Duration::from_secs(30);
         tokio::spawn(async move {
             links
-                .call(address, 1, request(1), limit, Patience::UntilLimit)
+                .call(address, 1, request(1), limit, OnSilence::KeepWaiting)
                 .await
         })
     };
@@ -75,7 +75,7 @@
             request_id,
             request(request_id),
             Duration::from_millis(50),
-            Patience::UntilLimit,
+            OnSilence::KeepWaiting,
         );
         match call.await {
             Err(CallError::NotSent) => {
@@ -103,8 +103,8 @@
         let limit = Duration::from_secs(30);
         tokio::spawn(async move { links.call(address, id, request(id), limit, patience).await })
     };
-    let write = call(1, Patience::UntilLimit);
-    let read = call(2, Patience::WhileHeard);
+    let write = call(1, OnSilence::KeepWaiting);
+    let read = call(2, OnSilence::FailCall);
     let _frozen = listener.accept().await.expect("the link opens");
     let result = read.await.expect("joins");
     assert_eq!(result.expect_err("no answer"), CallError::Lost);
@@ -159,7 +159,7 @@
     });
     let limit = Duration::from_secs(30);
     let result = links
-        .call(address, 1, request(1), limit, Patience::WhileHeard)
+        .call(address, 1, request(1), limit, OnSilence::FailCall)
         .await;
     assert!(
         matches!(result, Ok(PeerMessage::ExecuteReply(_))),
