--- a/crates/millwind-core/src/confirmation.rs
+++ b/crates/millwind-core/src/confirmation.rs
@@ -92,7 +92,7 @@
     }
 
     /// Registers a finished commit at `position`. Returns the verdict if the commit can be
-    /// decided already; otherwise [`Self::observe`] returns it later.
+    /// decided already; otherwise [`Self::record_status`] returns it later.
     pub fn register(&mut self, id: u64, position: Position) -> Option<Verdict> {
         let sequence = self.next_sequence();
         let commit = PendingCommit {
--- a/crates/millwind-core/src/lender_lease.rs
+++ b/crates/millwind-core/src/lender_lease.rs
@@ -1,4 +1,4 @@
-//! Lease that allows one owner of an instance at a time to lend statement slots there: the
+//! Lease that allows one owner of an instance at a time to lend warm-up credits for it: the
 //! owner that holds the votes of a majority of the owners.
 //!
 //! Each owner votes for one lender at a time, and a vote is valid for [`VOTE_MS`]. The
--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -144,7 +144,7 @@
 /// One node's loans from one lender.
 #[derive(Debug)]
 pub struct Allowance {
-    terms: BorrowingSettings,
+    settings: BorrowingSettings,
     /// Operations left in each loan, and when the loan expires.
     loans: VecDeque<(u32, Instant)>,
     /// After a denied loan: until when callers are refused, and their retry delay in milliseconds.
@@ -156,9 +156,9 @@
 
 impl Allowance {
     /// Creates an allowance without loans.
-    pub fn new(terms: BorrowingSettings) -> Self {
+    pub fn new(settings: BorrowingSettings) -> Self {
         Allowance {
-            terms,
+            settings,
             loans: VecDeque::new(),
             denied: None,
             used: 0,
@@ -211,24 +211,27 @@
     pub fn record_loan(&mut self, loan: Loan, asked: Instant, now: Instant) {
         if loan.operations > 0 {
             self.loans
-                .push_back((loan.operations, asked.plus_millis(self.terms.loan_ms)));
+                .push_back((loan.operations, asked.plus_millis(self.settings.loan_ms)));
             self.denied = None;
         } else {
-            self.denied = Some((now.plus_millis(self.terms.denied_backoff_ms), loan.retry_after_ms));
+            self.denied = Some((
+                now.plus_millis(self.settings.denied_backoff_ms),
+                loan.retry_after_ms,
+            ));
         }
     }
 
     fn ahead_of_demand(&self) -> u32 {
         let used = u64::from(self.used.max(self.used_in_previous_window));
-        (used * u64::from(self.terms.prefetch_percent) / 100) as u32
+        (used * u64::from(self.settings.prefetch_percent) / 100) as u32
     }
 
     fn advance_usage_window(&mut self, now: Instant) {
         let age_ms = now.millis_since(self.usage_window_start);
-        if age_ms < self.terms.use_window_ms {
+        if age_ms < self.settings.use_window_ms {
             return;
         }
-        self.used_in_previous_window = if age_ms < 2 * self.terms.use_window_ms {
+        self.used_in_previous_window = if age_ms < 2 * self.settings.use_window_ms {
             self.used
         } else {
             0
--- a/crates/millwind-core/src/outcome.rs
+++ b/crates/millwind-core/src/outcome.rs
@@ -41,9 +41,9 @@
 /// Returns the next step after an attempt failed with `failure`.
 ///
 /// Invariant: an error kind whose effect is [`Effect::NotRun`] is reported only at
-/// [`Progress::NotSent`], at [`Progress::ConfirmedNotApplied`], or for read-only requests. A
-/// client may repeat the request after such an error, so a wrong report could apply a write
-/// twice.
+/// [`RequestProgress::NotSent`], at [`RequestProgress::ConfirmedNotApplied`], or for read-only
+/// requests. A client may repeat the request after such an error, so a wrong report could apply
+/// a write twice.
 pub fn next_step_after_failure(
     progress: RequestProgress,
     traits: RequestTraits,
--- a/crates/millwind-core/src/quota.rs
+++ b/crates/millwind-core/src/quota.rs
@@ -46,8 +46,8 @@
 /// bounds the request rate at the lender of a tenant that has reached its limit.
 const DENIED_RETRY_DELAY_MS: u64 = 150;
 
-/// Terms under which nodes borrow operations from a tenant's budget.
-const BORROWING_TERMS: BorrowingSettings = BorrowingSettings {
+/// Settings under which nodes borrow operations from a tenant's budget.
+const BORROWING_SETTINGS: BorrowingSettings = BorrowingSettings {
     loan_ms: LOAN_LIFETIME_MS,
     use_window_ms: USE_WINDOW_MS,
     prefetch_percent: PREFETCH_PERCENT,
@@ -55,9 +55,9 @@
 };
 
 impl Default for Allowance {
-    /// Creates an allowance without loans, under the terms for tenants' quotas.
+    /// Creates an allowance without loans, with the settings for tenants' quotas.
     fn default() -> Self {
-        Allowance::new(BORROWING_TERMS)
+        Allowance::new(BORROWING_SETTINGS)
     }
 }
 
--- a/crates/millwind-core/src/warm_up.rs
+++ b/crates/millwind-core/src/warm_up.rs
@@ -172,14 +172,14 @@
 
     /// Returns whether the instance is warm under the warm-up limits of its group. Without
     /// limits, every instance is warm.
-    pub fn warmth(&self, terms: Option<WarmUpLimits>, now: Instant) -> WarmUpStatus {
-        let Some(terms) = terms else {
+    pub fn status(&self, limits: Option<WarmUpLimits>, now: Instant) -> WarmUpStatus {
+        let Some(limits) = limits else {
             return WarmUpStatus::Warm;
         };
         let latest_start = self
             .assumed_start
             .max(self.suspicion.map(|suspicion| suspicion.since));
-        let assumed_until = latest_start.map(|start| start.plus_millis(terms.duration_ms));
+        let assumed_until = latest_start.map(|start| start.plus_millis(limits.duration_ms));
         let until = assumed_until.map_or(self.reported_until, |assumed| assumed.max(self.reported_until));
         match now < until {
             true => WarmUpStatus::ColdUntil(until),
@@ -188,23 +188,23 @@
     }
 }
 
-/// Lifetime of a permit to send a statement to a cold instance, from the time of the
+/// Lifetime of a credit to send a statement to a cold instance, from the time of the
 /// request, in milliseconds. The lifetime covers a few round trips between regions. A
-/// longer lifetime reduces the lendable rate, because permits of one second may still be
+/// longer lifetime reduces the lendable rate, because credits of one second may still be
 /// used in the next.
 pub const CREDIT_LIFETIME_MS: u64 = 150;
 /// Length of the window over which statements are counted, in milliseconds.
 const COUNTING_WINDOW_MS: u64 = 1_000;
 /// Delay before a node whose request was denied asks again, in milliseconds.
 const DENIED_RETRY_DELAY_MS: u64 = 100;
-/// Permits that may be saved up, in percent of a window's permits.
-const SAVED_PERMITS_PERCENT: f64 = 10.0;
+/// Credits that may be saved up, in percent of a window's credits.
+const SAVED_CREDITS_PERCENT: f64 = 10.0;
 /// Factor applied to the lending rate so that rounding errors never add up to an extra
-/// permit.
+/// credit.
 const ROUNDING_MARGIN: f64 = 0.98;
 
-/// Terms under which nodes borrow permits. Nothing is requested ahead of need, because
-/// permits are scarce and a permit that its borrower does not use is lost.
+/// Settings under which nodes borrow credits. Nothing is requested ahead of need, because
+/// credits are scarce and a credit that its borrower does not use is lost.
 pub const BORROWING_SETTINGS: BorrowingSettings = BorrowingSettings {
     loan_ms: CREDIT_LIFETIME_MS,
     use_window_ms: COUNTING_WINDOW_MS,
@@ -214,20 +214,20 @@
 
 /// Returns the maximum number of statements that all nodes together may send to a cold
 /// instance within any second.
-pub fn max_statements_per_s(terms: WarmUpLimits, tolerance: WarmUpTolerance) -> u64 {
-    let tolerated = terms.statements_per_s * tolerance.overage_percent as f64 / 100.0;
+pub fn max_statements_per_s(limits: WarmUpLimits, tolerance: WarmUpTolerance) -> u64 {
+    let tolerated = limits.statements_per_s * tolerance.overage_percent as f64 / 100.0;
     (tolerated + tolerance.slack as f64) as u64
 }
 
-/// Returns the supply of permits that one lender may lend for a cold instance.
+/// Returns the supply of credits that one lender may lend for a cold instance.
 ///
-/// Permits used within a given second were lent within that second or within [`CREDIT_LIFETIME_MS`]
-/// before it. In that period, a budget lends at most its saved permits plus those that its
-/// rate adds, which is less than [`max_statements_per_s`] plus one. A budget starts empty, so that
-/// the bound also holds when the lender changes.
-pub fn credit_supply(terms: WarmUpLimits, tolerance: WarmUpTolerance) -> Supply {
-    let max_statements = max_statements_per_s(terms, tolerance) as f64;
-    let max_saved = (max_statements * SAVED_PERMITS_PERCENT / 100.0).max(1.0);
+/// Credits used within a given second were lent within that second or within
+/// [`CREDIT_LIFETIME_MS`] before it. In that period, a budget lends at most its saved credits
+/// plus those that its rate adds, which is less than [`max_statements_per_s`] plus one. A
+/// budget starts empty, so that the bound also holds when the lender changes.
+pub fn credit_supply(limits: WarmUpLimits, tolerance: WarmUpTolerance) -> Supply {
+    let max_statements = max_statements_per_s(limits, tolerance) as f64;
+    let max_saved = (max_statements * SAVED_CREDITS_PERCENT / 100.0).max(1.0);
     let lending_window_s = (COUNTING_WINDOW_MS + CREDIT_LIFETIME_MS) as f64 / 1_000.0;
     let rate_per_s = match max_statements < 1.0 {
         true => 0.0,
--- a/crates/millwind-core/tests/incarnation.rs
+++ b/crates/millwind-core/tests/incarnation.rs
@@ -5,7 +5,7 @@
 use millwind_core::incarnation::{Incarnation, RestartEvidence, RestartSigns, restart_evidence};
 use proptest::prelude::*;
 
-fn life_signs(started_ms: Option<u64>, heartbeat: Option<u64>) -> RestartSigns {
+fn signs(started_ms: Option<u64>, heartbeat: Option<u64>) -> RestartSigns {
     RestartSigns {
         incarnation: started_ms.map(Incarnation),
         heartbeat,
@@ -16,11 +16,8 @@
 
 #[test]
 fn a_different_incarnation_is_a_restart_even_if_the_clock_went_back() {
-    let previous = life_signs(Some(2_000), Some(9));
-    for current in [
-        life_signs(Some(3_000), Some(1)),
-        life_signs(Some(1_000), Some(10)),
-    ] {
+    let previous = signs(Some(2_000), Some(9));
+    for current in [signs(Some(3_000), Some(1)), signs(Some(1_000), Some(10))] {
         assert_eq!(
             restart_evidence(&previous, &current),
             Some(RestartEvidence::Incarnation)
@@ -30,8 +27,8 @@
 
 #[test]
 fn the_same_incarnation_is_no_restart_even_if_heartbeat_or_address_changes() {
-    let previous = life_signs(Some(2_000), Some(9));
-    let mut current = life_signs(Some(2_000), Some(1));
+    let previous = signs(Some(2_000), Some(9));
+    let mut current = signs(Some(2_000), Some(1));
     assert_eq!(restart_evidence(&previous, &current), None);
     current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
     assert_eq!(restart_evidence(&previous, &current), None);
@@ -39,8 +36,8 @@
 
 #[test]
 fn gaining_or_losing_the_incarnation_is_a_restart() {
-    let unnamed = life_signs(None, Some(9));
-    let named = life_signs(Some(2_000), Some(10));
+    let unnamed = signs(None, Some(9));
+    let named = signs(Some(2_000), Some(10));
     assert_eq!(
         restart_evidence(&unnamed, &named),
         Some(RestartEvidence::Incarnation)
@@ -53,19 +50,19 @@
 
 #[test]
 fn without_an_incarnation_a_lower_heartbeat_is_a_restart() {
-    let previous = life_signs(None, Some(9));
-    assert_eq!(restart_evidence(&previous, &life_signs(None, Some(9))), None);
-    assert_eq!(restart_evidence(&previous, &life_signs(None, Some(10))), None);
-    assert_eq!(restart_evidence(&previous, &life_signs(None, None)), None);
+    let previous = signs(None, Some(9));
+    assert_eq!(restart_evidence(&previous, &signs(None, Some(9))), None);
+    assert_eq!(restart_evidence(&previous, &signs(None, Some(10))), None);
+    assert_eq!(restart_evidence(&previous, &signs(None, None)), None);
     assert_eq!(
-        restart_evidence(&previous, &life_signs(None, Some(1))),
+        restart_evidence(&previous, &signs(None, Some(1))),
         Some(RestartEvidence::Heartbeat)
     );
 }
 
 #[test]
 fn without_an_incarnation_a_new_address_or_a_withdrawn_shutdown_is_a_restart() {
-    let mut previous = life_signs(None, None);
+    let mut previous = signs(None, None);
     let mut current = previous;
     current.address = SocketAddr::from(([127, 0, 0, 1], 5_002));
     assert_eq!(
@@ -74,7 +71,7 @@
     );
     previous.is_leaving = true;
     assert_eq!(
-        restart_evidence(&previous, &life_signs(None, None)),
+        restart_evidence(&previous, &signs(None, None)),
         Some(RestartEvidence::ShutdownWithdrawn)
     );
 }
@@ -87,8 +84,8 @@
         heartbeats in prop::array::uniform2(prop::option::of(0_u64..5)),
     ) {
         let evidence = restart_evidence(
-            &life_signs(Some(previous), heartbeats[0]),
-            &life_signs(Some(current), heartbeats[1]),
+            &signs(Some(previous), heartbeats[0]),
+            &signs(Some(current), heartbeats[1]),
         );
         prop_assert_eq!(evidence.is_some(), previous != current);
     }
--- a/crates/millwind-core/tests/quota.rs
+++ b/crates/millwind-core/tests/quota.rs
@@ -75,7 +75,7 @@
 struct Scenario {
     seed: u64,
     nodes: usize,
-    /// The first lender and its stand-in.
+    /// The primary lender and the backup lender.
     lenders: [usize; 2],
     quota: Quota,
     /// Operations requested per second.
@@ -119,7 +119,7 @@
     scenario: &'a Scenario,
     rng: ChaCha8Rng,
     nodes: Vec<Node>,
-    /// Budgets of the first lender and of its stand-in, by their index.
+    /// Budgets of the primary and the backup lender, by their index.
     budgets: BTreeMap<usize, Budget>,
     /// What the two lenders know of the other nodes.
     reach: [LenderReach; 2],
--- a/crates/millwind-core/tests/warm_up.rs
+++ b/crates/millwind-core/tests/warm_up.rs
@@ -15,14 +15,14 @@
 }
 
 fn is_cold(state: &WarmUpObservation, seconds: u64) -> bool {
-    state.warmth(Some(LIMITS), at(seconds)).is_cold(at(seconds))
+    state.status(Some(LIMITS), at(seconds)).is_cold(at(seconds))
 }
 
 #[test]
 fn an_instance_is_cold_for_the_reported_time() {
     let state = WarmUpObservation::first_observed(5_000, at(10));
     assert_eq!(
-        state.warmth(Some(LIMITS), at(10)),
+        state.status(Some(LIMITS), at(10)),
         WarmUpStatus::ColdUntil(at(15))
     );
     assert!(is_cold(&state, 14));
@@ -37,7 +37,7 @@
 #[test]
 fn without_limits_all_instances_are_warm() {
     let state = WarmUpObservation::restarted(5_000, at(10));
-    assert_eq!(state.warmth(None, at(10)), WarmUpStatus::Warm);
+    assert_eq!(state.status(None, at(10)), WarmUpStatus::Warm);
 }
 
 #[test]
@@ -108,8 +108,8 @@
 
 #[test]
 fn two_later_heartbeats_clear_the_suspicion() {
-    let doubted = WarmUpObservation::first_observed(0, at(10)).suspect_termination(Some(7), at(40));
-    let read_again = doubted
+    let suspected = WarmUpObservation::first_observed(0, at(10)).suspect_termination(Some(7), at(40));
+    let read_again = suspected
         .record_reread(0, at(41))
         .heartbeat_received(Some(7))
         .heartbeat_received(Some(7));
--- a/crates/millwind-core/tests/warm_up_lending.rs
+++ b/crates/millwind-core/tests/warm_up_lending.rs
@@ -75,7 +75,7 @@
 struct Scenario {
     seed: u64,
     nodes: usize,
-    terms: WarmUpLimits,
+    limits: WarmUpLimits,
     tolerance: WarmUpTolerance,
     /// Statements per second that are meant for the instance.
     requested_per_s: u64,
@@ -86,7 +86,7 @@
 
 impl Scenario {
     fn limit(&self) -> u64 {
-        max_statements_per_s(self.terms, self.tolerance)
+        max_statements_per_s(self.limits, self.tolerance)
     }
 }
 
@@ -189,7 +189,7 @@
 
     /// Returns when `lender` lends and the loan, or `None` without a lease.
     fn lend(&mut self, lender: usize, wanted: u32, now_ms: u64) -> Option<(u64, Loan)> {
-        let supply = warm_up::credit_supply(self.scenario.terms, self.scenario.tolerance);
+        let supply = warm_up::credit_supply(self.scenario.limits, self.scenario.tolerance);
         let mut now_ms = now_ms;
         if self.mode == LendingMode::Leased && !self.ensure_lease(lender, &mut now_ms) {
             return None;
@@ -282,7 +282,7 @@
     }
 
     fn use_equal_share(&mut self, node: usize, now_ms: u64) {
-        let whole = warm_up::credit_supply(self.scenario.terms, self.scenario.tolerance);
+        let whole = warm_up::credit_supply(self.scenario.limits, self.scenario.tolerance);
         let share = millwind_core::lending::Supply {
             rate_per_s: whole.rate_per_s / self.scenario.nodes as f64,
             ..whole
@@ -399,7 +399,7 @@
     Scenario {
         seed: 1,
         nodes: 76,
-        terms: WarmUpLimits {
+        limits: WarmUpLimits {
             duration_ms: 8_000,
             statements_per_s: 12.0,
         },
@@ -529,7 +529,7 @@
                 Scenario {
                     seed,
                     nodes,
-                    terms: WarmUpLimits {
+                    limits: WarmUpLimits {
                         duration_ms: 20_000,
                         statements_per_s: per_s as f64,
                     },
--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -23,8 +23,8 @@
     /// The instance rejected the session startup with an error.
     #[error("session startup rejected: {} {}", .0.code, .0.text)]
     StartupRefused(BackEndError),
-    /// No connection or turn became free in time, or none was expected to.
-    #[error("no connection or execution turn became free in time")]
+    /// No connection or execution slot became free in time, or none was expected to.
+    #[error("no connection or execution slot became free in time")]
     QueueTimeout,
     /// The pool of the instance was retired.
     #[error("instance is no longer used")]
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -163,7 +163,7 @@
     record: InstanceRecord,
     codec: Arc<dyn BackEndCodec>,
     state: Mutex<PoolState>,
-    turns: Arc<StatementAdmission>,
+    admission: Arc<StatementAdmission>,
 }
 
 impl std::fmt::Debug for Pool {
@@ -180,7 +180,7 @@
             ..PoolState::default()
         };
         Arc::new(Pool {
-            turns: StatementAdmission::new(record.slots),
+            admission: StatementAdmission::new(record.slots),
             record,
             codec,
             state: Mutex::new(state),
@@ -197,8 +197,8 @@
     }
 
     /// The admission queue for this node's statements on the instance.
-    pub fn turns(&self) -> &Arc<StatementAdmission> {
-        &self.turns
+    pub fn admission(&self) -> &Arc<StatementAdmission> {
+        &self.admission
     }
 
     /// Changes how many connections the pool may hold, and closes idle ones beyond that.
--- a/crates/millwind-engine/src/backend/pooled.rs
+++ b/crates/millwind-engine/src/backend/pooled.rs
@@ -23,8 +23,9 @@
     connection: Option<Connection>,
     /// Whether a statement has run since the connection was acquired.
     has_run: bool,
-    /// The turn of the first statement, if it was taken before the connection was acquired.
-    turn: Option<ExecutionSlot>,
+    /// The execution slot of the first statement, if it was taken before the connection was
+    /// acquired.
+    slot: Option<ExecutionSlot>,
 }
 
 impl PooledConnection {
@@ -35,7 +36,7 @@
             acquired_at: clock::now(),
             connection: Some(connection),
             has_run: false,
-            turn: None,
+            slot: None,
         }
     }
 
@@ -55,14 +56,14 @@
         }
     }
 
-    /// Stores the turn in which the connection was acquired, for its first statement.
-    pub fn store_turn(&mut self, turn: ExecutionSlot) {
-        self.turn = Some(turn);
+    /// Stores the execution slot in which the connection was acquired, for its first statement.
+    pub fn store_slot(&mut self, slot: ExecutionSlot) {
+        self.slot = Some(slot);
     }
 
-    /// Takes the stored turn, if there is one.
-    pub fn take_turn(&mut self) -> Option<ExecutionSlot> {
-        self.turn.take()
+    /// Takes the stored execution slot, if there is one.
+    pub fn take_slot(&mut self) -> Option<ExecutionSlot> {
+        self.slot.take()
     }
 
     /// Records that a statement has run on the connection.
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -13,8 +13,8 @@
 use super::user::ConnectionUser;
 use crate::clock;
 
-/// A new sample enters the moving average of turn durations with weight `1 / TURN_WEIGHT`.
-const TURN_WEIGHT: u64 = 16;
+/// A new sample enters the moving average of execution times with weight `1 / SAMPLE_WEIGHT`.
+const SAMPLE_WEIGHT: u64 = 16;
 
 /// How urgent a statement is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -45,14 +45,15 @@
     user: ConnectionUser,
     /// Number of later statements that were served first.
     passed_over: u8,
-    turn: oneshot::Sender<ExecutionSlot>,
+    slot: oneshot::Sender<ExecutionSlot>,
 }
 
 struct State {
     limit: ConcurrencyLimit,
     running: usize,
     waiters: VecDeque<Waiter>,
-    /// Moving average of the duration of a turn, in microseconds; zero before the first turn.
+    /// Moving average of the time for which a slot is held, in microseconds; zero before the
+    /// first release.
     mean_us: u64,
 }
 
@@ -68,14 +69,14 @@
 /// The right to run one statement on the instance; released when dropped.
 #[derive(Debug)]
 pub struct ExecutionSlot {
-    turns: Arc<StatementAdmission>,
+    admission: Arc<StatementAdmission>,
     user: ConnectionUser,
     began: Instant,
     end: ExecutionEnd,
 }
 
 impl ExecutionSlot {
-    /// Releases the turn and reports how the statement ended.
+    /// Releases the slot and reports how the statement ended.
     pub fn end(mut self, end: ExecutionEnd) {
         self.end = end;
     }
@@ -83,7 +84,7 @@
 
 impl Drop for ExecutionSlot {
     fn drop(&mut self) {
-        self.turns.release(self.began, self.end, &self.user);
+        self.admission.release(self.began, self.end, &self.user);
     }
 }
 
@@ -102,7 +103,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Like [`Turns::take_for`], for the system user.
+    /// Like [`Self::acquire_for`], for the system user.
     pub async fn acquire(
         self: &Arc<Self>,
         urgency: Urgency,
@@ -113,9 +114,9 @@
             .await
     }
 
-    /// Waits for a turn of `user`. A statement whose answer is expected after the target time
-    /// `target_time` counts as late. Fails at `deadline`, or at once if the statement is not expected
-    /// to be answered by then.
+    /// Waits for an execution slot for `user`. A statement whose answer is expected after the
+    /// target time `target_time` counts as late. Fails at `deadline`, or at once if the
+    /// statement is not expected to be answered by then.
     pub async fn acquire_for(
         self: &Arc<Self>,
         user: &ConnectionUser,
@@ -135,7 +136,7 @@
             state.enqueue(queued_urgency, user.clone())
         };
         match tokio::time::timeout_at(clock::deadline(deadline), waiting).await {
-            Ok(Ok(turn)) => Ok(turn),
+            Ok(Ok(slot)) => Ok(slot),
             Ok(Err(_)) => Err(ExchangeError::PoolRetired),
             Err(_) => Err(ExchangeError::QueueTimeout),
         }
@@ -143,14 +144,14 @@
 
     fn begin(self: &Arc<Self>, user: ConnectionUser) -> ExecutionSlot {
         ExecutionSlot {
-            turns: self.clone(),
+            admission: self.clone(),
             user,
             began: clock::now(),
             end: ExecutionEnd::Unknown,
         }
     }
 
-    /// Releases a turn of `user` and grants turns to waiting statements.
+    /// Releases a slot of `user` and grants slots to waiting statements.
     fn release(self: &Arc<Self>, began: Instant, end: ExecutionEnd, user: &ConnectionUser) {
         let now = clock::now();
         let mut admitted = Vec::new();
@@ -160,7 +161,7 @@
             state.running -= 1;
             state.limit.record_end(now, end, was_full);
             if end == ExecutionEnd::Ran {
-                state.record_turn(now.0.saturating_sub(began.0));
+                state.record_duration(now.0.saturating_sub(began.0));
             }
             while state.running < state.limit.allowed() {
                 let Some(waiter) = state.next_waiter(user) else {
@@ -170,21 +171,21 @@
                 admitted.push(waiter);
             }
         }
-        // The state is unlocked here: a turn whose receiver is gone is dropped at once and
+        // The state is unlocked here: a slot whose receiver is gone is dropped at once and
         // locks the state again.
         for waiter in admitted {
-            let turn = self.begin(waiter.user);
-            drop(waiter.turn.send(turn));
+            let slot = self.begin(waiter.user);
+            drop(waiter.slot.send(slot));
         }
     }
 }
 
 impl State {
-    /// Adds the duration of a turn, in microseconds, to the moving average.
-    fn record_turn(&mut self, sample: u64) {
+    /// Adds the time for which a slot was held, in microseconds, to the moving average.
+    fn record_duration(&mut self, sample: u64) {
         self.mean_us = match self.mean_us {
             0 => sample,
-            mean => (mean * (TURN_WEIGHT - 1) + sample) / TURN_WEIGHT,
+            mean => (mean * (SAMPLE_WEIGHT - 1) + sample) / SAMPLE_WEIGHT,
         };
     }
 
@@ -208,22 +209,22 @@
     }
 
     fn enqueue(&mut self, urgency: Urgency, user: ConnectionUser) -> oneshot::Receiver<ExecutionSlot> {
-        let (turn, receiver) = oneshot::channel();
+        let (slot, receiver) = oneshot::channel();
         let index = self.waiters.partition_point(|other| other.urgency <= urgency);
         let waiter = Waiter {
             urgency,
             user,
             passed_over: 0,
-            turn,
+            slot,
         };
         self.waiters.insert(index, waiter);
         receiver
     }
 
-    /// Removes and returns the waiter that is served next, after a turn of `user`. Waiters of
-    /// the same user are preferred because they can reuse its connection.
+    /// Removes and returns the waiter that is served next, after a slot of `user` is released.
+    /// Waiters of the same user are preferred because they can reuse its connection.
     fn next_waiter(&mut self, user: &ConnectionUser) -> Option<Waiter> {
-        self.waiters.retain(|waiter| !waiter.turn.is_closed());
+        self.waiters.retain(|waiter| !waiter.slot.is_closed());
         let view = |waiter: &Waiter| WaitingRequest {
             rank: waiter.urgency.rank(),
             is_same_user: waiter.user == *user,
--- a/crates/millwind-engine/src/catalog.rs
+++ b/crates/millwind-engine/src/catalog.rs
@@ -119,7 +119,7 @@
 
 impl InstanceRecord {
     /// Returns the fields that distinguish incarnations of the instance.
-    pub fn life_signs(&self) -> RestartSigns {
+    pub fn restart_signs(&self) -> RestartSigns {
         RestartSigns {
             incarnation: self.incarnation,
             heartbeat: self.heartbeat,
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -86,7 +86,7 @@
     }
 
     /// Opens connections in advance to an instance of a configured group if this node runs
-    /// statements on it. Stand-ins for owners connect on demand, which limits the number of
+    /// statements on it. Backup owners connect on demand, which limits the number of
     /// connections and the cost of ranking nodes at each configuration change.
     fn open_ahead(&self, record: &InstanceRecord) {
         let is_configured = self.directory.group_limits(&record.group).is_some();
--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -16,9 +16,9 @@
 
 /// Even share of connections per node at which every node holds its own share.
 pub(crate) const AMPLE_CONNECTION_SHARE: usize = 3;
-/// Share of an instance's connections that each stand-in for its owners may hold, in
+/// Share of an instance's connections that each backup owner may hold, in
 /// percent.
-const STAND_IN_PERCENT: usize = 10;
+const BACKUP_OWNER_PERCENT: usize = 10;
 /// Number of nodes that watch a group whether or not they use it.
 pub(crate) const WATCHERS: usize = 3;
 /// Time for which a group counts as used after a direct use, in milliseconds.
@@ -58,7 +58,7 @@
         let limit = self.connection_limit(&record.group);
         let share = match self.owners.ownership_role(&self.registry, record) {
             OwnershipRole::Owner => self.owner_share(&record.group),
-            OwnershipRole::StandIn => limit * STAND_IN_PERCENT / 100,
+            OwnershipRole::BackupOwner => limit * BACKUP_OWNER_PERCENT / 100,
             OwnershipRole::Other => 1,
         };
         share.max(1)
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -124,7 +124,7 @@
 impl State {
     /// Whether the response to a request sent to `instance` at `asked` comes from the current
     /// incarnation.
-    pub(super) fn is_of_present_life(&self, instance: &InstanceName, asked: Instant) -> bool {
+    pub(super) fn is_from_current_incarnation(&self, instance: &InstanceName, asked: Instant) -> bool {
         let known = self.instances.get(instance);
         known
             .and_then(|known| known.incarnation_seen_at)
@@ -155,12 +155,12 @@
     /// Whether the response to a request sent to `instance` at `asked` comes from the current
     /// incarnation.
     pub fn is_from_current_incarnation(&self, instance: &InstanceName, asked: Instant) -> bool {
-        self.state().is_of_present_life(instance, asked)
+        self.state().is_from_current_incarnation(instance, asked)
     }
 
     /// When this node first saw the current incarnation of an instance; none for the first
     /// incarnation that this node has seen.
-    pub fn life_began(&self, instance: &InstanceName) -> Option<Instant> {
+    pub fn incarnation_seen_at(&self, instance: &InstanceName) -> Option<Instant> {
         self.state().instances.get(instance)?.incarnation_seen_at
     }
 }
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -59,10 +59,10 @@
     pub contact: InstanceHealth,
     /// What peers last reported about the instance, and when.
     pub testimony: Option<(Instant, PeerReachability)>,
-    /// Observations of the current incarnation from which `warmth` is computed.
-    sight: WarmUpObservation,
+    /// Observations of the current incarnation from which `warm_up_status` is computed.
+    warm_up_observation: WarmUpObservation,
     /// Whether the instance is warm.
-    pub warmth: WarmUpStatus,
+    pub warm_up_status: WarmUpStatus,
     /// When this node first saw the current incarnation; none for the first incarnation
     /// that this node has seen.
     pub incarnation_seen_at: Option<Instant>,
@@ -71,7 +71,8 @@
 impl KnownInstance {
     /// Whether `record` differs from the known record at most in its heartbeat.
     fn differs_only_in_heartbeat(&self, record: &InstanceRecord) -> bool {
-        let is_same_incarnation = restart_evidence(&self.record.life_signs(), &record.life_signs()).is_none();
+        let is_same_incarnation =
+            restart_evidence(&self.record.restart_signs(), &record.restart_signs()).is_none();
         let is_usable = !self.is_removed && !self.is_undecodable;
         is_usable && is_same_incarnation && self.record.equals_except_heartbeat(record)
     }
@@ -289,15 +290,15 @@
         if let Some(known) = state.instances.get_mut(&record.name)
             && known.differs_only_in_heartbeat(&record)
         {
-            known.sight = observe_warm_up(Some(known), false, &record, now);
+            known.warm_up_observation = observe_warm_up(Some(known), false, &record, now);
             known.record = Arc::new(record);
             known.last_seen = now;
             return RecordChange::default();
         }
         let previous = state.instances.get(&record.name).cloned();
         let previous = previous.as_ref();
-        let began =
-            previous.and_then(|known| restart_evidence(&known.record.life_signs(), &record.life_signs()));
+        let began = previous
+            .and_then(|known| restart_evidence(&known.record.restart_signs(), &record.restart_signs()));
         let claimed_before = previous.is_some_and(|known| known.record.claims_lead && !known.is_removed);
         let is_new = previous.is_none_or(|known| known.is_removed);
         let has_changed =
@@ -313,7 +314,7 @@
         }
         let same_incarnation = previous.filter(|_| began.is_none());
         let leaving_before = same_incarnation.and_then(|known| known.leaving_since);
-        let sight = observe_warm_up(previous, began.is_some(), &record, now);
+        let warm_up_observation = observe_warm_up(previous, began.is_some(), &record, now);
         let name = record.name.clone();
         let group = record.group.clone();
         let newly_claims = record.claims_lead && !claimed_before;
@@ -339,8 +340,8 @@
             is_removed: false,
             is_undecodable: false,
             is_leaving: false,
-            sight,
-            warmth: WarmUpStatus::Warm,
+            warm_up_observation,
+            warm_up_status: WarmUpStatus::Warm,
         };
         state.insert(known);
         if began.is_none() {
@@ -411,7 +412,9 @@
         let is_over = |since: Instant| now.millis_since(since) >= self.gone_grace_ms;
         KnownInstance {
             is_leaving: is_announced || (known.is_removed && known.leaving_since.is_some_and(is_over)),
-            warmth: known.sight.warmth(state.warm_up_terms(known), now),
+            warm_up_status: known
+                .warm_up_observation
+                .status(state.warm_up_limits_of(known), now),
             ..known.clone()
         }
     }
@@ -460,7 +463,7 @@
         position: Position,
     ) -> bool {
         let mut state = self.state();
-        if !state.is_of_present_life(instance, asked) {
+        if !state.is_from_current_incarnation(instance, asked) {
             // The answer is valid but proves nothing about the current incarnation.
             return self.is_fenced;
         }
--- a/crates/millwind-engine/src/directory/warmth.rs
+++ b/crates/millwind-engine/src/directory/warmth.rs
@@ -24,7 +24,7 @@
     match has_begun_anew {
         true => WarmUpObservation::restarted(warm_up_left_ms, now),
         false => previous
-            .sight
+            .warm_up_observation
             .record_reread(warm_up_left_ms, now)
             .heartbeat_received(record.heartbeat),
     }
@@ -39,12 +39,12 @@
             .values_mut()
             .filter(|known| known.record.zone == *zone);
         for known in of_zone {
-            known.sight = known.sight.resumed_at(now);
+            known.warm_up_observation = known.warm_up_observation.resumed_at(now);
         }
     }
 
     /// The warm-up settings of the instance's group; none if the group has none.
-    pub(super) fn warm_up_terms(&self, known: &KnownInstance) -> Option<WarmUpLimits> {
+    pub(super) fn warm_up_limits_of(&self, known: &KnownInstance) -> Option<WarmUpLimits> {
         let config = self.config.as_ref()?;
         config.groups.get(&known.record.group)?.warm_up
     }
@@ -56,20 +56,20 @@
     /// next, so the instance counts as cold unless its records show that the process survived.
     pub fn record_possible_restart(&self, instance: &InstanceName, asked: Instant) {
         let mut state = self.state();
-        if !state.is_of_present_life(instance, asked) {
+        if !state.is_from_current_incarnation(instance, asked) {
             return;
         }
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        if !known.sight.is_termination_suspected() {
+        if !known.warm_up_observation.is_termination_suspected() {
             info!(
                 "event=instance_process_doubted instance={instance} heard_ms_ago={}",
                 clock::now().millis_since(known.last_seen)
             );
         }
-        known.sight = known
-            .sight
+        known.warm_up_observation = known
+            .warm_up_observation
             .suspect_termination(known.record.heartbeat, clock::now());
     }
 
@@ -78,9 +78,9 @@
     pub fn warm_up_limits(&self, instance: &InstanceName) -> Option<WarmUpLimits> {
         let state = self.state();
         let known = state.instances.get(instance)?;
-        let terms = state.warm_up_terms(known)?;
+        let limits = state.warm_up_limits_of(known)?;
         let now = clock::now();
-        let warmth = known.sight.warmth(Some(terms), now);
-        warmth.is_cold(now).then_some(terms)
+        let status = known.warm_up_observation.status(Some(limits), now);
+        status.is_cold(now).then_some(limits)
     }
 }
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -178,7 +178,7 @@
             )
             .await
         }
-        ConnectionUser::Tenant(_) => connect_within_turn(&pool, purpose, wanted).await,
+        ConnectionUser::Tenant(_) => connect_within_slot(&pool, purpose, wanted).await,
     };
     record_closed_connections(engine, &pool, asked);
     connected.map_err(|error| {
@@ -191,10 +191,10 @@
     })
 }
 
-/// Acquires the statement's turn under the concurrency limit, then a connection. Waiting
-/// for the turn without a connection keeps idle connections free for other statements of
-/// their tenants, and opening a connection loads the instance like a statement does.
-async fn connect_within_turn(
+/// Acquires the statement's execution slot under the concurrency limit, then a connection.
+/// Waiting for the slot without a connection keeps idle connections free for other statements
+/// of their tenants, and opening a connection loads the instance like a statement does.
+async fn connect_within_slot(
     pool: &Arc<Pool>,
     purpose: Purpose,
     wanted: ConnectionRequest<'_>,
@@ -207,17 +207,17 @@
         ..
     } = wanted;
     let urgency = Urgency::Priority(wanted.priority);
-    let turn = pool
-        .turns()
+    let slot = pool
+        .admission()
         .acquire_for(user, urgency, wanted.target_time, deadline)
         .await?;
     let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
     if let Some(mut connection) = immediate.await? {
-        connection.store_turn(turn);
+        connection.store_slot(slot);
         return Ok(connection);
     }
-    // Idle transactions hold all connections: release the turn while waiting for one.
-    drop(turn);
+    // Idle transactions hold all connections: release the slot while waiting for one.
+    drop(slot);
     pool.acquire(purpose, user, session, needed, deadline).await
 }
 
@@ -310,13 +310,13 @@
         _ if connection.urgency() == Urgency::InTransaction => CreditWaitPolicy::UntilDeadline,
         _ => CreditWaitPolicy::UntilTargetTime,
     };
-    let turn = acquire_turn_and_credit(engine, connection, wait_policy, deadline).await?;
+    let slot = acquire_slot_and_credit(engine, connection, wait_policy, deadline).await?;
     // The evacuation of the zone may have begun while the statement waited.
     let is_single_read = !confirms_leader && connection.transaction() == TransactionState::Idle;
     engine.check_evacuation(record, is_single_read)?;
     let inquiry = RequestTracker::new(&engine.directory, &record.name);
     let outcome = connection.run(session, envelope, deadline).await;
-    turn.end(classify_turn_end(&outcome));
+    slot.end(classify_execution_end(&outcome));
     connection.record_run();
     let reply = match outcome {
         Ok(reply) => reply,
@@ -343,10 +343,10 @@
     Ok(reply)
 }
 
-/// Acquires the statement's turn and, if the instance is warming up, a warm-up credit.
-/// The credit is acquired last because it is valid only for immediate use. The turn is
+/// Acquires the statement's execution slot and, if the instance is warming up, a warm-up credit.
+/// The credit is acquired last because it is valid only for immediate use. The slot is
 /// released while the statement waits for a credit.
-async fn acquire_turn_and_credit(
+async fn acquire_slot_and_credit(
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
     wait_policy: CreditWaitPolicy,
@@ -359,14 +359,14 @@
         _ => connection.target_time().min(deadline),
     };
     loop {
-        let turn = match connection.take_turn() {
-            Some(turn) => turn,
-            None => take_turn(&pool, connection, deadline).await?,
+        let slot = match connection.take_slot() {
+            Some(slot) => slot,
+            None => acquire_slot(&pool, connection, deadline).await?,
         };
         let Err(refused) = engine.acquire_credit(pool.record(), &wait, deadline).await else {
-            return Ok(turn);
+            return Ok(slot);
         };
-        drop(turn);
+        drop(slot);
         if !wait.pause(until).await {
             engine.record_credit_refusal(pool.record(), refused);
             let retry_after_ms = refused.retry_after_ms;
@@ -375,21 +375,21 @@
     }
 }
 
-async fn take_turn(
+async fn acquire_slot(
     pool: &Arc<Pool>,
     connection: &PooledConnection,
     deadline: Instant,
 ) -> Result<ExecutionSlot, AttemptError> {
     let (user, urgency, target_time) = (connection.user(), connection.urgency(), connection.target_time());
-    let turn = pool
-        .turns()
+    let slot = pool
+        .admission()
         .acquire_for(user, urgency, target_time, deadline)
         .await;
-    turn.map_err(AttemptError::Link)
+    slot.map_err(AttemptError::Link)
 }
 
 /// Classifies the outcome of an exchange for the concurrency limit.
-fn classify_turn_end(outcome: &Result<Reply, ExchangeError>) -> ExecutionEnd {
+fn classify_execution_end(outcome: &Result<Reply, ExchangeError>) -> ExecutionEnd {
     let Ok(reply) = outcome else {
         return ExecutionEnd::Unknown;
     };
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -53,13 +53,13 @@
 const STORE_CONTACT_MAX_AGE_MS: u64 = 2_500;
 /// Interval between queries to peers about one suspected leader.
 const PEER_QUERY_INTERVAL: Duration = Duration::from_millis(200);
-/// Additional delay per rank before a node rewrites duty records that a restored store lost, in
-/// milliseconds. It covers one write and its propagation through relays.
+/// Additional delay per rank before a node rewrites ownership records that a restored store
+/// lost, in milliseconds. It covers one write and its propagation through relays.
 const RESTORE_DELAY_PER_RANK_MS: u64 = 1_500;
 /// Upper bound on the delay before a rewrite, in milliseconds. After this time most nodes with
 /// a better rank can be assumed to be gone.
 const MAX_RESTORE_DELAY_MS: u64 = 12_000;
-/// Time between attempts to claim a duty that no node holds.
+/// Time between attempts to claim a group that no node owns.
 const DUTY_CLAIM_INTERVAL: Duration = Duration::from_millis(500);
 /// Time allowed for a starting group to get its first leader, in milliseconds. Applies while
 /// this node has never seen a leader of the group.
@@ -74,7 +74,7 @@
 /// kind of background task to one per group.
 pub struct FailoverMonitor<S> {
     engine: Arc<Engine>,
-    duties: Arc<FailoverOwnership<S>>,
+    ownership: Arc<FailoverOwnership<S>>,
     promoter: Arc<dyn Promoter>,
     codec: Arc<dyn CatalogCodec>,
     running_checks: Arc<InProgressGroups>,
@@ -94,17 +94,17 @@
 }
 
 impl<S: Store + 'static> FailoverMonitor<S> {
-    /// Creates a monitor that requests promotions from `promoter` while it holds a duty in
-    /// `duties`, and decodes instance records with `codec`.
+    /// Creates a monitor that requests promotions from `promoter` while it owns a group in
+    /// `ownership`, and decodes instance records with `codec`.
     pub fn new(
         engine: Arc<Engine>,
-        duties: Arc<FailoverOwnership<S>>,
+        ownership: Arc<FailoverOwnership<S>>,
         promoter: Arc<dyn Promoter>,
         codec: Arc<dyn CatalogCodec>,
     ) -> Arc<Self> {
         Arc::new(FailoverMonitor {
             engine,
-            duties,
+            ownership,
             promoter,
             codec,
             running_checks: Arc::default(),
@@ -150,21 +150,21 @@
         }
     }
 
-    /// Rewrites duty records that the store lost when it was restored. Nodes wait in the order
-    /// of their rank for the group, so that usually only the first one writes. A node that
-    /// restarted in the meantime does not know the lost records.
+    /// Rewrites ownership records that the store lost when it was restored. Nodes wait in the
+    /// order of their rank for the group, so that usually only the first one writes. A node
+    /// that restarted in the meantime does not know the lost records.
     fn restore_lost_duty_records(self: &Arc<Self>) {
         let now = clock::now();
-        for (group, since) in self.duties.lost_records() {
+        for (group, since) in self.ownership.lost_records() {
             let rank = self.engine.registry.rank(group.as_str()) as u64;
             let due = since.plus_millis((rank * RESTORE_DELAY_PER_RANK_MS).min(MAX_RESTORE_DELAY_MS));
             if now < due {
                 continue;
             }
             if let Some(mark) = self.running_duty_claims.enter(&group) {
-                let duties = self.duties.clone();
+                let ownership = self.ownership.clone();
                 tokio::spawn(async move {
-                    duties.restore(mark.group()).await;
+                    ownership.restore(mark.group()).await;
                     tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
                 });
             }
@@ -204,7 +204,7 @@
 
     /// Checks the health of a group and starts a replacement of its leader if necessary.
     async fn check_group(self: &Arc<Self>, group: &GroupName) {
-        self.claim_unheld_duty(group);
+        self.claim_unowned_group(group);
         let leader = self.engine.directory.leader(group).map(|leader| leader.instance);
         if health::is_leader_unavailable(&self.engine, leader.as_ref()) {
             self.start_leader_search(group);
@@ -231,7 +231,7 @@
         if reason == ReplaceReason::Evacuated && !self.may_attempt_evacuation(group, leader.as_ref()) {
             return;
         }
-        if self.duties.has_recent_promotion_by_other(group) {
+        if self.ownership.has_recent_promotion_by_other(group) {
             return;
         }
         let Some(mark) = self.running_replacements.enter(group) else {
@@ -286,18 +286,18 @@
         tokio::spawn(async move { health::probe_group(&engine, mark.group()).await });
     }
 
-    /// Claims the duty of a group if no node holds it and this node ranks first.
-    fn claim_unheld_duty(self: &Arc<Self>, group: &GroupName) {
-        let is_unheld = self.duties.is_listed() && self.duties.get(group).is_none();
-        if !is_unheld || self.failover_rank(group) > 0 {
+    /// Claims failover ownership of a group if no node holds it and this node ranks first.
+    fn claim_unowned_group(self: &Arc<Self>, group: &GroupName) {
+        let is_unowned = self.ownership.is_listed() && self.ownership.get(group).is_none();
+        if !is_unowned || self.failover_rank(group) > 0 {
             return;
         }
         let Some(mark) = self.running_duty_claims.enter(group) else {
             return;
         };
-        let duties = self.duties.clone();
+        let ownership = self.ownership.clone();
         tokio::spawn(async move {
-            duties.claim_in_advance(mark.group()).await;
+            ownership.claim_in_advance(mark.group()).await;
             tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
         });
     }
@@ -369,7 +369,7 @@
             let statements = &known.contact.statements;
             let silent_since = known.contact.unresponsive_since();
             // Statements that wait for a connection slot of a cold instance hang as well.
-            let is_unresponsive = statements.has_repeated_silence() && !known.warmth.is_cold(now);
+            let is_unresponsive = statements.has_repeated_silence() && !known.warm_up_status.is_cold(now);
             evidence.unresponsive_since = silent_since.filter(|_| is_unresponsive);
             evidence.is_outlier = statements.is_outlier(now);
         }
--- a/crates/millwind-engine/src/failover/pauses.rs
+++ b/crates/millwind-engine/src/failover/pauses.rs
@@ -44,13 +44,13 @@
 impl PausedReplica {
     fn is_still_paused(&self, directory: &Directory) -> bool {
         let is_connected = self.connection.is_alive();
-        let is_same_life = directory.life_began(&self.instance) == self.incarnation;
-        if !is_connected || !is_same_life {
+        let is_same_incarnation = directory.incarnation_seen_at(&self.instance) == self.incarnation;
+        if !is_connected || !is_same_incarnation {
             let instance = &self.instance;
             info!(
-                "event=pause_forgotten instance={instance} connected={is_connected} same_life={is_same_life}"
+                "event=pause_forgotten instance={instance} connected={is_connected} same_life={is_same_incarnation}"
             );
         }
-        is_connected && is_same_life
+        is_connected && is_same_incarnation
     }
 }
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -1,10 +1,10 @@
-//! Moves the leader of a group to another region if data residency terms keep statements that
+//! Moves the leader of a group to another region if region restrictions keep statements that
 //! need a leader out of its current region.
 //!
-//! The holder of the group's duty decides, from the demand of its own clients and the reports
+//! The failover owner of the group decides, from the demand of its own clients and the reports
 //! of other nodes. If the holder does not answer, the first of the group's watchers that does
-//! decides instead. Nodes report only while the terms of a customer exclude the region of the
-//! leader, so a deployment without such terms sends no messages.
+//! decides instead. Nodes report only while the region restrictions of a customer exclude the
+//! region of the leader, so a deployment without such restrictions sends no messages.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -49,7 +49,7 @@
     last_attempt: Option<Instant>,
     /// Regions that the leadership was moved out of, with the time of each move.
     left_regions: HashMap<RegionName, Instant>,
-    /// The data residency terms of the group; a change of these clears `left_regions`.
+    /// The region restrictions of the group; a change of these clears `left_regions`.
     allowed_regions: BTreeSet<AllowedRegions>,
     /// The configuration version from which `allowed_regions` was taken.
     config_version: u64,
@@ -66,14 +66,14 @@
         self.leader = Some(leader.clone());
     }
 
-    /// Records the data residency terms of the group. If they have changed, a move back into a
+    /// Records the region restrictions of the group. If they have changed, a move back into a
     /// former region is allowed at once. Other configuration changes have no effect.
-    fn record_allowed_regions(&mut self, terms: &LeaderRegionRules<'_>, group: &GroupName) {
-        if self.config_version == terms.config_version {
+    fn record_allowed_regions(&mut self, rules: &LeaderRegionRules<'_>, group: &GroupName) {
+        if self.config_version == rules.config_version {
             return;
         }
-        self.config_version = terms.config_version;
-        let allowed_regions: BTreeSet<_> = terms.of(group).cloned().collect();
+        self.config_version = rules.config_version;
+        let allowed_regions: BTreeSet<_> = rules.of(group).cloned().collect();
         if self.allowed_regions != allowed_regions {
             self.left_regions.clear();
             self.allowed_regions = allowed_regions;
@@ -134,16 +134,16 @@
         }
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
-            // No leader is relocated unless some terms exclude a region.
+            // No leader is relocated unless some restrictions exclude a region.
             if !self.engine.leader_demands.is_counted() {
                 continue;
             }
             let Some(config) = self.engine.directory.config() else {
                 continue;
             };
-            let terms = LeaderRegionRules::of_config(&config);
+            let rules = LeaderRegionRules::of_config(&config);
             for group in config.groups.keys() {
-                self.check_leader_placement(&config, &terms, group);
+                self.check_leader_placement(&config, &rules, group);
             }
         }
     }
@@ -153,7 +153,7 @@
     fn check_leader_placement(
         self: &Arc<Self>,
         config: &Arc<ConfigSnapshot>,
-        terms: &LeaderRegionRules<'_>,
+        rules: &LeaderRegionRules<'_>,
         group: &GroupName,
     ) {
         let leader = self.engine.directory.leader(group);
@@ -163,14 +163,14 @@
         };
         let mut histories = self.leadership_histories.histories();
         let history = histories.entry(group.clone()).or_default();
-        history.record_allowed_regions(terms, group);
+        history.record_allowed_regions(rules, group);
         history.record_leader(&known.record.name, clock::now());
         drop(histories);
         let region = self.engine.region_of(&known);
-        if !terms.exclude_leader_in(group, region) {
+        if !rules.exclude_leader_in(group, region) {
             return;
         }
-        if self.duties.held_token(group).is_some() {
+        if self.ownership.held_token(group).is_some() {
             return self.relocate_if_beneficial(config, group, &known);
         }
         if let Some(mark) = self.running_reports.enter(group) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Reports the demand of this node's clients to the holder of the group's duty. If the
+    /// Reports the demand of this node's clients to the failover owner of the group. If the
     /// holder does not answer, the first watcher of the group that does decides instead; this
     /// may be the node itself.
     async fn report_or_relocate(
@@ -194,7 +194,7 @@
         }
         let report = encode_demand_report(&self.engine.settings.name, group, &demands.own_demand(group));
         let request = ExchangeRequest::LeaderDemand(report);
-        let holder = self.duties.get(group).map(|duty| duty.record.holder);
+        let holder = self.ownership.get(group).map(|ownership| ownership.record.holder);
         let holder = holder.and_then(|holder| self.engine.registry.address_of(&holder));
         if let Some(holder) = holder
             && self.engine.peers.ask(holder, &request).await.is_ok()
@@ -223,7 +223,7 @@
         if leader.is_leaving || leader.contact.failing_since.is_some() {
             return;
         }
-        if self.duties.has_recent_promotion_by_other(group) {
+        if self.ownership.has_recent_promotion_by_other(group) {
             return;
         }
         let engine = &self.engine;
@@ -289,7 +289,7 @@
             .iter()
             .filter(|known| known.record.name != leader.record.name);
         let present = others.filter(|known| !known.is_removed);
-        let fit = present.filter(|known| !(is_demand_served && known.warmth.is_cold(clock::now())));
+        let fit = present.filter(|known| !(is_demand_served && known.warm_up_status.is_cold(clock::now())));
         let usable = fit.filter(|known| {
             let judged = engine.judge_instance(known, InstanceUse::Replica, &AllowedRegions::Any);
             judged.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_unhealthy()
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -1,5 +1,5 @@
-//! Replaces the leader of a group: compares the positions of the replicas, claims the duty, and
-//! requests the promotion of the chosen replica until a new leader is confirmed.
+//! Replaces the leader of a group: compares the positions of the replicas, claims failover
+//! ownership, and requests the promotion of the chosen replica until a new leader is confirmed.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -139,13 +139,13 @@
     }
 
     /// Returns the position of this node in the order in which nodes start a replacement. The
-    /// holder of the duty is first.
+    /// failover owner is first.
     pub(super) fn failover_rank(&self, group: &GroupName) -> usize {
-        if self.duties.held_token(group).is_some() {
+        if self.ownership.held_token(group).is_some() {
             return 0;
         }
         let rank = self.engine.registry.rank(group.as_str());
-        let holder_goes_first = usize::from(self.duties.get(group).is_some());
+        let holder_goes_first = usize::from(self.ownership.get(group).is_some());
         (rank + holder_goes_first).min(MAX_RANK)
     }
 
@@ -160,13 +160,13 @@
         index.unwrap_or(MAX_RANK).min(MAX_RANK)
     }
 
-    /// Returns the remaining time of another node's lease on the duty. Two holders must not act
-    /// within the lease that the platform sets.
+    /// Returns the remaining time of another node's lease on failover ownership. Two holders
+    /// must not act within the lease that the platform sets.
     fn remaining_lease(&self, group: &GroupName) -> Duration {
         let lease_ms = self.engine.settings.duty_lease_ms;
-        match self.duties.get(group) {
-            Some(duty) if self.duties.held_token(group).is_none() => {
-                clock::until(duty.observed_at.plus_millis(lease_ms))
+        match self.ownership.get(group) {
+            Some(ownership) if self.ownership.held_token(group).is_none() => {
+                clock::until(ownership.observed_at.plus_millis(lease_ms))
             }
             _ => Duration::ZERO,
         }
@@ -174,7 +174,7 @@
 
     /// Returns whether the replacement is complete or no longer needed.
     fn is_resolved(&self, replacement: &Replacement) -> bool {
-        if self.duties.has_recent_promotion_by_other(&replacement.group) {
+        if self.ownership.has_recent_promotion_by_other(&replacement.group) {
             return true;
         }
         let directory = &self.engine.directory;
@@ -211,13 +211,13 @@
             return OrderOutcome::Retry;
         };
         let chosen_at = clock::now();
-        let held = self.duties.held_token(group);
+        let held = self.ownership.held_token(group);
         if let (Some(token), true, true) = (held, is_first, choice.has_majority) {
             self.record_order_in_background(group, &choice.instance);
             return self.promote(group, choice, token).await;
         }
         let claim = Claim::Promote(choice.instance.clone());
-        let token = match self.duties.take(group, claim).await {
+        let token = match self.ownership.take(group, claim).await {
             Ok(token) => token,
             Err(FailoverOwnershipError::Taken) => return OrderOutcome::Abandon,
             Err(FailoverOwnershipError::Store(_)) => match held {
@@ -276,7 +276,7 @@
             term,
             retired: leader.clone(),
         };
-        let token = match self.duties.take(group, claim).await {
+        let token = match self.ownership.take(group, claim).await {
             Ok(token) => token,
             Err(FailoverOwnershipError::Taken) => return OrderOutcome::Abandon,
             Err(FailoverOwnershipError::Store(_)) => return OrderOutcome::Retry,
@@ -305,7 +305,7 @@
             return OrderOutcome::Retry;
         };
         let claim = Claim::Promote(choice.instance.clone());
-        match self.duties.take(group, claim).await {
+        match self.ownership.take(group, claim).await {
             // A restarted leader has lost its step-down, and permits for its term count again.
             Ok(_) if self.incarnation_of(closed.leader.as_ref()) != incarnation => OrderOutcome::Retry,
             Ok(token) => self.promote(group, choice, token).await,
@@ -316,7 +316,7 @@
 
     /// Returns when the current incarnation of an instance was first seen.
     pub(super) fn incarnation_of(&self, instance: Option<&InstanceName>) -> Option<Instant> {
-        self.engine.directory.life_began(instance?)
+        self.engine.directory.incarnation_seen_at(instance?)
     }
 
     /// Returns the term that must be closed before `choice` is promoted.
@@ -324,9 +324,9 @@
         let directory = &self.engine.directory;
         let observed = directory.newest_observation(group);
         let observed = observed.map_or(Term(0), |newest| newest.position.term);
-        let duty = self.duties.get(group);
-        let has_open_order = duty.is_some_and(|duty| {
-            duty.record.is_ordered && duty.record.chosen.as_ref() != Some(&choice.instance)
+        let ownership = self.ownership.get(group);
+        let has_open_order = ownership.is_some_and(|ownership| {
+            ownership.record.is_ordered && ownership.record.chosen.as_ref() != Some(&choice.instance)
         });
         let closed = directory.closed_terms(group).closed();
         term_to_close(observed.max(choice.newest_term), closed, has_open_order)
@@ -335,7 +335,7 @@
     /// Reads all instance records from the store; they show which instances consider themselves
     /// leaders. Returns false if the store did not answer.
     async fn refresh_instance_records(&self) -> bool {
-        let Ok(listing) = self.duties.list(self.codec.instances_prefix()).await else {
+        let Ok(listing) = self.ownership.list(self.codec.instances_prefix()).await else {
             return false;
         };
         for entry in listing.entries {
@@ -352,7 +352,7 @@
         let monitor = self.clone();
         let group = group.clone();
         let chosen = chosen.clone();
-        tokio::spawn(async move { monitor.duties.take(&group, Claim::Promote(chosen)).await });
+        tokio::spawn(async move { monitor.ownership.take(&group, Claim::Promote(chosen)).await });
     }
 
     /// Requests the promotion and waits until the replica leads.
@@ -467,7 +467,10 @@
             }
             answered.push((known, status));
         }
-        let previously_chosen = self.duties.get(group).and_then(|duty| duty.record.chosen);
+        let previously_chosen = self
+            .ownership
+            .get(group)
+            .and_then(|ownership| ownership.record.chosen);
         let successors: Vec<_> = answered
             .iter()
             .map(|(known, status)| Successor {
@@ -476,7 +479,7 @@
                 is_leaving: known.is_leaving,
                 is_evacuated: engine.directory.evacuated_since(&known.record.zone).is_some(),
                 servable_share: worth_in(known),
-                is_cold: known.warmth.is_cold(clock::now()),
+                is_cold: known.warm_up_status.is_cold(clock::now()),
                 is_named_in_order: previously_chosen.as_ref() == Some(&known.record.name),
                 is_in_own_zone: known.record.zone.as_str() == engine.settings.zone,
             })
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -47,7 +47,7 @@
 
 impl<S: Store + 'static> FailoverMonitor<S> {
     /// Returns true once no node relies on the leader of the closed term, or false if another
-    /// node has taken over the duty meanwhile.
+    /// node has taken over the ownership meanwhile.
     pub(super) async fn revoke_permits(self: &Arc<Self>, closed: &ClosedTerm) -> bool {
         let started = clock::now();
         let mut has_stepped_down = false;
@@ -80,9 +80,9 @@
             };
             if may_promote(clock::now(), &revocation) {
                 self.record_revoked(closed, started, &revocation);
-                return self.duties.held_token(&closed.group) == Some(closed.token);
+                return self.ownership.held_token(&closed.group) == Some(closed.token);
             }
-            if self.duties.held_token(&closed.group) != Some(closed.token) {
+            if self.ownership.held_token(&closed.group) != Some(closed.token) {
                 info!(
                     "event=revocation_left group={} term={}",
                     closed.group, closed.term
@@ -97,7 +97,7 @@
     /// closed term. Returns false if the store did not answer.
     async fn refresh_nodes(&self) -> bool {
         let registry = &self.engine.registry;
-        let Ok(listing) = self.duties.list(registry.prefix()).await else {
+        let Ok(listing) = self.ownership.list(registry.prefix()).await else {
             return false;
         };
         registry.apply(listing.entries);
@@ -150,7 +150,7 @@
         steps_down: bool,
         answered: &mut BTreeSet<SocketAddr>,
     ) -> bool {
-        let Some(record) = self.duties.document(&closed.group) else {
+        let Some(record) = self.ownership.document(&closed.group) else {
             return false;
         };
         let closing = TermClosing {
--- a/crates/millwind-engine/src/failover_ownership.rs
+++ b/crates/millwind-engine/src/failover_ownership.rs
@@ -207,7 +207,7 @@
 
     /// Returns the latest known record of a group, either from the store or lost by it.
     fn known_record(&self, group: &GroupName) -> Option<FailoverRecord> {
-        let held = self.get(group).map(|duty| duty.record);
+        let held = self.get(group).map(|ownership| ownership.record);
         let lost = self.lost().get(group).map(|(record, _)| record.clone());
         match (held, lost) {
             (Some(held), Some(lost)) if held.covers(&lost) => Some(held),
@@ -252,12 +252,12 @@
 
     /// Returns the last observed record of `group` as a document for other nodes.
     pub fn document(&self, group: &GroupName) -> Option<StoredDocument> {
-        let duty = self.get(group)?;
+        let ownership = self.get(group)?;
         Some(StoredDocument {
             key: self.key(group),
-            revision: duty.revision,
+            revision: ownership.revision,
             removed: 0,
-            value: encode(&duty.record),
+            value: encode(&ownership.record),
         })
     }
 
@@ -269,18 +269,18 @@
     /// Returns whether another node has recently chosen a replica, whose promotion should
     /// be given time to take effect.
     pub fn has_recent_promotion_by_other(&self, group: &GroupName) -> bool {
-        self.get(group).is_some_and(|duty| {
-            duty.record.holder != self.node
-                && duty.record.chosen.is_some()
-                && clock::now().millis_since(duty.observed_at) < PROMOTION_GRACE_MS
+        self.get(group).is_some_and(|ownership| {
+            ownership.record.holder != self.node
+                && ownership.record.chosen.is_some()
+                && clock::now().millis_since(ownership.observed_at) < PROMOTION_GRACE_MS
         })
     }
 
     /// Returns the fencing token that this node may use without a store access, or `None`
     /// if the last observed holder is another node.
     pub fn held_token(&self, group: &GroupName) -> Option<u64> {
-        let duty = self.get(group)?;
-        (duty.record.holder == self.node).then_some(duty.revision.fencing_token())
+        let ownership = self.get(group)?;
+        (ownership.record.holder == self.node).then_some(ownership.revision.fencing_token())
     }
 
     /// Returns the store key of a group's record.
@@ -293,7 +293,9 @@
     pub async fn take(&self, group: &GroupName, claim: Claim) -> Result<u64, FailoverOwnershipError> {
         let key = self.key(group);
         let held = self.get(group);
-        let known = held.as_ref().map_or(StoreRevision::NONE, |duty| duty.revision);
+        let known = held
+            .as_ref()
+            .map_or(StoreRevision::NONE, |ownership| ownership.revision);
         let record = claim.record(&self.node, self.known_record(group));
         let write = Write {
             key: key.clone(),
@@ -335,12 +337,12 @@
                 self.record_loss(&group, &held.record);
             }
         }
-        let duty = ObservedOwnership {
+        let ownership = ObservedOwnership {
             record,
             revision,
             observed_at: clock::now(),
         };
-        observed.insert(group, duty);
+        observed.insert(group, ownership);
     }
 
     /// Moves records that the store no longer holds to the lost records. No node deletes
@@ -352,15 +354,17 @@
             .filter_map(|key| key.strip_prefix(&self.prefix))
             .map(GroupName::from)
             .collect();
-        let is_gone = |group: &GroupName, duty: &ObservedOwnership| {
-            duty.revision.era < listing.revision.era && !present.contains(group)
+        let is_gone = |group: &GroupName, ownership: &ObservedOwnership| {
+            ownership.revision.era < listing.revision.era && !present.contains(group)
         };
         let gone: Vec<_> = {
             let mut observed = self.observed();
-            observed.extract_if(|group, duty| is_gone(group, duty)).collect()
+            observed
+                .extract_if(|group, ownership| is_gone(group, ownership))
+                .collect()
         };
-        for (group, duty) in gone {
-            self.record_loss(&group, &duty.record);
+        for (group, ownership) in gone {
+            self.record_loss(&group, &ownership.record);
         }
     }
 
--- a/crates/millwind-engine/src/floor.rs
+++ b/crates/millwind-engine/src/floor.rs
@@ -50,12 +50,12 @@
         group: &GroupName,
         deadline: Instant,
     ) -> Result<Option<Position>, NoObservation> {
-        let terms = match self {
+        let bound = match self {
             MinimumReadPosition::Any => return Ok(None),
             MinimumReadPosition::Position(position) => return Ok(Some(*position)),
-            MinimumReadPosition::Staleness(terms) => terms,
+            MinimumReadPosition::Staleness(bound) => bound,
         };
-        let position = terms.await_position(engine, group, deadline).await;
+        let position = bound.await_position(engine, group, deadline).await;
         position.map(Some).ok_or(NoObservation)
     }
 }
--- a/crates/millwind-engine/src/forward/doubt.rs
+++ b/crates/millwind-engine/src/forward/doubt.rs
@@ -14,7 +14,7 @@
 
 /// Time in milliseconds for which links stay suspect after the last failure. It exceeds
 /// the usual idle time of a link.
-const DOUBT_DURATION_MS: u64 = 5_000;
+const SUSPICION_DURATION_MS: u64 = 5_000;
 
 /// Suspicion of network failure, shared by all links of a node.
 #[derive(Debug, Default)]
@@ -26,11 +26,11 @@
 impl LinkSuspicion {
     /// Marks all links as suspect after a link became silent or a node failed to answer.
     pub fn raise(&self) {
-        let ends_at = clock::now().plus_millis(DOUBT_DURATION_MS);
+        let ends_at = clock::now().plus_millis(SUSPICION_DURATION_MS);
         let was_raised = self.is_raised();
         self.ends_at.store(ends_at.0, Ordering::Relaxed);
         if !was_raised {
-            info!("event=links_doubted for_ms={DOUBT_DURATION_MS}");
+            info!("event=links_doubted for_ms={SUSPICION_DURATION_MS}");
         }
     }
 
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -197,7 +197,7 @@
             Err(AttemptError::Link(error)) => {
                 inquiry.answered_by_peer();
                 engine.directory.avoid(&self.record.name);
-                // Avoiding an overloaded owner would move its load to stand-ins
+                // Avoiding an overloaded owner would move its load to backup owners
                 // that use the same instance.
                 if *error != ExchangeError::QueueTimeout {
                     engine.owners.avoid(self.link.address(), &self.record.name);
--- a/crates/millwind-engine/src/forward/link.rs
+++ b/crates/millwind-engine/src/forward/link.rs
@@ -37,11 +37,11 @@
 }
 
 impl OwnerLink {
-    /// Spawns the task of a link over `stream`, which raises `doubt` if the owner becomes
+    /// Spawns the task of a link over `stream`, which raises `suspicion` if the owner becomes
     /// silent.
-    pub fn start(address: SocketAddr, stream: TcpStream, doubt: Arc<LinkSuspicion>) -> Arc<OwnerLink> {
+    pub fn start(address: SocketAddr, stream: TcpStream, suspicion: Arc<LinkSuspicion>) -> Arc<OwnerLink> {
         let (outgoing, requests) = mpsc::unbounded_channel();
-        let state = Arc::new(LinkState::new(address, doubt));
+        let state = Arc::new(LinkState::new(address, suspicion));
         tokio::spawn(link_task::run(state.clone(), stream, requests));
         Arc::new(OwnerLink {
             outgoing,
--- a/crates/millwind-engine/src/forward/link_task.rs
+++ b/crates/millwind-engine/src/forward/link_task.rs
@@ -26,7 +26,7 @@
 const PING_AFTER_MS: u64 = 100;
 /// Silence in milliseconds after which all links become suspect. The value exceeds a few
 /// round trips between regions, so a live owner has answered the ping by then.
-const DOUBT_AFTER_MS: u64 = 250;
+const SUSPECT_AFTER_MS: u64 = 250;
 /// Silence in milliseconds after which the link is closed.
 const CLOSE_AFTER_MS: u64 = 1_000;
 /// Maximum number of messages per write.
@@ -49,12 +49,12 @@
     pub(super) has_failed_probe: AtomicBool,
     /// Time of the last message from the owner, zero before the first.
     pub(super) last_heard: watch::Sender<Instant>,
-    doubt: Arc<LinkSuspicion>,
+    suspicion: Arc<LinkSuspicion>,
 }
 
 impl LinkState {
     /// Creates the state of an open link.
-    pub(super) fn new(address: SocketAddr, doubt: Arc<LinkSuspicion>) -> Self {
+    pub(super) fn new(address: SocketAddr, suspicion: Arc<LinkSuspicion>) -> Self {
         LinkState {
             address,
             pending: Mutex::default(),
@@ -63,7 +63,7 @@
             is_leaving: AtomicBool::new(false),
             has_failed_probe: AtomicBool::new(false),
             last_heard: watch::Sender::new(Instant::default()),
-            doubt,
+            suspicion,
         }
     }
 
@@ -204,8 +204,8 @@
         if silent_ms > CLOSE_AFTER_MS {
             return Err("silent");
         }
-        if silent_ms > DOUBT_AFTER_MS {
-            self.state.doubt.raise();
+        if silent_ms > SUSPECT_AFTER_MS {
+            self.state.suspicion.raise();
         }
         if silent_ms > PING_AFTER_MS && now.millis_since(self.last_ping) > PING_AFTER_MS {
             self.last_ping = now;
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -57,7 +57,7 @@
     /// Notified after each attempt to open a link.
     attempt_finished: Notify,
     /// Whether links must be probed before use.
-    doubt: Arc<LinkSuspicion>,
+    suspicion: Arc<LinkSuspicion>,
 }
 
 impl Links {
@@ -101,7 +101,7 @@
 
     /// Marks all links as suspect after a node failed to answer.
     pub(super) fn raise_doubt(&self) {
-        self.doubt.raise();
+        self.suspicion.raise();
     }
 
     /// Like [`Links::least_loaded`], but while links are suspect only returns one whose
@@ -111,7 +111,7 @@
         addresses: &[SocketAddr],
     ) -> Option<Arc<OwnerLink>> {
         let best = self.least_loaded(addresses)?;
-        if !self.doubt.is_raised() || best.heard_within(RECENTLY_HEARD_MS) {
+        if !self.suspicion.is_raised() || best.heard_within(RECENTLY_HEARD_MS) {
             return Some(best);
         }
         let usable = self.usable_links(addresses);
@@ -181,7 +181,7 @@
     async fn connect_with_retry(self: Arc<Self>, address: SocketAddr) {
         let mut delay = MIN_RETRY_DELAY;
         loop {
-            let link = connect(address, self.doubt.clone()).await;
+            let link = connect(address, self.suspicion.clone()).await;
             let is_finished = self.record_attempt(address, link);
             self.attempt_finished.notify_waiters();
             if is_finished {
@@ -218,7 +218,7 @@
     }
 }
 
-async fn connect(address: SocketAddr, doubt: Arc<LinkSuspicion>) -> Option<Arc<OwnerLink>> {
+async fn connect(address: SocketAddr, suspicion: Arc<LinkSuspicion>) -> Option<Arc<OwnerLink>> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
@@ -227,5 +227,5 @@
     // Nagle's algorithm would delay small messages.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
-    Some(OwnerLink::start(address, stream, doubt))
+    Some(OwnerLink::start(address, stream, suspicion))
 }
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -83,10 +83,10 @@
     match floor {
         MinimumReadPosition::Any => ForwardedFloor::Any,
         MinimumReadPosition::Position(position) => ForwardedFloor::Position(write_position(*position)),
-        MinimumReadPosition::Staleness(terms) => ForwardedFloor::Staleness {
-            arrived_ago_us: micros_since(terms.arrived),
-            staleness_ms: terms.staleness_ms,
-            written: terms.written.iter().map(write_commit).collect(),
+        MinimumReadPosition::Staleness(bound) => ForwardedFloor::Staleness {
+            arrived_ago_us: micros_since(bound.arrived),
+            staleness_ms: bound.staleness_ms,
+            written: bound.written.iter().map(write_commit).collect(),
         },
     }
 }
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -21,7 +21,7 @@
 
 /// Number of nodes that own connections to an instance.
 pub const OWNER_COUNT: usize = 3;
-/// Number of stand-ins, which are used while no owner is reachable.
+/// Number of backup owners, which are used while no owner is reachable.
 pub const BACKUP_OWNER_COUNT: usize = 5;
 /// Time in milliseconds for which an owner that failed to reach an instance gets no
 /// statements for that instance.
@@ -40,7 +40,7 @@
     /// The node owns connections.
     Owner,
     /// The node serves while no owner is reachable.
-    StandIn,
+    BackupOwner,
     /// The node forwards statements to owners.
     Other,
 }
@@ -94,9 +94,9 @@
     version: u64,
     /// Zone of the instance. A recreated instance may have the same name in another zone.
     zone: ZoneName,
-    /// Owners and stand-ins.
+    /// Owners and backup owners.
     nodes: Arc<InstanceOwners>,
-    /// Owners followed by stand-ins, in rank order.
+    /// Owners followed by backup owners, in rank order.
     ranked: RankedNodes,
 }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns the owners of `record` followed by the stand-ins.
+    /// Returns the owners of `record` followed by the backup owners.
     pub fn ranked(&self, registry: &Registry, record: &InstanceRecord) -> RankedNodes {
         self.unrestricted_ranking(registry, record).ranked
     }
@@ -159,7 +159,7 @@
         found
     }
 
-    /// Returns the owners and stand-ins that may receive the text of the statement. This
+    /// Returns the owners and backup owners that may receive the text of the statement. This
     /// node is always permitted, because it already has the text.
     fn permitted_owners(&self, way: &RouteRequest<'_>) -> Arc<InstanceOwners> {
         if way.forwarding_policy.regions.is_any() {
@@ -208,7 +208,7 @@
         within.unwrap_or_else(|| self.ownership_role(registry, record) == OwnershipRole::Owner)
     }
 
-    /// Returns this node's role for `record`. The role is [`Standing::Other`] until the
+    /// Returns this node's role for `record`. The role is [`OwnershipRole::Other`] until the
     /// other nodes are known, because the node would otherwise own every instance.
     pub fn ownership_role(&self, registry: &Registry, record: &InstanceRecord) -> OwnershipRole {
         if !registry.is_listed() {
@@ -217,7 +217,7 @@
         let ranked = self.ranked(registry, record);
         match ranked.iter().position(|owner| owner.is_self) {
             Some(index) if index < OWNER_COUNT => OwnershipRole::Owner,
-            Some(_) => OwnershipRole::StandIn,
+            Some(_) => OwnershipRole::BackupOwner,
             None => OwnershipRole::Other,
         }
     }
@@ -276,7 +276,7 @@
         let backup_owners = self.available_addresses(&permitted.backup_owners, way, &mut was_avoided);
         let found = match self.links.least_loaded_live(&owners).await {
             Some(link) => Some(link),
-            None => self.await_owner_or_stand_in(&owners, &backup_owners).await,
+            None => self.await_owner_or_backup(&owners, &backup_owners).await,
         };
         if let Some(link) = found {
             self.unreached_periods().remove(&record.name);
@@ -333,9 +333,9 @@
         now.millis_since(entry.0) >= DIRECT_FALLBACK_MS
     }
 
-    /// Waits for a link to an owner, or else to a stand-in. Links to both are opened
+    /// Waits for a link to an owner, or else to a backup owner. Links to both are opened
     /// concurrently.
-    async fn await_owner_or_stand_in(
+    async fn await_owner_or_backup(
         &self,
         owners: &[SocketAddr],
         backup_owners: &[SocketAddr],
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -372,7 +372,7 @@
     }
     let floor = read_floor(&start.floor);
     let staleness = match floor {
-        MinimumReadPosition::Staleness(terms) => Some(terms.staleness_ms),
+        MinimumReadPosition::Staleness(bound) => Some(bound.staleness_ms),
         _ => None,
     };
     engine.directory.record_use(&record.group, staleness);
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -81,7 +81,7 @@
 /// Safety margin subtracted from the time in which a draining leader is still used.
 const DRAIN_MARGIN_MS: u64 = 1_500;
 
-/// Life-cycle phase of the process.
+/// Lifecycle phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// The node serves callers.
@@ -104,7 +104,7 @@
     pub request_log: RequestLog,
     /// Budget for hedged reads.
     pub retry_budget: SharedBudget,
-    /// Life-cycle phase of the process.
+    /// Lifecycle phase of the process.
     pub phase: watch::Sender<Phase>,
     /// Registered nodes of the deployment.
     pub registry: Arc<Registry>,
@@ -135,7 +135,7 @@
     /// Quotas of tenants.
     pub quotas: Quotas,
     /// Limits on statements sent to cold instances.
-    pub cold_places: WarmUpCredits,
+    pub warm_up_credits: WarmUpCredits,
     /// Reachability of the other nodes.
     pub peer_reach: PeerReach,
     /// Number of connections leased to other nodes.
@@ -399,13 +399,13 @@
             gone_grace_ms(&settings),
             settings.promotion_fences,
         ));
-        let duties = Arc::new(FailoverOwnership::new(
+        let ownership = Arc::new(FailoverOwnership::new(
             ports.store.clone(),
             format!("{}duty/", ports.catalog_codec.own_prefix()),
             settings.name.clone(),
             directory.clone(),
         ));
-        let engine = new_engine(settings, &ports, engine_metrics, directory, duties.clone());
+        let engine = new_engine(settings, &ports, engine_metrics, directory, ownership.clone());
         info!(
             "event=node_started name={} zone={} clients={} peers={}",
             engine.settings.name,
@@ -414,7 +414,7 @@
             engine.settings.peer_address
         );
         let exchange = CatalogExchange::new(engine.clone(), ports.catalog_codec.clone());
-        start_store_watches(&engine, ports, duties);
+        start_store_watches(&engine, ports, ownership);
         tokio::spawn(relays::decide_source_at_start(engine.clone()));
         tokio::spawn(exchange.run());
         tokio::spawn(peers::serve(peers, engine.clone()));
@@ -490,7 +490,7 @@
     ports: &Ports<S>,
     metrics: Metrics,
     directory: Arc<Directory>,
-    duties: Arc<FailoverOwnership<S>>,
+    ownership: Arc<FailoverOwnership<S>>,
 ) -> Arc<Engine> {
     let nodes_prefix = format!("{}nodes/", ports.catalog_codec.own_prefix());
     let registry = Arc::new(Registry::new(
@@ -500,7 +500,7 @@
     ));
     let zones = settings.topology.zone_count();
     let relays = Relays::new(&settings.zone, zones, settings.config_bound_ms);
-    let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), duties];
+    let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), ownership];
     let own_keys = OwnKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
     Arc::new(Engine {
         directory,
@@ -523,7 +523,7 @@
         owners: OwnerRouter::new(settings.topology.clone()),
         leader_demands: LeaderDemandTracker::default(),
         quotas: Quotas::default(),
-        cold_places: WarmUpCredits::default(),
+        warm_up_credits: WarmUpCredits::default(),
         peer_reach: PeerReach::default(),
         forwarded_leases: AtomicUsize::new(0),
         pools: Pools::new(ports.backend_codec.clone()),
@@ -537,7 +537,7 @@
 fn start_store_watches<S: Store + 'static>(
     engine: &Arc<Engine>,
     ports: Ports<S>,
-    duties: Arc<FailoverOwnership<S>>,
+    ownership: Arc<FailoverOwnership<S>>,
 ) {
     let catalog = &ports.catalog_codec;
     let config = ConfigFollower::new(engine.clone(), catalog.clone());
@@ -577,7 +577,7 @@
     }
     let monitor = FailoverMonitor::new(
         engine.clone(),
-        duties,
+        ownership,
         ports.promoter.clone(),
         ports.catalog_codec.clone(),
     );
--- a/crates/millwind-engine/src/ports.rs
+++ b/crates/millwind-engine/src/ports.rs
@@ -94,7 +94,7 @@
     pub group: GroupName,
     /// Replica that becomes the leader.
     pub instance: InstanceName,
-    /// Name of the node that holds the promotion duty.
+    /// Name of the node that holds failover ownership.
     pub holder: String,
     /// Fencing token; increases when the holder changes.
     pub fencing_token: u64,
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -24,7 +24,7 @@
 /// Timeout of a loan request to another node: a few round trips between regions.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(200);
 /// Number of nodes that may count for a tenant: the first by rendezvous hashing and its
-/// stand-in.
+/// backup.
 const COUNTING_NODES: usize = 2;
 
 /// A new budget starts unspent if the set of nodes has not changed for this time, in
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub struct Quotas {
     borrowers: Mutex<HashMap<TenantName, Arc<Borrower>>>,
-    /// Budgets of the tenants for which this node counts or was a stand-in.
+    /// Budgets of the tenants for which this node counts or was the backup.
     budgets: Mutex<HashMap<TenantName, Budget>>,
     /// Local budgets of the tenants whose counting nodes are unreachable.
     uncounted: Mutex<HashMap<TenantName, Budget>>,
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -53,7 +53,7 @@
     Unreachable,
 }
 
-/// Node that owns connections to an instance, or is a stand-in for an owner.
+/// Node that owns connections to an instance, or is a backup owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Owner {
     /// Address of the node's listener for other nodes.
@@ -223,7 +223,7 @@
         self.version.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the owners of an instance and their stand-ins, chosen by rendezvous
+    /// Returns the owners and backup owners of an instance, chosen by rendezvous
     /// hashing among the nearest nodes.
     pub fn owners(&self, query: &OwnerQuery<'_>, sought: OwnerCounts) -> InstanceOwners {
         let nodes = self.nodes();
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -117,24 +117,24 @@
     }
 
     /// Returns the lowest log position that satisfies the consistency level, or
-    /// the staleness terms from which an owner computes it. Fails if no leader
+    /// the staleness bound from which an owner computes it. Fails if no leader
     /// position is observed before the deadline.
     pub(super) async fn floor_for(&self, operation: &Operation) -> Result<MinimumReadPosition, Refusal> {
         let written = match operation.database.consistency {
             Consistency::BoundedStaleness => None,
             _ => self.last_commit_in(operation.group()),
         };
-        let terms = StalenessBound {
+        let bound = StalenessBound {
             arrived: operation.arrived,
             staleness_ms: operation.database.settings.staleness_ms,
             written,
         };
-        let mut position = terms.known_position(&self.engine, operation.group());
+        let mut position = bound.known_position(&self.engine, operation.group());
         if position.is_none() {
             if !self.engine.watches(operation.group()) {
-                return Ok(MinimumReadPosition::Staleness(terms));
+                return Ok(MinimumReadPosition::Staleness(bound));
             }
-            position = terms
+            position = bound
                 .await_position(&self.engine, operation.group(), operation.deadline)
                 .await;
         }
@@ -216,7 +216,7 @@
             is_avoided: known.contact.avoid_until > now
                 || known.contact.failing_since.is_some()
                 || known.contact.is_unhealthy(),
-            is_cold: known.warmth.is_cold(now),
+            is_cold: known.warm_up_status.is_cold(now),
         })
         .collect();
     let record_of = |name: InstanceName| {
--- a/crates/millwind-engine/src/settings.rs
+++ b/crates/millwind-engine/src/settings.rs
@@ -32,7 +32,7 @@
     pub grace_ms: u64,
     /// Maximum number of concurrent callers.
     pub maximum_clients: usize,
-    /// Minimum time between actions of two different holders of the promotion duty, in
+    /// Minimum time between actions of two different failover owners, in
     /// milliseconds; zero if fencing alone separates them.
     pub duty_lease_ms: u64,
     /// Whether a promotion immediately fences the old leader, and orders with an outdated
@@ -49,8 +49,8 @@
     pub topology: Topology,
     /// Link bandwidth of the machine in Mbit/s, or zero if unknown.
     pub link_mbps: u32,
-    /// Whether the lead of a group moves to another region if customers' terms exclude
-    /// the region of its leader. If not, statements that need the leader are refused.
+    /// Whether the lead of a group moves to another region if customers' region restrictions
+    /// exclude the region of its leader. If not, statements that need the leader are refused.
     pub relocates_leads: bool,
     /// Time after the acceptance of a zone evacuation within which the zone's instances
     /// must stop receiving new work, in milliseconds.
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -73,7 +73,7 @@
     last_success.is_some_and(|success| clock::now().millis_since(success) < RECENT_CONTACT_MS)
 }
 
-/// Waits until no connection to the old leader is in use, for at most [`SETTLE_MS`].
+/// Waits until no connection to the old leader is in use, for at most [`DRAIN_MS`].
 async fn wait_for_connections(engine: &Engine, record: &InstanceRecord) {
     let limit = clock::now().plus_millis(DRAIN_MS);
     while engine.pool(record).connections_in_use() > 0 && clock::now() < limit {
--- a/crates/millwind-engine/src/warm_up_credits.rs
+++ b/crates/millwind-engine/src/warm_up_credits.rs
@@ -3,7 +3,7 @@
 //! Each statement sent to a cold instance consumes one credit. One of the instance's
 //! owners, the lender, lends credits to the other nodes. An owner becomes the lender with
 //! the votes of a majority of owners, so that at most one lends at a time and the total
-//! rate of all nodes stays within the group's warm-up terms despite partitions and
+//! rate of all nodes stays within the group's warm-up limits despite partitions and
 //! restarts. A node that cannot reach a lender sends nothing to the instance.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -114,12 +114,12 @@
         if self.is_waiting {
             return true;
         }
-        let Some(terms) = self.engine.directory.warm_up_limits(&self.record.name) else {
+        let Some(limits) = self.engine.directory.warm_up_limits(&self.record.name) else {
             return true;
         };
-        let rate_per_s = credit_supply(terms, self.engine.settings.warm_up_tolerance).rate_per_s;
+        let rate_per_s = credit_supply(limits, self.engine.settings.warm_up_tolerance).rate_per_s;
         let credits = rate_per_s * clock::until(until).as_secs_f64() / OWNER_COUNT as f64;
-        let mut waiting = self.engine.cold_places.waiting();
+        let mut waiting = self.engine.warm_up_credits.waiting();
         let ranks = waiting.entry(self.record.name.clone()).or_default();
         let ahead: usize = ranks.range(..=self.rank).map(|(_, count)| *count).sum();
         if self.policy != CreditWaitPolicy::UntilDeadline && ahead as f64 >= credits {
@@ -132,7 +132,7 @@
 
     /// Returns the number of more urgent statements that wait at this node.
     fn ahead(&self) -> usize {
-        let waiting = self.engine.cold_places.waiting();
+        let waiting = self.engine.warm_up_credits.waiting();
         let ranks = waiting.get(&self.record.name);
         ranks.map_or(0, |ranks| ranks.range(..self.rank).map(|(_, count)| *count).sum())
     }
@@ -143,7 +143,7 @@
         if !self.is_waiting {
             return;
         }
-        let mut waiting = self.engine.cold_places.waiting();
+        let mut waiting = self.engine.warm_up_credits.waiting();
         let Some(ranks) = waiting.get_mut(&self.record.name) else {
             return;
         };
@@ -245,14 +245,14 @@
         wait: &CreditWait<'_>,
         deadline: Instant,
     ) -> Result<(), CreditRefused> {
-        let Some(terms) = self.directory.warm_up_limits(&record.name) else {
+        let Some(limits) = self.directory.warm_up_limits(&record.name) else {
             return Ok(());
         };
         let ahead = wait.ahead();
         if ahead > 0 {
-            return Err(self.refuse_behind_urgent(ahead, terms));
+            return Err(self.refuse_behind_urgent(ahead, limits));
         }
-        let borrower = self.cold_places.borrower(&record.name);
+        let borrower = self.warm_up_credits.borrower(&record.name);
         borrower.arrived(clock::now());
         loop {
             let answered = borrower.answered.notified();
@@ -279,8 +279,8 @@
 
     /// Returns the refusal for a statement that yields to `ahead` more urgent ones. The
     /// retry delay is the expected time until those have their credits.
-    fn refuse_behind_urgent(&self, ahead: usize, terms: WarmUpLimits) -> CreditRefused {
-        let rate_per_s = credit_supply(terms, self.settings.warm_up_tolerance).rate_per_s;
+    fn refuse_behind_urgent(&self, ahead: usize, limits: WarmUpLimits) -> CreditRefused {
+        let rate_per_s = credit_supply(limits, self.settings.warm_up_tolerance).rate_per_s;
         let wait_ms = (ahead + 1) as f64 * OWNER_COUNT as f64 * 1_000.0 / rate_per_s.max(0.001);
         CreditRefused {
             retry_after_ms: wait_ms.min(MAX_RETRY_AFTER_MS) as u32,
@@ -312,7 +312,9 @@
     /// empty one if no owner lends, with the time at which it was requested.
     async fn request_credits(self: &Arc<Self>, record: &InstanceRecord, wanted: u32) -> (Loan, Instant) {
         let mut owners = self.eligible_lenders(record);
-        let last = locked(&self.cold_places.last_lenders).get(&record.name).copied();
+        let last = locked(&self.warm_up_credits.last_lenders)
+            .get(&record.name)
+            .copied();
         owners.sort_by_key(|owner| Some(owner.address) != last);
         for owner in owners {
             let asked = clock::now();
@@ -325,7 +327,7 @@
                 }
             };
             if let Some(loan) = loan {
-                locked(&self.cold_places.last_lenders).insert(record.name.clone(), owner.address);
+                locked(&self.warm_up_credits.last_lenders).insert(record.name.clone(), owner.address);
                 return (loan, asked);
             }
         }
@@ -359,21 +361,21 @@
     }
 
     /// Lends credits for an instance, or returns `None` if this node does not hold the
-    /// lender lease. The warm-up terms apply even if this node considers the instance
+    /// lender lease. The warm-up limits apply even if this node considers the instance
     /// warm, because the borrower may have newer information.
     pub(crate) async fn lend_credits(self: &Arc<Self>, instance: &InstanceName, wanted: u32) -> Option<Loan> {
         let known = self.directory.instance(instance)?;
-        let terms = self.directory.group_limits(&known.record.group)?.warm_up?;
+        let limits = self.directory.group_limits(&known.record.group)?.warm_up?;
         if !self.ensure_lender_lease(&known.record).await {
             return None;
         }
-        Some(self.lend_from_budget(instance, terms, wanted))
+        Some(self.lend_from_budget(instance, limits, wanted))
     }
 
-    fn lend_from_budget(&self, instance: &InstanceName, terms: WarmUpLimits, wanted: u32) -> Loan {
+    fn lend_from_budget(&self, instance: &InstanceName, limits: WarmUpLimits, wanted: u32) -> Loan {
         let now = clock::now();
-        let supply = credit_supply(terms, self.settings.warm_up_tolerance);
-        let mut lenders = locked(&self.cold_places.lenders);
+        let supply = credit_supply(limits, self.settings.warm_up_tolerance);
+        let mut lenders = locked(&self.warm_up_credits.lenders);
         let lender = lenders.entry(instance.clone()).or_default();
         let new = || Budget::new(supply, InitialBudget::Empty, now);
         lender.budget.get_or_insert_with(new).lend(supply, wanted, now)
@@ -396,13 +398,13 @@
     }
 
     fn lender_lease_state(&self, instance: &InstanceName) -> LeaseState {
-        let lenders = locked(&self.cold_places.lenders);
+        let lenders = locked(&self.warm_up_credits.lenders);
         let lender = lenders.get(instance);
         lender.map_or(LeaseState::NotHeld, |lender| lender.lease.state(clock::now()))
     }
 
     fn may_request_votes(&self, instance: &InstanceName) -> bool {
-        let lenders = locked(&self.cold_places.lenders);
+        let lenders = locked(&self.warm_up_credits.lenders);
         let lender = lenders.get(instance);
         lender.is_none_or(|lender| lender.lease.may_ask(clock::now()))
     }
@@ -411,7 +413,7 @@
     /// majority. Does nothing while the lease is held, or shortly after a failed round.
     async fn request_votes(&self, record: &InstanceRecord) {
         let vote_round = {
-            let mut lenders = locked(&self.cold_places.lenders);
+            let mut lenders = locked(&self.warm_up_credits.lenders);
             lenders.entry(record.name.clone()).or_default().vote_round.clone()
         };
         let _vote_round = vote_round.lock().await;
@@ -419,7 +421,7 @@
         if !is_needed || !self.may_request_votes(&record.name) {
             return;
         }
-        let _candidacy = Candidacy::begin(&self.cold_places, &record.name);
+        let _candidacy = Candidacy::begin(&self.warm_up_credits, &record.name);
         let asked = clock::now();
         let lender = self.settings.peer_address;
         let owners = self.eligible_lenders(record);
@@ -445,7 +447,7 @@
         }
         // This node votes last, since it may have voted for another owner in the meantime.
         let votes = votes_of_others + usize::from(self.vote_for_lender(&record.name, lender));
-        let mut lenders = locked(&self.cold_places.lenders);
+        let mut lenders = locked(&self.warm_up_credits.lenders);
         let entry = lenders.entry(record.name.clone()).or_default();
         let rank = owners.iter().position(|owner| owner.is_self).unwrap_or_default();
         let is_acquired = entry
@@ -482,7 +484,7 @@
         };
         let ranks_after_self = rank > own_rank;
         let now = clock::now();
-        let mut lenders = locked(&self.cold_places.lenders);
+        let mut lenders = locked(&self.warm_up_credits.lenders);
         let entry = lenders.entry(instance.clone()).or_default();
         // If the registry has been stable for long enough, so has the owner list.
         let since = match self.registry.unchanged_ms() >= VOTE_MS {
@@ -501,25 +503,25 @@
         let warms_up =
             config.is_some_and(|config| config.groups.values().any(|limits| limits.warm_up.is_some()));
         if !warms_up {
-            return self.log_warmth_changes(Vec::new());
+            return self.log_cold_changes(Vec::new());
         }
         let now = clock::now();
         let instances = self.directory.instances();
         let mut cold = Vec::new();
-        for known in instances.iter().filter(|known| known.warmth.is_cold(now)) {
+        for known in instances.iter().filter(|known| known.warm_up_status.is_cold(now)) {
             let owners = self.eligible_lenders(&known.record);
-            let mut lenders = locked(&self.cold_places.lenders);
+            let mut lenders = locked(&self.warm_up_credits.lenders);
             let lender = lenders.entry(known.record.name.clone()).or_default();
             lender.update_owners(&owners, now, now);
             cold.push(known.record.name.clone());
         }
         let known: HashSet<_> = instances.iter().map(|known| &known.record.name).collect();
-        self.cold_places.retain_known(&known);
-        self.log_warmth_changes(cold);
+        self.warm_up_credits.retain_known(&known);
+        self.log_cold_changes(cold);
     }
 
-    fn log_warmth_changes(&self, cold: Vec<InstanceName>) {
-        let before = std::mem::replace(&mut *locked(&self.cold_places.cold), cold.clone());
+    fn log_cold_changes(&self, cold: Vec<InstanceName>) {
+        let before = std::mem::replace(&mut *locked(&self.warm_up_credits.cold), cold.clone());
         for instance in cold.iter().filter(|instance| !before.contains(instance)) {
             info!("event=instance_cold instance={instance}");
         }
--- a/crates/millwind-node/src/admin_change.rs
+++ b/crates/millwind-node/src/admin_change.rs
@@ -64,7 +64,7 @@
 }
 
 /// Stores a change and returns the revision that it created. Failed store
-/// calls are retried until [`CHANGE_LIMIT`] has passed; a lost compare-and-swap
+/// calls are retried until `CHANGE_LIMIT` has passed; a lost compare-and-swap
 /// race is retried at once.
 pub async fn store_change<S: Store>(store: &S, keys: &KeySpace, change: &Change) -> Result<u64, ChangeError> {
     let deadline = tokio::time::Instant::now() + CHANGE_LIMIT;
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -203,7 +203,7 @@
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// A promise to accept no other lender for an instance for a limited time.
+    /// A vote for the lender of an instance, which excludes other lenders for a limited time.
     #[brw(magic = 3u8)]
     LenderVote {
         /// Name of the instance.
@@ -217,7 +217,7 @@
     },
 }
 
-/// A request for a loan, or for a promise to a lender.
+/// A request for a loan, or for a vote for a lender.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -237,7 +237,7 @@
 pub struct LoanReply {
     /// Number of the call.
     pub call: u64,
-    /// 1 if the node is the lender of the subject or gives the promise; if 0, the other
+    /// 1 if the node is the lender of the subject or gives its vote; if 0, the other
     /// fields have no meaning.
     pub is_granted: u8,
     /// Number of operations or statements that may be admitted.
