--- a/crates/millwind-core/src/evacuation.rs
+++ b/crates/millwind-core/src/evacuation.rs
@@ -90,29 +90,26 @@
         // A store restored from a backup may lack active requests, which are written
         // again. Until then they remain in effect.
         let is_active = |zone: &ZoneName| is_restored || requests.iter().any(|request| request.zone == *zone);
-        let taken_back: Vec<_> = self
+        let withdrawn: Vec<_> = self
             .since
             .keys()
             .filter(|zone| !is_active(zone))
             .cloned()
             .collect();
-        for zone in &taken_back {
+        for zone in &withdrawn {
             self.since.remove(zone);
             self.withdrawn_at.insert(zone.clone(), now);
         }
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for request in requests {
             if !self.includes(&request.zone) {
                 self.withdrawn_at.remove(&request.zone);
-                begun.push(request.zone.clone());
+                started.push(request.zone.clone());
             }
             let since = self.since.entry(request.zone.clone()).or_insert(request.since);
             *since = (*since).min(request.since);
         }
-        EvacuationChange {
-            started: begun,
-            withdrawn: taken_back,
-        }
+        EvacuationChange { started, withdrawn }
     }
 
     /// Applies the changes of one watch notification received at `now`. Changes received
--- a/crates/millwind-engine/src/catalog_watch.rs
+++ b/crates/millwind-engine/src/catalog_watch.rs
@@ -144,7 +144,7 @@
         self.engine.record_store_contact();
     }
 
-    fn heard(&self) {
+    fn watch_answered(&self) {
         self.engine.record_store_contact();
     }
 
@@ -160,7 +160,7 @@
         true
     }
 
-    fn rest(&self) -> BoxFuture<'_, ()> {
+    fn await_next_batch(&self) -> BoxFuture<'_, ()> {
         Box::pin(self.engine.wait_for_instance_batch())
     }
 }
--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -79,7 +79,7 @@
             .directory
             .instance(&record.name)
             .is_none_or(|known| known.contact.failing_since.is_none());
-        let way = RouteRequest {
+        let request = RouteRequest {
             registry: &self.registry,
             record,
             forwarding_policy: ForwardingPolicy {
@@ -89,8 +89,8 @@
             prefers_local: is_reachable,
         };
         let route = match user.tenant() {
-            Some(tenant) => self.owners.route_for_tenant(&way, tenant).await,
-            None => self.owners.route(&way).await,
+            Some(tenant) => self.owners.route_for_tenant(&request, tenant).await,
+            None => self.owners.route(&request).await,
         };
         if matches!(route, Route::Local) && !self.runs_statements_on(record) {
             self.record_direct_use(record);
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -67,17 +67,17 @@
 
 impl Directory {
     /// Records what peers reported about an instance.
-    pub fn record_peer_reachability(&self, instance: &InstanceName, testimony: PeerReachability) {
+    pub fn record_peer_reachability(&self, instance: &InstanceName, reachability: PeerReachability) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.testimony = Some((clock::now(), testimony));
+            known.peer_report = Some((clock::now(), reachability));
         }
     }
 
-    /// What peers reported about an instance within the last `most_ms`.
-    pub fn testimony(&self, instance: &InstanceName, most_ms: u64) -> Option<PeerReachability> {
+    /// What peers reported about an instance within the last `max_age_ms`.
+    pub fn testimony(&self, instance: &InstanceName, max_age_ms: u64) -> Option<PeerReachability> {
         let state = self.state();
-        let (heard, testimony) = state.instances.get(instance)?.testimony?;
-        (clock::now().millis_since(heard) <= most_ms).then_some(testimony)
+        let (reported_at, reachability) = state.instances.get(instance)?.peer_report?;
+        (clock::now().millis_since(reported_at) <= max_age_ms).then_some(reachability)
     }
 
     /// Whether the most recent requests to an instance all failed; true if the instance is
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -58,7 +58,7 @@
     /// How the instance has responded to this node.
     pub contact: InstanceHealth,
     /// What peers last reported about the instance, and when.
-    pub testimony: Option<(Instant, PeerReachability)>,
+    pub peer_report: Option<(Instant, PeerReachability)>,
     /// Observations of the current incarnation from which `warm_up_status` is computed.
     warm_up_observation: WarmUpObservation,
     /// Whether the instance is warm.
@@ -297,7 +297,7 @@
         }
         let previous = state.instances.get(&record.name).cloned();
         let previous = previous.as_ref();
-        let began = previous
+        let restart = previous
             .and_then(|known| restart_evidence(&known.record.restart_signs(), &record.restart_signs()));
         let claimed_before = previous.is_some_and(|known| known.record.claims_lead && !known.is_removed);
         let is_new = previous.is_none_or(|known| known.is_removed);
@@ -312,9 +312,9 @@
                 record.name, record.group, record.address, record.zone, record.is_leaving, record.claims_lead
             );
         }
-        let same_incarnation = previous.filter(|_| began.is_none());
+        let same_incarnation = previous.filter(|_| restart.is_none());
         let leaving_before = same_incarnation.and_then(|known| known.leaving_since);
-        let warm_up_observation = observe_warm_up(previous, began.is_some(), &record, now);
+        let warm_up_observation = observe_warm_up(previous, restart.is_some(), &record, now);
         let name = record.name.clone();
         let group = record.group.clone();
         let newly_claims = record.claims_lead && !claimed_before;
@@ -323,14 +323,14 @@
             (true, _) => Some(now),
             (false, _) => None,
         };
-        if let (Some(evidence), Some(former)) = (began, previous) {
-            start_incarnation(&mut state, former, &record, evidence);
+        if let (Some(evidence), Some(previous)) = (restart, previous) {
+            start_incarnation(&mut state, previous, &record, evidence);
             self.leaders_changed.notify_waiters();
         }
         let known = KnownInstance {
             contact: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.contact),
-            testimony: same_incarnation.and_then(|known| known.testimony),
-            incarnation_seen_at: match began {
+            peer_report: same_incarnation.and_then(|known| known.peer_report),
+            incarnation_seen_at: match restart {
                 Some(_) => Some(now),
                 None => previous.and_then(|known| known.incarnation_seen_at),
             },
@@ -344,7 +344,7 @@
             warm_up_status: WarmUpStatus::Warm,
         };
         state.insert(known);
-        if began.is_none() {
+        if restart.is_none() {
             if newly_claims {
                 self.apply_lead_claim(&mut state, &group, &name);
             } else if claimed_before {
@@ -354,11 +354,11 @@
         RecordChange {
             has_changed,
             is_new,
-            has_restarted: began.is_some(),
+            has_restarted: restart.is_some(),
         }
     }
 
-    /// Makes `instance` the presumed leader after its record began to claim leadership,
+    /// Makes `instance` the presumed leader after its record started to claim leadership,
     /// unless it led the term that was closed last.
     fn apply_lead_claim(&self, state: &mut State, group: &GroupName, instance: &InstanceName) {
         let entry = state.groups.entry(group.clone()).or_default();
--- a/crates/millwind-engine/src/directory/warmth.rs
+++ b/crates/millwind-engine/src/directory/warmth.rs
@@ -13,7 +13,7 @@
 /// `previous`.
 pub(super) fn observe_warm_up(
     previous: Option<&KnownInstance>,
-    has_begun_anew: bool,
+    has_restarted: bool,
     record: &InstanceRecord,
     now: Instant,
 ) -> WarmUpObservation {
@@ -21,7 +21,7 @@
     let Some(previous) = previous else {
         return WarmUpObservation::first_observed(warm_up_left_ms, now);
     };
-    match has_begun_anew {
+    match has_restarted {
         true => WarmUpObservation::restarted(warm_up_left_ms, now),
         false => previous
             .warm_up_observation
--- a/crates/millwind-engine/src/eligibility.rs
+++ b/crates/millwind-engine/src/eligibility.rs
@@ -21,7 +21,7 @@
 impl Engine {
     /// Checks whether statements restricted to `regions` may use an instance now; returns
     /// the reason if not.
-    pub fn judge_instance(
+    pub fn check_eligibility(
         &self,
         known: &KnownInstance,
         usage: InstanceUse,
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -129,7 +129,7 @@
                 true => HEALTH_CHECK_CONNECTIONS,
                 false => 0,
             };
-            if !self.is_believed_leader(record) || self.is_closed_by_evacuation(record) {
+            if !self.is_presumed_leader(record) || self.is_closed_by_evacuation(record) {
                 pool.close_idle(kept);
             }
             in_use += i64::from(pool.connections_in_use() > 0);
@@ -152,7 +152,7 @@
         evacuated.count() as i64
     }
 
-    fn is_believed_leader(&self, record: &InstanceRecord) -> bool {
+    fn is_presumed_leader(&self, record: &InstanceRecord) -> bool {
         let leader = self.directory.leader(&record.group);
         leader.is_some_and(|leader| leader.instance == record.name)
     }
@@ -176,7 +176,7 @@
     }
 
     /// Checks, right before a statement is sent, that the evacuation of the instance's zone
-    /// does not forbid it; the evacuation may have begun after the instance was chosen.
+    /// does not forbid it; the evacuation may have started after the instance was chosen.
     /// New work on a replica (`begins_on_replica`) is refused at once, all other statements
     /// after the time allowed for leaders.
     pub fn check_evacuation(
@@ -222,7 +222,9 @@
         let is_usable = |known: &KnownInstance| {
             !known.is_removed
                 && known.contact.failing_since.is_none()
-                && self.judge_instance(known, InstanceUse::Replica, regions).is_ok()
+                && self
+                    .check_eligibility(known, InstanceUse::Replica, regions)
+                    .is_ok()
         };
         self.directory.instances_of(group).iter().any(is_usable)
     }
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -311,7 +311,7 @@
         _ => CreditWaitPolicy::UntilTargetTime,
     };
     let slot = acquire_slot_and_credit(engine, connection, wait_policy, deadline).await?;
-    // The evacuation of the zone may have begun while the statement waited.
+    // The evacuation of the zone may have started while the statement waited.
     let is_single_read = !confirms_leader && connection.transaction() == TransactionState::Idle;
     engine.check_evacuation(record, is_single_read)?;
     let inquiry = RequestTracker::new(&engine.directory, &record.name);
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -1,5 +1,5 @@
 //! Probes leaders, and searches for a leader if none is known. The probe is an empty
-//! transaction: it takes no connection slot, only a leader accepts it, and the answer contains
+//! transaction: it takes no execution slot, only a leader accepts it, and the answer contains
 //! the position of the leader.
 
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 /// Time since the last successful contact below which a leader is not probed, in milliseconds.
 const CONTACT_MAX_AGE_MS: u64 = 250;
-/// Timeout for opening a connection, in milliseconds. On a busy instance the open waits for a
-/// turn among its statements.
+/// Timeout for opening a connection, in milliseconds. On a busy instance, opening a
+/// connection queues behind its statements.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Response timeout as a multiple of the mean response time.
 const RESPONSE_TIMEOUT_FACTOR: u64 = 6;
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -60,7 +60,7 @@
 /// a better rank can be assumed to be gone.
 const MAX_RESTORE_DELAY_MS: u64 = 12_000;
 /// Time between attempts to claim a group that no node owns.
-const DUTY_CLAIM_INTERVAL: Duration = Duration::from_millis(500);
+const OWNERSHIP_CLAIM_INTERVAL: Duration = Duration::from_millis(500);
 /// Time allowed for a starting group to get its first leader, in milliseconds. Applies while
 /// this node has never seen a leader of the group.
 const STARTUP_GRACE_MS: u64 = 4_000;
@@ -79,7 +79,7 @@
     codec: Arc<dyn CatalogCodec>,
     running_checks: Arc<InProgressGroups>,
     running_replacements: Arc<InProgressGroups>,
-    running_duty_claims: Arc<InProgressGroups>,
+    running_ownership_claims: Arc<InProgressGroups>,
     running_peer_queries: Arc<InProgressGroups>,
     running_leader_searches: Arc<InProgressGroups>,
     /// Groups without a known leader, and since when.
@@ -109,7 +109,7 @@
             codec,
             running_checks: Arc::default(),
             running_replacements: Arc::default(),
-            running_duty_claims: Arc::default(),
+            running_ownership_claims: Arc::default(),
             running_peer_queries: Arc::default(),
             running_leader_searches: Arc::default(),
             leaderless: Mutex::new(HashMap::new()),
@@ -135,7 +135,7 @@
                 self.engine.directory.reset_silence();
             }
             last_tick = now;
-            self.restore_lost_duty_records();
+            self.restore_lost_records();
             let watched = watch_list.current(&self.engine);
             for group in watched.iter() {
                 self.start_check(group);
@@ -153,7 +153,7 @@
     /// Rewrites ownership records that the store lost when it was restored. Nodes wait in the
     /// order of their rank for the group, so that usually only the first one writes. A node
     /// that restarted in the meantime does not know the lost records.
-    fn restore_lost_duty_records(self: &Arc<Self>) {
+    fn restore_lost_records(self: &Arc<Self>) {
         let now = clock::now();
         for (group, since) in self.ownership.lost_records() {
             let rank = self.engine.registry.rank(group.as_str()) as u64;
@@ -161,11 +161,11 @@
             if now < due {
                 continue;
             }
-            if let Some(mark) = self.running_duty_claims.enter(&group) {
+            if let Some(mark) = self.running_ownership_claims.enter(&group) {
                 let ownership = self.ownership.clone();
                 tokio::spawn(async move {
                     ownership.restore(mark.group()).await;
-                    tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
+                    tokio::time::sleep(OWNERSHIP_CLAIM_INTERVAL).await;
                 });
             }
         }
@@ -292,13 +292,13 @@
         if !is_unowned || self.failover_rank(group) > 0 {
             return;
         }
-        let Some(mark) = self.running_duty_claims.enter(group) else {
+        let Some(mark) = self.running_ownership_claims.enter(group) else {
             return;
         };
         let ownership = self.ownership.clone();
         tokio::spawn(async move {
             ownership.claim_in_advance(mark.group()).await;
-            tokio::time::sleep(DUTY_CLAIM_INTERVAL).await;
+            tokio::time::sleep(OWNERSHIP_CLAIM_INTERVAL).await;
         });
     }
 
@@ -310,14 +310,14 @@
         };
         let engine = self.engine.clone();
         tokio::spawn(async move {
-            let testimony = peers::query_reachability(&engine, &leader).await;
+            let reachability = peers::query_reachability(&engine, &leader).await;
             info!(
                 "event=leader_suspected group={} instance={leader} peers_reaching={} peers_failing={}",
                 mark.group(),
-                testimony.reaching,
-                testimony.failing
+                reachability.reaching,
+                reachability.failing
             );
-            engine.directory.record_peer_reachability(&leader, testimony);
+            engine.directory.record_peer_reachability(&leader, reachability);
             engine.wake_monitor();
             tokio::time::sleep(PEER_QUERY_INTERVAL).await;
         });
@@ -368,14 +368,14 @@
         if self.engine.runs_statements_on(&known.record) {
             let statements = &known.contact.statements;
             let silent_since = known.contact.unresponsive_since();
-            // Statements that wait for a connection slot of a cold instance hang as well.
+            // Statements that wait for a warm-up credit of a cold instance hang as well.
             let is_unresponsive = statements.has_repeated_silence() && !known.warm_up_status.is_cold(now);
             evidence.unresponsive_since = silent_since.filter(|_| is_unresponsive);
             evidence.is_outlier = statements.is_outlier(now);
         }
-        if let Some(testimony) = directory.testimony(&known.record.name, PEER_REPORT_MAX_AGE_MS) {
-            evidence.peers_reaching = testimony.reaching;
-            evidence.peers_failing = testimony.failing;
+        if let Some(reachability) = directory.testimony(&known.record.name, PEER_REPORT_MAX_AGE_MS) {
+            evidence.peers_reaching = reachability.reaching;
+            evidence.peers_failing = reachability.failing;
         }
         // The heartbeat age is measured up to the last answer from the store, because the
         // record may have been renewed since.
@@ -397,7 +397,7 @@
                 && known.contact.failing_since.is_none()
                 && self
                     .engine
-                    .judge_instance(known, InstanceUse::Replica, &AllowedRegions::Any)
+                    .check_eligibility(known, InstanceUse::Replica, &AllowedRegions::Any)
                     .is_ok()
         };
         directory
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -291,8 +291,8 @@
         let present = others.filter(|known| !known.is_removed);
         let fit = present.filter(|known| !(is_demand_served && known.warm_up_status.is_cold(clock::now())));
         let usable = fit.filter(|known| {
-            let judged = engine.judge_instance(known, InstanceUse::Replica, &AllowedRegions::Any);
-            judged.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_unhealthy()
+            let eligibility = engine.check_eligibility(known, InstanceUse::Replica, &AllowedRegions::Any);
+            eligibility.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_unhealthy()
         });
         usable
             .filter_map(|known| engine.region_of(known).cloned())
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -47,7 +47,7 @@
 
 impl<S: Store + 'static> FailoverMonitor<S> {
     /// Returns true once no node relies on the leader of the closed term, or false if another
-    /// node has taken over the ownership meanwhile.
+    /// node has become the failover owner in the meantime.
     pub(super) async fn revoke_permits(self: &Arc<Self>, closed: &ClosedTerm) -> bool {
         let started = clock::now();
         let mut has_stepped_down = false;
--- a/crates/millwind-engine/src/forward/links.rs
+++ b/crates/millwind-engine/src/forward/links.rs
@@ -100,7 +100,7 @@
     }
 
     /// Marks all links as suspect after a node failed to answer.
-    pub(super) fn raise_doubt(&self) {
+    pub(super) fn raise_suspicion(&self) {
         self.suspicion.raise();
     }
 
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -161,15 +161,15 @@
 
     /// Returns the owners and backup owners that may receive the text of the statement. This
     /// node is always permitted, because it already has the text.
-    fn permitted_owners(&self, way: &RouteRequest<'_>) -> Arc<InstanceOwners> {
-        if way.forwarding_policy.regions.is_any() {
-            return self.unrestricted_ranking(way.registry, way.record).nodes;
+    fn permitted_owners(&self, request: &RouteRequest<'_>) -> Arc<InstanceOwners> {
+        if request.forwarding_policy.regions.is_any() {
+            return self.unrestricted_ranking(request.registry, request.record).nodes;
         }
-        let version = way.registry.version();
+        let version = request.registry.version();
         let key = (
-            way.record.name.clone(),
-            way.record.zone.clone(),
-            way.forwarding_policy.regions.clone(),
+            request.record.name.clone(),
+            request.record.zone.clone(),
+            request.forwarding_policy.regions.clone(),
         );
         let mut restricted = self.restricted.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((cached_version, owners)) = restricted.get(&key)
@@ -177,7 +177,11 @@
         {
             return owners.clone();
         }
-        let owners = Arc::new(self.rank(way.registry, way.record, way.forwarding_policy.regions));
+        let owners = Arc::new(self.rank(
+            request.registry,
+            request.record,
+            request.forwarding_policy.regions,
+        ));
         // Drops rankings of other registry versions.
         restricted.retain(|_, (cached_version, _)| *cached_version == version);
         restricted.insert(key, (version, owners.clone()));
@@ -185,17 +189,17 @@
     }
 
     fn rank(&self, registry: &Registry, record: &InstanceRecord, regions: &AllowedRegions) -> InstanceOwners {
-        let place = OwnerQuery {
+        let query = OwnerQuery {
             instance: &record.name,
             zone: &record.zone,
             topology: &self.topology,
             regions,
         };
-        let sought = OwnerCounts {
+        let counts = OwnerCounts {
             owners: OWNER_COUNT,
             backup_owners: BACKUP_OWNER_COUNT,
         };
-        registry.owners(&place, sought)
+        registry.owners(&query, counts)
     }
 
     /// Returns whether this node owns connections to `record`. The full ranking is
@@ -239,7 +243,7 @@
 
     /// Marks the links to owners as suspect after a node failed to answer.
     pub fn suspect_links(&self) {
-        self.links.raise_doubt();
+        self.links.raise_suspicion();
     }
 
     /// Returns a link to the node at `address`, connecting if necessary. Returns `None`
@@ -262,18 +266,18 @@
 
     /// Chooses the route of a statement. A node that has not reached any owner for a while
     /// uses its own connections.
-    pub async fn route(&self, way: &RouteRequest<'_>) -> Route {
-        let record = way.record;
-        let permitted = self.permitted_owners(way);
-        if way.prefers_local && permitted.owners.iter().any(|owner| owner.is_self) {
+    pub async fn route(&self, request: &RouteRequest<'_>) -> Route {
+        let record = request.record;
+        let permitted = self.permitted_owners(request);
+        if request.prefers_local && permitted.owners.iter().any(|owner| owner.is_self) {
             return Route::Local;
         }
-        if has_no_permitted_nodes(way, &permitted) {
+        if has_no_permitted_nodes(request, &permitted) {
             return Route::Local;
         }
         let mut was_avoided = false;
-        let owners = self.available_addresses(&permitted.owners, way, &mut was_avoided);
-        let backup_owners = self.available_addresses(&permitted.backup_owners, way, &mut was_avoided);
+        let owners = self.available_addresses(&permitted.owners, request, &mut was_avoided);
+        let backup_owners = self.available_addresses(&permitted.backup_owners, request, &mut was_avoided);
         let found = match self.links.least_loaded_live(&owners).await {
             Some(link) => Some(link),
             None => self.await_owner_or_backup(&owners, &backup_owners).await,
@@ -291,17 +295,17 @@
     /// Chooses the route of a tenant's statement. The tenant's preferred owner comes
     /// first, because it likely still has a connection of this tenant open; other owners
     /// are used while the preferred one is unreachable.
-    pub async fn route_for_tenant(&self, way: &RouteRequest<'_>, tenant: &TenantName) -> Route {
-        let record = way.record;
-        let permitted = self.permitted_owners(way);
+    pub async fn route_for_tenant(&self, request: &RouteRequest<'_>, tenant: &TenantName) -> Route {
+        let record = request.record;
+        let permitted = self.permitted_owners(request);
         let owners = &permitted.owners;
         let names: Vec<_> = owners.iter().map(|owner| owner.address.to_string()).collect();
         for index in affinity::rendezvous_order(tenant.as_str(), &names) {
             let owner = &owners[index];
-            if owner.is_self && way.prefers_local {
+            if owner.is_self && request.prefers_local {
                 return Route::Local;
             }
-            let is_unused = owner.is_self || !way.forwarding_policy.permits(owner);
+            let is_unused = owner.is_self || !request.forwarding_policy.permits(owner);
             if is_unused || self.is_avoided(owner.address, &record.name) {
                 continue;
             }
@@ -310,7 +314,7 @@
                 return Route::Forwarded(link);
             }
         }
-        self.route(way).await
+        self.route(request).await
     }
 
     fn unreached_periods(&self) -> MutexGuard<'_, HashMap<InstanceName, (Instant, Instant)>> {
@@ -340,10 +344,10 @@
         owners: &[SocketAddr],
         backup_owners: &[SocketAddr],
     ) -> Option<Arc<OwnerLink>> {
-        let stand_in = self.links.least_loaded_live(backup_owners).await;
+        let backup = self.links.least_loaded_live(backup_owners).await;
         match self.links.await_least_loaded(owners).await {
             Some(link) => Some(link),
-            None if stand_in.is_some() => stand_in,
+            None if backup.is_some() => backup,
             None => self.links.await_least_loaded(backup_owners).await,
         }
     }
@@ -353,13 +357,13 @@
     fn available_addresses(
         &self,
         nodes: &[Owner],
-        way: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         was_avoided: &mut bool,
     ) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         let others = nodes.iter().filter(|node| !node.is_self);
-        for node in others.filter(|node| way.forwarding_policy.permits(node)) {
-            if self.is_avoided(node.address, &way.record.name) {
+        for node in others.filter(|node| request.forwarding_policy.permits(node)) {
+            if self.is_avoided(node.address, &request.record.name) {
                 *was_avoided = true;
             } else {
                 addresses.push(node.address);
@@ -375,8 +379,8 @@
 /// forwarded to, so that this node must use its own connection. The list of nodes must
 /// have been stable for a while, since nodes of the allowed regions may be missing
 /// from the list right after a cluster start.
-fn has_no_permitted_nodes(way: &RouteRequest<'_>, permitted: &InstanceOwners) -> bool {
+fn has_no_permitted_nodes(request: &RouteRequest<'_>, permitted: &InstanceOwners) -> bool {
     let mut nodes = permitted.owners.iter().chain(&permitted.backup_owners);
-    let is_restricted = !way.forwarding_policy.regions.is_any();
-    is_restricted && nodes.all(|node| node.is_self) && way.registry.unchanged_ms() >= DIRECT_FALLBACK_MS
+    let is_restricted = !request.forwarding_policy.regions.is_any();
+    is_restricted && nodes.all(|node| node.is_self) && request.registry.unchanged_ms() >= DIRECT_FALLBACK_MS
 }
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -183,7 +183,7 @@
             Ok(ForwardRequest::Run(statement)) => self.spawn_statement(statement),
             Ok(ForwardRequest::End { lease }) => self.leases.end(lease),
             Ok(ForwardRequest::Ping) => drop(self.answers.send(ForwardReply::Pong)),
-            Ok(ForwardRequest::Borrow(borrowing)) => self.spawn_loan(borrowing),
+            Ok(ForwardRequest::Borrow(request)) => self.spawn_loan(request),
             Err(error) => {
                 debug!("event=forward_refused error={:?}", error.to_string());
                 return false;
@@ -192,13 +192,13 @@
         true
     }
 
-    fn spawn_loan(&self, borrowing: LoanRequest) {
+    fn spawn_loan(&self, request: LoanRequest) {
         let engine = self.engine.clone();
         let answers = self.answers.clone();
         tokio::spawn(async move {
-            let loan = grant_loan(&engine, &borrowing).await;
+            let loan = grant_loan(&engine, &request).await;
             let answer = LoanReply {
-                call: borrowing.call,
+                call: request.call,
                 is_granted: u8::from(loan.is_some()),
                 operations: loan.map_or(0, |loan| loan.operations),
                 retry_after_ms: loan.map_or(0, |loan| loan.retry_after_ms),
@@ -222,12 +222,12 @@
 }
 
 /// Grants a loan. Returns `None` if this node does not lend the subject.
-async fn grant_loan(engine: &Arc<Engine>, borrowing: &LoanRequest) -> Option<Loan> {
-    match &borrowing.subject {
-        LoanSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), borrowing.wanted),
+async fn grant_loan(engine: &Arc<Engine>, request: &LoanRequest) -> Option<Loan> {
+    match &request.subject {
+        LoanSubject::Tenant { name } => engine.lend(&TenantName::from(name.as_str()), request.wanted),
         LoanSubject::Instance { name } => {
             let instance = InstanceName::from(name.as_str());
-            engine.lend_credits(&instance, borrowing.wanted).await
+            engine.lend_credits(&instance, request.wanted).await
         }
         LoanSubject::LenderVote { instance, lender } => {
             let instance = InstanceName::from(instance.as_str());
@@ -265,8 +265,8 @@
     let mut since = None;
     if let Some(start) = statement.start.first() {
         match begin(engine, start, statement, deadline).await {
-            Ok((begun, needed)) => {
-                *connection = Some(begun);
+            Ok((opened, needed)) => {
+                *connection = Some(opened);
                 since = needed;
             }
             Err(error) => {
@@ -333,7 +333,7 @@
     };
     // The forwarding node has already checked the allowed regions.
     engine
-        .judge_instance(&known, usage, &AllowedRegions::Any)
+        .check_eligibility(&known, usage, &AllowedRegions::Any)
         .map_err(|reason| match reason {
             IneligibleReason::Leaving => ExchangeError::PoolRetired,
             reason => ExchangeError::IneligibleReason(reason),
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -85,16 +85,16 @@
         self.is_counted.load(Ordering::Relaxed)
     }
 
-    /// Counts a statement of weight `worth`, restricted to `regions`, that needs the leader
+    /// Counts a statement of weight `weight`, restricted to `regions`, that needs the leader
     /// of `group`, whether or not the statement succeeds.
-    pub fn note(&self, group: &GroupName, regions: &AllowedRegions, worth: u64) {
+    pub fn record(&self, group: &GroupName, regions: &AllowedRegions, weight: u64) {
         let mut own = self.own();
         if !own.contains_key(group) {
             own.insert(group.clone(), DemandWindow::default());
         }
         if let Some(window) = own.get_mut(group) {
             window.advance(clock::now());
-            window.current.add(regions, worth);
+            window.current.add(regions, weight);
         }
     }
 
@@ -140,13 +140,13 @@
 
 /// Encodes the demand of `node`'s own callers as a report.
 pub fn encode_demand_report(node: &str, group: &GroupName, demand: &LeaderDemand) -> DemandReport {
-    let part = |(regions, worth): (&AllowedRegions, u64)| DemandPart {
+    let part = |(regions, weight): (&AllowedRegions, u64)| DemandPart {
         allows_any_region: u8::from(regions.is_any()),
         regions: match regions {
             AllowedRegions::Any => Vec::new(),
             AllowedRegions::Only(names) => names.iter().map(encode_region).collect(),
         },
-        total_weight: worth,
+        total_weight: weight,
     };
     DemandReport {
         group: group.0.clone(),
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -216,7 +216,7 @@
         Some(self.reads_store.clone())
     }
 
-    fn rest(&self) -> BoxFuture<'_, ()> {
+    fn await_next_batch(&self) -> BoxFuture<'_, ()> {
         Box::pin(tokio::time::sleep(BATCH_INTERVAL))
     }
 
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -1,5 +1,5 @@
-//! Estimates which share of the other nodes is reachable. A node that counts for a tenant
-//! reduces its loans by the share of unreachable nodes.
+//! Estimates which share of the other nodes is reachable. A lender of a tenant's
+//! quota reduces its loans by the share of unreachable nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 impl ProbeResult {
-    fn to_other_counter(self) -> PeerLender {
+    fn to_peer_lender(self) -> PeerLender {
         match self {
             ProbeResult::Answered => PeerLender::Reachable,
             ProbeResult::ProcessGone => PeerLender::Terminated,
@@ -54,9 +54,9 @@
     queried_at: Option<Instant>,
     /// Reachable nodes, in percent.
     reachable_percent: u32,
-    /// Other nodes that count for a tenant, with the time of the last query and the
+    /// Other lenders of tenants' quotas, with the time of the last query and the
     /// result of the last probe.
-    counters: HashMap<SocketAddr, (Instant, Option<ProbeResult>)>,
+    lenders: HashMap<SocketAddr, (Instant, Option<ProbeResult>)>,
 }
 
 /// Reachability of the other nodes as estimated by this node.
@@ -72,7 +72,7 @@
             state: Mutex::new(State {
                 queried_at: None,
                 reachable_percent: 100,
-                counters: HashMap::new(),
+                lenders: HashMap::new(),
             }),
             query_started: Notify::new(),
         }
@@ -84,41 +84,41 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the share of reachable nodes and the state of the other counting node. A
+    /// Returns the share of reachable nodes and the state of the other lender. A
     /// node that was not probed yet is reported as answering, the state in which the
     /// least is lent.
-    pub fn reach(&self, other_counter: Option<SocketAddr>) -> LenderReach {
+    pub fn reach(&self, other_lender: Option<SocketAddr>) -> LenderReach {
         let now = clock::now();
         let mut state = self.state();
         let previous_query = state.queried_at.replace(now);
         let is_new = previous_query.is_none_or(|queried_at| now.millis_since(queried_at) > QUERY_EXPIRY_MS);
         let mut result = Some(ProbeResult::ProcessGone);
-        let mut is_new_counter = false;
-        if let Some(address) = other_counter {
-            let counter = state.counters.entry(address).or_insert((now, None));
-            counter.0 = now;
-            result = counter.1;
-            is_new_counter = result.is_none();
+        let mut is_new_lender = false;
+        if let Some(address) = other_lender {
+            let lender = state.lenders.entry(address).or_insert((now, None));
+            lender.0 = now;
+            result = lender.1;
+            is_new_lender = result.is_none();
         }
-        if is_new || is_new_counter {
+        if is_new || is_new_lender {
             self.query_started.notify_one();
         }
         LenderReach {
             percent: state.reachable_percent,
-            other: result.map_or(PeerLender::Reachable, ProbeResult::to_other_counter),
+            other: result.map_or(PeerLender::Reachable, ProbeResult::to_peer_lender),
         }
     }
 
-    /// Returns the counting nodes to probe, or `None` if there was no recent query.
-    fn counters_to_probe(&self) -> Option<Vec<SocketAddr>> {
+    /// Returns the lenders to probe, or `None` if there was no recent query.
+    fn lenders_to_probe(&self) -> Option<Vec<SocketAddr>> {
         let now = clock::now();
         let mut state = self.state();
         let is_recent = |queried_at: Instant| now.millis_since(queried_at) <= QUERY_EXPIRY_MS;
         if !state.queried_at.is_some_and(is_recent) {
             return None;
         }
-        state.counters.retain(|_, (queried_at, _)| is_recent(*queried_at));
-        Some(state.counters.keys().copied().collect())
+        state.lenders.retain(|_, (queried_at, _)| is_recent(*queried_at));
+        Some(state.lenders.keys().copied().collect())
     }
 
     fn record(&self, percent: u32, results: Vec<(SocketAddr, ProbeResult)>) {
@@ -131,8 +131,8 @@
         }
         state.reachable_percent = percent;
         for (address, result) in results {
-            if let Some(counter) = state.counters.get_mut(&address) {
-                counter.1 = Some(result);
+            if let Some(lender) = state.lenders.get_mut(&address) {
+                lender.1 = Some(result);
             }
         }
     }
@@ -142,11 +142,11 @@
 /// process.
 pub async fn probe_while_queried(engine: Arc<Engine>) {
     loop {
-        let Some(counters) = engine.peer_reach.counters_to_probe() else {
+        let Some(lenders) = engine.peer_reach.lenders_to_probe() else {
             engine.peer_reach.query_started.notified().await;
             continue;
         };
-        probe_peers(&engine, &counters).await;
+        probe_peers(&engine, &lenders).await;
         tokio::select! {
             () = tokio::time::sleep(PROBE_INTERVAL) => {}
             () = engine.peer_reach.query_started.notified() => {}
@@ -154,19 +154,19 @@
     }
 }
 
-async fn probe_peers(engine: &Engine, counters: &[SocketAddr]) {
+async fn probe_peers(engine: &Engine, lenders: &[SocketAddr]) {
     // The sample is the same each time, so the links are already open.
     let sample = engine.registry.neighbours("", 0, SAMPLE_SIZE);
-    let counter_probes = join_all(counters.iter().map(|address| probe(engine, *address)));
+    let lender_probes = join_all(lenders.iter().map(|address| probe(engine, *address)));
     let sample_probes = join_all(sample.iter().map(|address| probe(engine, *address)));
-    let (counter_results, sample_results) = tokio::join!(counter_probes, sample_probes);
+    let (lender_results, sample_results) = tokio::join!(lender_probes, sample_probes);
     // A node without a process uses no quota and counts as reachable.
     let reached = sample_results
         .iter()
         .filter(|result| **result != ProbeResult::Silent)
         .count();
     let percent = (reached + 1) * 100 / (sample.len() + 1);
-    let results = counters.iter().copied().zip(counter_results).collect();
+    let results = lenders.iter().copied().zip(lender_results).collect();
     engine.peer_reach.record(percent as u32, results);
 }
 
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -300,15 +300,15 @@
         .iter()
         .map(|address| engine.peers.ask(*address, &request));
     let replies = join_all(requests).await;
-    let mut testimony = PeerReachability::default();
+    let mut reachability = PeerReachability::default();
     for reply in replies {
         match reply {
-            Ok(ExchangeReply::Reach(Reach::Reached)) => testimony.reaching += 1,
-            Ok(ExchangeReply::Reach(Reach::Failing)) => testimony.failing += 1,
+            Ok(ExchangeReply::Reach(Reach::Reached)) => reachability.reaching += 1,
+            Ok(ExchangeReply::Reach(Reach::Failing)) => reachability.failing += 1,
             _ => {}
         }
     }
-    testimony
+    reachability
 }
 
 /// Asks a sample of the watchers of a group for the last report of its leader, unless such a
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -1,5 +1,5 @@
-//! Enforces tenants' quotas. Counting nodes lend operations from a tenant's budget; every
-//! node borrows operations for the callers that it serves.
+//! Enforces tenants' quotas. Lenders lend operations from a tenant's budget; every node
+//! borrows operations for the callers that it serves.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -23,9 +23,9 @@
 
 /// Timeout of a loan request to another node: a few round trips between regions.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(200);
-/// Number of nodes that may count for a tenant: the first by rendezvous hashing and its
-/// backup.
-const COUNTING_NODES: usize = 2;
+/// Number of lenders of a tenant: the primary lender, which is the first node by rendezvous
+/// hashing, and the backup lender.
+const LENDER_COUNT: usize = 2;
 
 /// A new budget starts unspent if the set of nodes has not changed for this time, in
 /// milliseconds. It exceeds both the window in which quotas are enforced and the time in
@@ -36,10 +36,10 @@
 #[derive(Debug, Default)]
 pub struct Quotas {
     borrowers: Mutex<HashMap<TenantName, Arc<Borrower>>>,
-    /// Budgets of the tenants for which this node counts or was the backup.
+    /// Budgets of the tenants for which this node is or was a lender.
     budgets: Mutex<HashMap<TenantName, Budget>>,
-    /// Local budgets of the tenants whose counting nodes are unreachable.
-    uncounted: Mutex<HashMap<TenantName, Budget>>,
+    /// Local budgets of the tenants whose lenders are unreachable.
+    local_budgets: Mutex<HashMap<TenantName, Budget>>,
 }
 
 impl Quotas {
@@ -49,27 +49,27 @@
         borrowers.entry(tenant.clone()).or_insert_with(new).clone()
     }
 
-    /// Drops the local budget of a tenant whose counting node was reached. Otherwise all
+    /// Drops the local budget of a tenant whose lender was reached. Otherwise all
     /// nodes would spend their saved operations at once in the next network partition.
-    fn drop_uncounted(&self, tenant: &TenantName) {
-        let mut uncounted = self.uncounted.lock().unwrap_or_else(PoisonError::into_inner);
-        uncounted.remove(tenant);
+    fn drop_local_budget(&self, tenant: &TenantName) {
+        let mut local_budgets = self.local_budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        local_budgets.remove(tenant);
     }
 }
 
 fn lend(
     budgets: &Mutex<HashMap<TenantName, Budget>>,
     tenant: &TenantName,
-    quota: Supply,
-    beginning: InitialBudget,
+    supply: Supply,
+    initial: InitialBudget,
     wanted: u32,
 ) -> Loan {
     let now = clock::now();
     let mut budgets = budgets.lock().unwrap_or_else(PoisonError::into_inner);
     let budget = budgets
         .entry(tenant.clone())
-        .or_insert_with(|| Budget::new(quota, beginning, now));
-    budget.lend(quota, wanted, now)
+        .or_insert_with(|| Budget::new(supply, initial, now));
+    budget.lend(supply, wanted, now)
 }
 
 /// Node that answered a loan request.
@@ -97,7 +97,7 @@
     }
 
     /// Admits one operation of `user`, or refuses it if the tenant has used up its quota.
-    /// Waits only for the answer of a counting node.
+    /// Waits only for the answer of a lender.
     pub async fn admit(self: &Arc<Self>, user: &ConnectionUser) -> Result<(), Refusal> {
         let Some(tenant) = user.tenant() else {
             return Ok(());
@@ -142,7 +142,7 @@
         let wanted = borrower.wanted(asked);
         let (loan, lender) = self.request_loan(&tenant, quota, wanted).await;
         if lender != Lender::Nobody {
-            self.quotas.drop_uncounted(&tenant);
+            self.quotas.drop_local_budget(&tenant);
         }
         self.metrics.quota_loans.inc();
         if loan.operations == 0 || lender == Lender::Nobody {
@@ -163,15 +163,15 @@
     }
 
     async fn request_loan(&self, tenant: &TenantName, quota: Quota, wanted: u32) -> (Loan, Lender) {
-        for counter in self.registry.top_nodes_for(tenant.as_str(), COUNTING_NODES) {
-            if counter.is_self {
+        for node in self.registry.top_nodes_for(tenant.as_str(), LENDER_COUNT) {
+            if node.is_self {
                 if let Some(loan) = self.lend(tenant, wanted) {
                     return (loan, Lender::Own);
                 }
                 continue;
             }
             let request = async {
-                let link = self.owners.link_to(counter.address).await?;
+                let link = self.owners.link_to(node.address).await?;
                 link.borrow(tenant, wanted).await
             };
             if let Ok(Some(loan)) = tokio::time::timeout(LOAN_TIMEOUT, request).await {
@@ -179,35 +179,41 @@
             }
         }
         let percent = f64::from(UNREACHED_LENDER_PERCENT) / self.registry.count().max(1) as f64;
-        let part = quota.share(percent);
+        let supply = quota.share(percent);
         (
-            lend(&self.quotas.uncounted, tenant, part, InitialBudget::Empty, wanted),
+            lend(
+                &self.quotas.local_budgets,
+                tenant,
+                supply,
+                InitialBudget::Empty,
+                wanted,
+            ),
             Lender::Nobody,
         )
     }
 
-    /// Lends operations from a tenant's budget, or returns `None` if this node does not
-    /// count for the tenant or the tenant has no quota. During a network partition the
+    /// Lends operations from a tenant's budget, or returns `None` if this node is no
+    /// lender of the tenant or the tenant has no quota. During a network partition the
     /// loan covers only the share of the nodes on this side.
     pub(crate) fn lend(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let quota = self.tenant_quota(tenant)?;
-        let counters = self.registry.top_nodes_for(tenant.as_str(), COUNTING_NODES);
-        let rank = counters.iter().position(|counter| counter.is_self)?;
-        let other = counters.iter().find(|counter| !counter.is_self);
+        let lenders = self.registry.top_nodes_for(tenant.as_str(), LENDER_COUNT);
+        let rank = lenders.iter().position(|node| node.is_self)?;
+        let other = lenders.iter().find(|node| !node.is_self);
         let reach = self.peer_reach.reach(other.map(|other| other.address));
-        let part = quota.share(f64::from(lendable_percent(rank == 0, reach)));
-        // The set of nodes is stable, so no other node has counted for the tenant.
-        let beginning = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_AFTER_MS {
+        let supply = quota.share(f64::from(lendable_percent(rank == 0, reach)));
+        // The set of nodes is stable, so no other node has lent for the tenant.
+        let initial = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_AFTER_MS {
             true => InitialBudget::Full,
             false => InitialBudget::Reduced,
         };
-        Some(lend(&self.quotas.budgets, tenant, part, beginning, wanted))
+        Some(lend(&self.quotas.budgets, tenant, supply, initial, wanted))
     }
 }
 
 impl OwnerLink {
     /// Requests operations of a tenant from the node at the other end. Returns `None` if
-    /// that node does not count for the tenant or the link is lost.
+    /// that node is no lender of the tenant or the link is lost.
     async fn borrow(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let subject = LoanSubject::Tenant {
             name: tenant.0.clone(),
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -124,8 +124,8 @@
     /// Records that the operation needs the leader of its group.
     fn record_leader_demand(&self, engine: &Engine) {
         if engine.leader_demands.is_counted() {
-            let worth = statement_weight(self.database.priority);
-            engine.leader_demands.note(self.group(), &self.regions, worth);
+            let weight = statement_weight(self.database.priority);
+            engine.leader_demands.record(self.group(), &self.regions, weight);
         }
         engine.directory.record_use(self.group(), None);
     }
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -195,7 +195,7 @@
     let mut known = engine.directory.instances_of(group);
     let mut reason = None;
     known.retain(|known| {
-        let eligibility = engine.judge_instance(known, InstanceUse::Replica, regions);
+        let eligibility = engine.check_eligibility(known, InstanceUse::Replica, regions);
         reason = eligibility.err().or(reason);
         eligibility.is_ok()
     });
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -97,7 +97,7 @@
         let mut is_handover = false;
         let reason = match known {
             Some(known) if is_usable(engine, &known, watches) => {
-                match engine.judge_instance(&known, InstanceUse::Leader, &operation.regions) {
+                match engine.check_eligibility(&known, InstanceUse::Leader, &operation.regions) {
                     Ok(()) => return Ok(known.record),
                     Err(IneligibleReason::Leaving) => {
                         format!("leader {} is shutting down", known.record.name)
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -84,7 +84,7 @@
     }
 
     /// Waits until the store is reachable, or until `limit` has elapsed.
-    async fn heard(&self, limit: Duration) {
+    async fn await_reachable(&self, limit: Duration) {
         let mut is_lost = self.is_lost.subscribe();
         // The sender lives as long as the node. After the timeout the follower calls the
         // store itself.
@@ -109,7 +109,7 @@
     /// Handles the listing of the initial prefix, which may be slightly out of date.
     fn initial_prefix_listed(&self, _listing: Listing) {}
     /// Called when the store answers a watch without changes.
-    fn heard(&self) {}
+    fn watch_answered(&self) {}
     /// Called when the store answers again after this node's calls had failed, before the
     /// prefix is read.
     fn store_answers(&self) {}
@@ -133,7 +133,7 @@
         MAX_RETRY_DELAY
     }
     /// Waits between two watch responses, so that changes arrive in batches.
-    fn rest(&self) -> BoxFuture<'_, ()> {
+    fn await_next_batch(&self) -> BoxFuture<'_, ()> {
         Box::pin(std::future::ready(()))
     }
 }
@@ -215,7 +215,7 @@
             state.mark_relayed();
         }
         if contact.is_lost() && !follower.is_sentinel() {
-            contact.heard(SENTINEL_TIMEOUT).await;
+            contact.await_reachable(SENTINEL_TIMEOUT).await;
         }
         let mut regained = contact.regained.subscribe();
         // Relays do not cancel the first listing, because they may be starting too.
@@ -347,13 +347,13 @@
         let report = watch.next().await?;
         let is_complete = report.changes.len() < MIN_TRUNCATED_CHANGES;
         if report.changes.is_empty() {
-            follower.heard();
+            follower.watch_answered();
         } else {
             follower.changed(report.changes);
         }
         if is_complete {
             follower.complete(asked);
-            follower.rest().await;
+            follower.await_next_batch().await;
         }
         // After a truncated response the rest is requested without a pause, since a node
         // with many instances would otherwise fall behind until the store compacts the
