--- a/crates/millwind-core/src/catalog_relay.rs
+++ b/crates/millwind-core/src/catalog_relay.rs
@@ -15,7 +15,7 @@
 const NODES_PER_RELAY: usize = 36;
 /// Time for which a node acts as a relay after another node contacted it as one, in
 /// milliseconds.
-const RELAY_DUTY_MS: u64 = 6_000;
+const RELAY_ROLE_MS: u64 = 6_000;
 /// Time without an answer from a relay after which a node that cannot serve yet reads the
 /// store, in milliseconds. Allows relays that start at the same time to read it first.
 const START_WAIT_MS: u64 = 500;
@@ -61,11 +61,11 @@
     /// Returns the timing with which a configuration is in force on every node within
     /// `config_bound_ms`.
     pub fn for_config_bound(config_bound_ms: u64) -> Self {
-        let pace_ms = (config_bound_ms * READ_INTERVAL_PERCENT / 100).min(MAX_READ_INTERVAL_MS);
+        let read_interval_ms = (config_bound_ms * READ_INTERVAL_PERCENT / 100).min(MAX_READ_INTERVAL_MS);
         let max_fresh_ms = config_bound_ms * MAX_FRESH_PERCENT / 100;
         RelayTimes {
-            read_interval_ms: pace_ms,
-            max_fresh_age_ms: (pace_ms + FRESHNESS_ALLOWANCE_MS).min(max_fresh_ms),
+            read_interval_ms,
+            max_fresh_age_ms: (read_interval_ms + FRESHNESS_ALLOWANCE_MS).min(max_fresh_ms),
             allow_relays: config_bound_ms >= MIN_CONFIG_BOUND_MS,
         }
     }
@@ -97,7 +97,7 @@
         }
         let is_asked = self
             .contacted_as_relay_at
-            .is_some_and(|asked| now.millis_since(asked) < RELAY_DUTY_MS);
+            .is_some_and(|asked| now.millis_since(asked) < RELAY_ROLE_MS);
         if is_asked {
             return true;
         }
--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -1,4 +1,4 @@
-//! Leader permits: whether a node may still accept a leader's answers on a platform that
+//! Lead permits: whether a node may still accept a leader's answers on a platform that
 //! does not fence the old leader on promotion.
 //!
 //! On a fencing platform the old leader refuses writes from the moment of a promotion.
--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -71,9 +71,9 @@
 
 impl Budget {
     /// Creates a budget at `now`.
-    pub fn new(supply: Supply, beginning: InitialBudget, now: Instant) -> Self {
+    pub fn new(supply: Supply, initial: InitialBudget, now: Instant) -> Self {
         Budget {
-            available: match beginning {
+            available: match initial {
                 InitialBudget::Empty => 0.0,
                 InitialBudget::Reduced => supply.initial_operations,
                 InitialBudget::Full => supply.max_saved,
--- a/crates/millwind-core/src/owner_ranking.rs
+++ b/crates/millwind-core/src/owner_ranking.rs
@@ -50,7 +50,7 @@
     /// The node's rendezvous weight for the instance; higher weights are preferred.
     pub weight: u64,
     /// The node's location relative to the instance.
-    pub nearness: Proximity,
+    pub proximity: Proximity,
     /// Whether the statement may be forwarded through this node: the node is in an allowed
     /// region, or is the node that the client is connected to.
     pub is_allowed: bool,
@@ -88,36 +88,36 @@
 /// through some of them has fewer. Backup owners that are not allowed are replaced by the
 /// next allowed node in order of preference, so that a route exists as long as any allowed
 /// node is up.
-pub fn rank_owners(candidates: &[OwnerCandidate], sought: OwnerCounts) -> RankedOwners {
+pub fn rank_owners(candidates: &[OwnerCandidate], counts: OwnerCounts) -> RankedOwners {
     let mut ranked: Vec<usize> = (0..candidates.len()).collect();
     ranked.sort_unstable_by_key(|index| {
         let candidate = &candidates[*index];
-        (candidate.nearness, Reverse(candidate.weight))
+        (candidate.proximity, Reverse(candidate.weight))
     });
-    let remaining = ranked.split_off(ranked.len().min(sought.owners));
+    let remaining = ranked.split_off(ranked.len().min(counts.owners));
     let is_allowed = |index: &usize| candidates[*index].is_allowed;
     let owners: Vec<usize> = ranked.into_iter().filter(is_allowed).collect();
     let allowed: Vec<usize> = remaining.into_iter().filter(is_allowed).collect();
-    let backup_owners = rank_backup_owners(candidates, &allowed, sought.backup_owners);
+    let backup_owners = rank_backup_owners(candidates, &allowed, counts.backup_owners);
     RankedOwners {
         owners,
         backup_owners,
     }
 }
 
-/// Selects up to `count` backup owners from `remaining`, which is sorted by nearness and
+/// Selects up to `count` backup owners from `remaining`, which is sorted by proximity and
 /// weight.
 fn rank_backup_owners(candidates: &[OwnerCandidate], remaining: &[usize], count: usize) -> Vec<usize> {
-    let with_nearness = |nearness: Proximity| {
-        let matches = move |index: &&usize| candidates[**index].nearness == nearness;
+    let with_proximity = |proximity: Proximity| {
+        let matches = move |index: &&usize| candidates[**index].proximity == proximity;
         remaining.iter().filter(matches).copied()
     };
-    let preferred_regional = with_nearness(Proximity::Region).take(REGIONAL_BACKUP_OWNERS);
-    let other_regional = with_nearness(Proximity::Region).skip(REGIONAL_BACKUP_OWNERS);
+    let preferred_regional = with_proximity(Proximity::Region).take(REGIONAL_BACKUP_OWNERS);
+    let other_regional = with_proximity(Proximity::Region).skip(REGIONAL_BACKUP_OWNERS);
     preferred_regional
-        .chain(with_nearness(Proximity::Elsewhere))
+        .chain(with_proximity(Proximity::Elsewhere))
         .chain(other_regional)
-        .chain(with_nearness(Proximity::Zone))
+        .chain(with_proximity(Proximity::Zone))
         .take(count)
         .collect()
 }
--- a/crates/millwind-core/src/placement.rs
+++ b/crates/millwind-core/src/placement.rs
@@ -35,7 +35,7 @@
     region: &RegionName,
     candidates: impl Iterator<Item = Candidate<'a>>,
 ) -> Option<&'a NodeName> {
-    let nearness = |candidate: &Candidate<'a>| {
+    let proximity = |candidate: &Candidate<'a>| {
         if candidate.zone == zone {
             2u8
         } else {
@@ -45,7 +45,7 @@
     candidates
         .max_by_key(|candidate| {
             let weight = score(candidate.node.as_str(), instance.as_str());
-            (nearness(candidate), weight, candidate.node)
+            (proximity(candidate), weight, candidate.node)
         })
         .map(|candidate| candidate.node)
 }
--- a/crates/millwind-core/tests/owner_ranking.rs
+++ b/crates/millwind-core/tests/owner_ranking.rs
@@ -14,10 +14,10 @@
 };
 const NEARNESS: [Proximity; 3] = [Proximity::Zone, Proximity::Region, Proximity::Elsewhere];
 
-fn candidate(weight: u64, nearness: Proximity) -> OwnerCandidate {
+fn candidate(weight: u64, proximity: Proximity) -> OwnerCandidate {
     OwnerCandidate {
         weight,
-        nearness,
+        proximity,
         is_allowed: true,
     }
 }
@@ -28,9 +28,9 @@
         proptest::sample::select(&NEARNESS[..]),
         any::<bool>(),
     );
-    let any_candidate = any_candidate.prop_map(|(weight, nearness, is_allowed)| OwnerCandidate {
+    let any_candidate = any_candidate.prop_map(|(weight, proximity, is_allowed)| OwnerCandidate {
         weight,
-        nearness,
+        proximity,
         is_allowed,
     });
     proptest::collection::vec(any_candidate, 0..300)
@@ -41,12 +41,12 @@
     let zone = |name: &str| ZoneName(name.to_owned());
     let north = |name: &str| (zone(name), RegionName::from("north"));
     let topology = Topology::new([north("north-1"), north("north-2")]);
-    let nearness = |instance: &str, node: &str| Proximity::between(&topology, &zone(instance), &zone(node));
-    assert_eq!(nearness("north-1", "north-1"), Proximity::Zone);
-    assert_eq!(nearness("north-1", "north-2"), Proximity::Region);
-    assert_eq!(nearness("north-1", "unknown"), Proximity::Elsewhere);
-    assert_eq!(nearness("unknown", "unknown"), Proximity::Zone);
-    assert_eq!(nearness("unknown", "other"), Proximity::Elsewhere);
+    let proximity = |instance: &str, node: &str| Proximity::between(&topology, &zone(instance), &zone(node));
+    assert_eq!(proximity("north-1", "north-1"), Proximity::Zone);
+    assert_eq!(proximity("north-1", "north-2"), Proximity::Region);
+    assert_eq!(proximity("north-1", "unknown"), Proximity::Elsewhere);
+    assert_eq!(proximity("unknown", "unknown"), Proximity::Zone);
+    assert_eq!(proximity("unknown", "other"), Proximity::Elsewhere);
 }
 
 #[test]
--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use super::link_error::ExchangeError;
-use super::pool::Permit;
+use super::pool::ConnectionPermit;
 use super::user::ConnectionUser;
 use crate::catalog::InstanceRecord;
 use crate::clock;
@@ -37,7 +37,7 @@
     /// Number of replies that were requested and not yet read.
     pending_replies: usize,
     /// The pool's permit for this connection.
-    permit: Permit,
+    permit: ConnectionPermit,
 }
 
 impl std::fmt::Debug for dyn BackEndCodec {
@@ -53,7 +53,7 @@
         record: &InstanceRecord,
         codec: Arc<dyn BackEndCodec>,
         user: ConnectionUser,
-        permit: Permit,
+        permit: ConnectionPermit,
         deadline: Instant,
     ) -> Result<Connection, ExchangeError> {
         let connecting = TcpStream::connect(record.address);
@@ -108,7 +108,7 @@
 
     /// Closes the connection and returns its permit to open another. The instance receives the
     /// close before it receives the startup of a connection that is opened afterwards.
-    pub fn close(self) -> Permit {
+    pub fn close(self) -> ConnectionPermit {
         self.permit
     }
 
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -56,13 +56,13 @@
 
 /// The right to open one connection and keep it open; returned to the pool when dropped.
 #[derive(Debug)]
-pub struct Permit {
+pub struct ConnectionPermit {
     pool: Arc<Pool>,
     /// Whether the connection is still being opened.
     is_opening: bool,
 }
 
-impl Permit {
+impl ConnectionPermit {
     /// Records that the connection is open.
     pub fn opened(&mut self) {
         if self.is_opening {
@@ -73,14 +73,14 @@
     }
 
     /// Reuses the permit of a closed connection to open another.
-    fn into_opening(mut self) -> Permit {
+    fn into_opening(mut self) -> ConnectionPermit {
         self.is_opening = true;
         self.pool.state().opening += 1;
         self
     }
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.opened();
         self.pool.release_permit();
@@ -90,7 +90,7 @@
 /// What a waiting request receives.
 enum Grant {
     Idle(Box<Connection>),
-    Open(Permit),
+    Open(ConnectionPermit),
 }
 
 struct Waiter {
@@ -131,8 +131,8 @@
     /// connection, in microseconds.
     fn expected_completion_us(&self, rank: u8) -> u64 {
         let ahead = self.waiters.iter().filter(|waiter| waiter.rank <= rank);
-        let turns = ahead.count() as u64 + 1;
-        self.mean_use_us * turns / self.open.max(1) as u64 + self.mean_use_us
+        let uses = ahead.count() as u64 + 1;
+        self.mean_use_us * uses / self.open.max(1) as u64 + self.mean_use_us
     }
 
     /// Removes and returns the waiter that receives a connection of `user` next.
@@ -335,7 +335,7 @@
 
     async fn open(
         self: &Arc<Self>,
-        permit: Permit,
+        permit: ConnectionPermit,
         purpose: Purpose,
         user: &ConnectionUser,
         deadline: Instant,
@@ -404,7 +404,7 @@
     }
 
     /// Returns a permit to open a connection for `purpose`, if the limit allows it now.
-    fn take_permit(self: &Arc<Self>, purpose: Purpose) -> Option<Permit> {
+    fn take_permit(self: &Arc<Self>, purpose: Purpose) -> Option<ConnectionPermit> {
         let mut state = self.state();
         let allowed = match purpose {
             Purpose::Statement { .. } => state.share,
@@ -416,7 +416,7 @@
         state.open += 1;
         state.opening += 1;
         state.record_demand();
-        Some(Permit {
+        Some(ConnectionPermit {
             pool: self.clone(),
             is_opening: true,
         })
@@ -425,7 +425,7 @@
     /// Closes the least recently used idle connection of a tenant other than `user` and returns
     /// its permit. Connections of the system user stay open, since health checks would reopen
     /// them at once.
-    fn evict_other_tenant(&self, user: &ConnectionUser) -> Option<Permit> {
+    fn evict_other_tenant(&self, user: &ConnectionUser) -> Option<ConnectionPermit> {
         let closed = {
             let mut state = self.state();
             if state.is_retired || !state.may_open(clock::now()) {
@@ -549,7 +549,7 @@
         };
         if let Some(waiter) = waiter {
             // If the waiter is gone, the dropped permit is released here again.
-            let permit = Permit {
+            let permit = ConnectionPermit {
                 pool: self.clone(),
                 is_opening: true,
             };
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -159,26 +159,26 @@
 pub async fn connect(
     engine: &Arc<Engine>,
     record: &InstanceRecord,
-    wanted: ConnectionRequest<'_>,
+    request: ConnectionRequest<'_>,
 ) -> Result<PooledConnection, AttemptError> {
     let purpose = Purpose::Statement {
-        priority: wanted.priority,
-        target_time: wanted.target_time,
+        priority: request.priority,
+        target_time: request.target_time,
     };
     let asked = clock::now();
     let pool = engine.pool(record);
-    let connected = match wanted.user {
+    let connected = match request.user {
         ConnectionUser::System => {
             pool.acquire(
                 purpose,
-                wanted.user,
-                wanted.session,
-                wanted.prepared_statement,
-                wanted.deadline,
+                request.user,
+                request.session,
+                request.prepared_statement,
+                request.deadline,
             )
             .await
         }
-        ConnectionUser::Tenant(_) => connect_within_slot(&pool, purpose, wanted).await,
+        ConnectionUser::Tenant(_) => connect_within_slot(&pool, purpose, request).await,
     };
     record_closed_connections(engine, &pool, asked);
     connected.map_err(|error| {
@@ -197,7 +197,7 @@
 async fn connect_within_slot(
     pool: &Arc<Pool>,
     purpose: Purpose,
-    wanted: ConnectionRequest<'_>,
+    request: ConnectionRequest<'_>,
 ) -> Result<PooledConnection, ExchangeError> {
     let ConnectionRequest {
         user,
@@ -205,11 +205,11 @@
         prepared_statement: needed,
         deadline,
         ..
-    } = wanted;
-    let urgency = Urgency::Priority(wanted.priority);
+    } = request;
+    let urgency = Urgency::Priority(request.priority);
     let slot = pool
         .admission()
-        .acquire_for(user, urgency, wanted.target_time, deadline)
+        .acquire_for(user, urgency, request.target_time, deadline)
         .await?;
     let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
     if let Some(mut connection) = immediate.await? {
@@ -273,21 +273,21 @@
         command: Command::Begin { read_only },
     };
     engine.check_evacuation(record, read_only)?;
-    let inquiry = RequestTracker::new(&engine.directory, &record.name);
+    let tracker = RequestTracker::new(&engine.directory, &record.name);
     let reply = match connection.exchange(&envelope, deadline).await {
         Ok(reply) => reply,
         Err(error) => {
-            inquiry.failed(&error);
-            record_process_end(engine, &pool, inquiry.asked, &error);
+            tracker.failed(&error);
+            record_process_end(engine, &pool, tracker.asked, &error);
             return Err(AttemptError::Link(error));
         }
     };
-    inquiry.answered_without_sample();
+    tracker.answered_without_sample();
     if let Err(error) = reply.result {
         record_instance_error(engine, record, &error);
         return Err(AttemptError::BackEnd(error));
     }
-    if !read_only && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
+    if !read_only && !confirm_leader_on_pool(engine, &pool, tracker.asked, reply.position) {
         return Err(AttemptError::Link(ExchangeError::NoPermit));
     }
     Ok(())
@@ -314,22 +314,22 @@
     // The evacuation of the zone may have started while the statement waited.
     let is_single_read = !confirms_leader && connection.transaction() == TransactionState::Idle;
     engine.check_evacuation(record, is_single_read)?;
-    let inquiry = RequestTracker::new(&engine.directory, &record.name);
+    let tracker = RequestTracker::new(&engine.directory, &record.name);
     let outcome = connection.run(session, envelope, deadline).await;
     slot.end(classify_execution_end(&outcome));
     connection.record_run();
     let reply = match outcome {
         Ok(reply) => reply,
         Err(error) => {
-            inquiry.failed(&error);
-            record_process_end(engine, &pool, inquiry.asked, &error);
+            tracker.failed(&error);
+            record_process_end(engine, &pool, tracker.asked, &error);
             if error != ExchangeError::ReplyTimeout {
                 engine.directory.record_outcome(&record.name, false);
             }
             return Err(AttemptError::Link(error));
         }
     };
-    inquiry.answered();
+    tracker.answered();
     if let Some(succeeded) = health_outcome(&reply) {
         engine.directory.record_outcome(&record.name, succeeded);
     }
@@ -337,7 +337,7 @@
         record_instance_error(engine, record, error);
         return Err(AttemptError::BackEnd(error.clone()));
     }
-    if confirms_leader && !confirm_leader_on_pool(engine, &pool, inquiry.asked, reply.position) {
+    if confirms_leader && !confirm_leader_on_pool(engine, &pool, tracker.asked, reply.position) {
         return Err(AttemptError::Link(ExchangeError::NoPermit));
     }
     Ok(reply)
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -59,7 +59,7 @@
 /// Upper bound on the delay before a rewrite, in milliseconds. After this time most nodes with
 /// a better rank can be assumed to be gone.
 const MAX_RESTORE_DELAY_MS: u64 = 12_000;
-/// Time between attempts to claim a group that no node owns.
+/// Time between attempts to claim failover ownership of a group that no node owns.
 const OWNERSHIP_CLAIM_INTERVAL: Duration = Duration::from_millis(500);
 /// Time allowed for a starting group to get its first leader, in milliseconds. Applies while
 /// this node has never seen a leader of the group.
@@ -94,8 +94,8 @@
 }
 
 impl<S: Store + 'static> FailoverMonitor<S> {
-    /// Creates a monitor that requests promotions from `promoter` while it owns a group in
-    /// `ownership`, and decodes instance records with `codec`.
+    /// Creates a monitor that requests promotions from `promoter` while it is the failover owner of
+    /// a group according to `ownership`, and decodes instance records with `codec`.
     pub fn new(
         engine: Arc<Engine>,
         ownership: Arc<FailoverOwnership<S>>,
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -101,14 +101,14 @@
         let histories = self.histories();
         let history = histories.get(group)?;
         let age_ms = |since: Instant| now.millis_since(since);
-        let facts = LeadershipState {
+        let state = LeadershipState {
             region,
             unchanged_ms: history.leader_changed.map_or(UNCHANGED_MS, age_ms),
             since_attempt_ms: history.last_attempt.map(age_ms),
             candidates,
             left_regions: &history.left_regions.keys().cloned().collect(),
         };
-        decide_relocation(demand, &facts)
+        decide_relocation(demand, &state)
     }
 
     fn record_attempt(&self, group: &GroupName) {
--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -115,7 +115,7 @@
     ) -> Result<Reply, AttemptError> {
         let call = self.link.next_id();
         let statement = self.forwarded_statement(call, session, envelope, confirms_leader, deadline);
-        let inquiry = RequestTracker::new(&engine.directory, &self.record.name);
+        let tracker = RequestTracker::new(&engine.directory, &self.record.name);
         self.is_broken = true;
         let response = self.link.call(call, ForwardRequest::Run(statement));
         let answer = match tokio::time::timeout_at(clock::deadline(deadline), response).await {
@@ -131,9 +131,9 @@
         self.transaction = read_state(answer.state);
         let report = answer.leader.first().cloned();
         let result = read_answer(answer);
-        self.record_outcome(engine, &result, &inquiry, confirms_leader);
+        self.record_outcome(engine, &result, &tracker, confirms_leader);
         if let Some(report) = report {
-            record_leader_report(engine, &self.record.group, &report, inquiry.asked);
+            record_leader_report(engine, &self.record.group, &report, tracker.asked);
         }
         result
     }
@@ -176,26 +176,26 @@
         &self,
         engine: &Arc<Engine>,
         result: &Result<Reply, AttemptError>,
-        inquiry: &RequestTracker,
+        tracker: &RequestTracker,
         confirms_leader: bool,
     ) {
         match result {
             Ok(reply) => {
-                inquiry.answered();
+                tracker.answered();
                 if confirms_leader {
-                    confirm_leader(engine, &self.record, inquiry.asked, reply.position);
+                    confirm_leader(engine, &self.record, tracker.asked, reply.position);
                 }
             }
             Err(AttemptError::BackEnd(error)) => {
-                inquiry.answered_without_sample();
+                tracker.answered_without_sample();
                 record_instance_error(engine, &self.record, error);
             }
             Err(AttemptError::Link(ExchangeError::WarmingUp { .. })) => {
-                inquiry.answered_by_peer();
+                tracker.answered_by_peer();
                 engine.directory.avoid_while_full(&self.record.name);
             }
             Err(AttemptError::Link(error)) => {
-                inquiry.answered_by_peer();
+                tracker.answered_by_peer();
                 engine.directory.avoid(&self.record.name);
                 // Avoiding an overloaded owner would move its load to backup owners
                 // that use the same instance.
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -380,7 +380,7 @@
     let user = read_user(&start.user);
     let session = read_session(&statement.values);
     let execution = read_execution(statement);
-    let wanted = ConnectionRequest {
+    let request = ConnectionRequest {
         priority: start.priority,
         target_time: clock::now().plus_millis(u64::from(start.target_latency_left_ms)),
         user: &user,
@@ -388,7 +388,7 @@
         prepared_statement: execution.as_ref().map(|(prepared, _)| prepared),
         deadline,
     };
-    let mut connection = execution::connect(engine, &record, wanted).await?;
+    let mut connection = execution::connect(engine, &record, request).await?;
     let read_only = match start.begin {
         ForwardedBegin::None => return Ok((connection, since)),
         ForwardedBegin::ReadOnly => true,
--- a/crates/millwind-engine/src/lending.rs
+++ b/crates/millwind-engine/src/lending.rs
@@ -49,7 +49,7 @@
     }
 
     /// Counts a caller that requests an operation.
-    pub(crate) fn arrived(&self, now: Instant) {
+    pub(crate) fn count_request(&self, now: Instant) {
         self.state().allowance.count_request(now);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Applies the answer to a request sent at `asked` and wakes the waiting callers.
-    pub(crate) fn lent(&self, loan: Loan, asked: Instant, now: Instant) {
+    pub(crate) fn record_answer(&self, loan: Loan, asked: Instant, now: Instant) {
         let mut state = self.state();
         state.allowance.record_loan(loan, asked, now);
         state.is_request_pending = false;
--- a/crates/millwind-engine/src/metrics.rs
+++ b/crates/millwind-engine/src/metrics.rs
@@ -116,7 +116,7 @@
     pub cold_instances: Gauge,
     /// Statements sent to an instance while it was cold.
     pub cold_arrivals: InstanceCounts,
-    /// Statements refused because a cold instance had reached its limit.
+    /// Statements refused because no warm-up credit of a cold instance was available.
     pub cold_refusals: InstanceCounts,
     /// Zones known to be under evacuation.
     pub evacuated_zones: Gauge,
@@ -199,7 +199,7 @@
         );
         registry.register(
             "cold_refusals",
-            "Statements refused because a cold instance had no warm-up credit left",
+            "Statements refused because no warm-up credit of a cold instance was available",
             metrics.cold_refusals.0.clone(),
         );
         registry.register(
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -121,8 +121,8 @@
     /// Connectivity of the store.
     pub store_contact: Arc<StoreContact>,
     /// Groups for which this node is asking the watchers about the leader.
-    pub leader_inquiries: Arc<InProgressGroups>,
-    /// How this node leaves the deployment, once a stop has begun.
+    pub leader_queries: Arc<InProgressGroups>,
+    /// How this node leaves the deployment, once a stop has started.
     pub departure: watch::Sender<Option<Departure>>,
     /// Peers that did not answer catalog comparisons.
     pub unreachable_peers: UnreachablePeers,
@@ -134,7 +134,7 @@
     pub leader_demands: LeaderDemandTracker,
     /// Quotas of tenants.
     pub quotas: Quotas,
-    /// Limits on statements sent to cold instances.
+    /// Warm-up credits that this node lends and borrows.
     pub warm_up_credits: WarmUpCredits,
     /// Reachability of the other nodes.
     pub peer_reach: PeerReach,
@@ -142,7 +142,7 @@
     pub forwarded_leases: AtomicUsize,
     pub(crate) pools: Pools,
     monitor_wake: Notify,
-    leader_doubted: Notify,
+    leader_suspected: Notify,
     sessions: AtomicUsize,
 }
 
@@ -264,7 +264,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval.saturating_sub(URGENT_INTERVAL)) => {}
-            () = self.leader_doubted.notified() => {}
+            () = self.leader_suspected.notified() => {}
         }
     }
 
@@ -276,7 +276,7 @@
     /// Shortens the current wait of [`Engine::wait_for_instance_batch`], because a group's
     /// leader is uncertain.
     pub fn expedite_instance_batch(&self) {
-        self.leader_doubted.notify_waiters();
+        self.leader_suspected.notify_waiters();
     }
 
     /// Asks the failover monitor to check the groups now.
@@ -516,7 +516,7 @@
         own_keys: Arc::new(own_keys),
         relays,
         store_contact: Arc::new(StoreContact::default()),
-        leader_inquiries: Arc::default(),
+        leader_queries: Arc::default(),
         departure: watch::Sender::new(None),
         unreachable_peers: UnreachablePeers::default(),
         stepping_down: Arc::default(),
@@ -528,7 +528,7 @@
         forwarded_leases: AtomicUsize::new(0),
         pools: Pools::new(ports.backend_codec.clone()),
         monitor_wake: Notify::new(),
-        leader_doubted: Notify::new(),
+        leader_suspected: Notify::new(),
         sessions: AtomicUsize::new(0),
         settings,
     })
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -314,7 +314,7 @@
 /// Asks a sample of the watchers of a group for the last report of its leader, unless such a
 /// query is already running.
 pub(crate) async fn refresh_leader_report(engine: &Arc<Engine>, group: &GroupName) {
-    if let Some(_inquiry) = engine.leader_inquiries.enter(group) {
+    if let Some(_guard) = engine.leader_queries.enter(group) {
         query_leader(engine, group).await;
     }
 }
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -106,7 +106,7 @@
             return Ok(());
         };
         let borrower = self.quotas.borrower(tenant);
-        borrower.arrived(clock::now());
+        borrower.count_request(clock::now());
         loop {
             let loan_answered = borrower.answered.notified();
             match self.try_admit(tenant, quota, &borrower) {
@@ -148,7 +148,7 @@
         if loan.operations == 0 || lender == Lender::Nobody {
             self.log_denial(&tenant, wanted, loan, lender);
         }
-        borrower.lent(loan, asked, clock::now());
+        borrower.record_answer(loan, asked, clock::now());
     }
 
     fn log_denial(&self, tenant: &TenantName, wanted: u32, loan: Loan, lender: Lender) {
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -117,14 +117,14 @@
 ) -> OwnerCandidate {
     OwnerCandidate {
         weight: *weight,
-        nearness: Proximity::between(query.topology, query.zone, &node.zone),
+        proximity: Proximity::between(query.topology, query.zone, &node.zone),
         is_allowed: name.as_str() == own
             || OwnerCandidate::may_forward(query.regions, query.topology, &node.zone),
     }
 }
 
-/// Returns the nodes that can be among the `sought` owners of `query`'s instance: the
-/// heaviest of each combination of nearness and permission.
+/// Returns the nodes that can be among the `counts` owners of `query`'s instance: the
+/// heaviest of each combination of proximity and permission.
 ///
 /// Ranking takes time proportional to the number of nodes, so callers rank only instances
 /// that receive statements.
@@ -132,13 +132,13 @@
     nodes: &'a Nodes,
     query: &OwnerQuery<'_>,
     own: &str,
-    sought: OwnerCounts,
+    counts: OwnerCounts,
 ) -> Vec<WeightedNode<'a>> {
-    let count = sought.owners + sought.backup_owners;
+    let count = counts.owners + counts.backup_owners;
     let mut classes: BTreeMap<(Proximity, bool), Vec<WeightedNode<'a>>> = BTreeMap::new();
     for weighted in weighted_nodes(nodes, query.instance.as_str()) {
         let candidate = owner_candidate(&weighted, query, own);
-        let class = (candidate.nearness, candidate.is_allowed);
+        let class = (candidate.proximity, candidate.is_allowed);
         classes.entry(class).or_default().push(weighted);
     }
     let chosen = classes.into_values().flat_map(|class| heaviest(class, count));
@@ -225,14 +225,14 @@
 
     /// Returns the owners and backup owners of an instance, chosen by rendezvous
     /// hashing among the nearest nodes.
-    pub fn owners(&self, query: &OwnerQuery<'_>, sought: OwnerCounts) -> InstanceOwners {
+    pub fn owners(&self, query: &OwnerQuery<'_>, counts: OwnerCounts) -> InstanceOwners {
         let nodes = self.nodes();
         self.weights_computed
             .fetch_add(nodes.hashes().len() as u64, Ordering::Relaxed);
-        let weighted = owner_shortlist(&nodes, query, &self.node, sought);
+        let weighted = owner_shortlist(&nodes, query, &self.node, counts);
         let candidate = |weighted: &WeightedNode<'_>| owner_candidate(weighted, query, &self.node);
         let candidates: Vec<_> = weighted.iter().map(candidate).collect();
-        let ranked = rank_owners(&candidates, sought);
+        let ranked = rank_owners(&candidates, counts);
         let pick = |indices: Vec<usize>| {
             let chosen = indices.into_iter().map(|index| &weighted[index]);
             chosen.map(|weighted| self.owner(weighted)).collect()
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -76,7 +76,7 @@
     let target_time = operation.target_time();
     let connected = match engine.route(record, &operation.user, &operation.regions).await {
         Route::Local => {
-            let wanted = ConnectionRequest {
+            let request = ConnectionRequest {
                 priority,
                 target_time,
                 user: &operation.user,
@@ -84,7 +84,7 @@
                 prepared_statement: operation.prepared_statement(),
                 deadline: operation.deadline,
             };
-            let connected = execution::connect(engine, record, wanted).await;
+            let connected = execution::connect(engine, record, request).await;
             connected.map(|local| SessionConnection::Local(Box::new(local)))
         }
         Route::Forwarded(link) => {
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -21,7 +21,7 @@
 use crate::node::Engine;
 use crate::statement::{BackEndErrorKind, Reply, Request, Statement, TransactionState};
 
-/// The transaction that a session has begun and not yet ended.
+/// The open transaction of a session.
 #[derive(Debug)]
 pub(super) struct OpenTransaction {
     /// Database and identity at the begin; changes apply to the next transaction.
--- a/crates/millwind-engine/src/settings.rs
+++ b/crates/millwind-engine/src/settings.rs
@@ -32,7 +32,7 @@
     pub grace_ms: u64,
     /// Maximum number of concurrent callers.
     pub maximum_clients: usize,
-    /// Minimum time between actions of two different failover owners, in
+    /// Minimum time between actions of two different failover owners of a group, in
     /// milliseconds; zero if fencing alone separates them.
     pub duty_lease_ms: u64,
     /// Whether a promotion immediately fences the old leader, and orders with an outdated
--- a/crates/millwind-engine/src/warm_up_credits.rs
+++ b/crates/millwind-engine/src/warm_up_credits.rs
@@ -253,7 +253,7 @@
             return Err(self.refuse_behind_urgent(ahead, limits));
         }
         let borrower = self.warm_up_credits.borrower(&record.name);
-        borrower.arrived(clock::now());
+        borrower.count_request(clock::now());
         loop {
             let answered = borrower.answered.notified();
             let (admission, must_ask) = borrower.try_admit(clock::now());
@@ -305,7 +305,7 @@
         tokio::task::yield_now().await;
         let wanted = borrower.wanted(clock::now());
         let (loan, asked) = self.request_credits(&record, wanted).await;
-        borrower.lent(loan, asked, clock::now());
+        borrower.record_answer(loan, asked, clock::now());
     }
 
     /// Requests `wanted` credits from the owners in turn. Returns the first loan, or an
--- a/crates/millwind-node/src/owner/execute.rs
+++ b/crates/millwind-node/src/owner/execute.rs
@@ -403,7 +403,7 @@
         };
         let begin_result = self.begin_transaction(&mut slot, term).await;
         let (connection, answer) = match begin_result {
-            Ok(begun) => begun,
+            Ok(opened) => opened,
             Err(failure) => {
                 self.pins.release(pin);
                 return Err(failure);
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -195,7 +195,7 @@
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// Statements that may be sent to an instance that is warming up.
+    /// Warm-up credits of an instance.
     #[brw(magic = 2u8)]
     Instance {
         /// Name of the instance.
@@ -226,7 +226,7 @@
     pub call: u64,
     /// Subject of the loan.
     pub subject: LoanSubject,
-    /// Requested number of operations or statements.
+    /// Requested number of operations or credits.
     pub wanted: u32,
 }
 
@@ -240,7 +240,7 @@
     /// 1 if the node is the lender of the subject or gives its vote; if 0, the other
     /// fields have no meaning.
     pub is_granted: u8,
-    /// Number of operations or statements that may be admitted.
+    /// Number of operations or credits that are lent.
     pub operations: u32,
     /// Delay after which rejected clients may retry, in milliseconds.
     pub retry_after_ms: u32,
