--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -52,7 +52,7 @@
     Protocol,
     /// The statement may not use the instance or the route to it.
     #[error("instance not eligible: {}", .0.name())]
-    IneligibleReason(IneligibleReason),
+    Ineligible(IneligibleReason),
     /// The instance is warming up and accepts no further statements for now.
     #[error("the instance is warming up and accepts no further statements for now")]
     WarmingUp {
@@ -78,7 +78,7 @@
             ExchangeError::ReplyTimeout => "silent",
             ExchangeError::NoPermit => "no_permit",
             ExchangeError::Protocol => "protocol",
-            ExchangeError::IneligibleReason(reason) => reason.name(),
+            ExchangeError::Ineligible(reason) => reason.name(),
             ExchangeError::WarmingUp { .. } => "warming_up",
         }
     }
@@ -139,10 +139,8 @@
         match self {
             ExchangeError::QueueTimeout => ErrorKind::QueueFull,
             ExchangeError::NoObservation => ErrorKind::NoPrimary,
-            ExchangeError::IneligibleReason(IneligibleReason::RegionNotAllowed) => {
-                ErrorKind::RegionNotAllowed
-            }
-            ExchangeError::IneligibleReason(IneligibleReason::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
+            ExchangeError::Ineligible(IneligibleReason::RegionNotAllowed) => ErrorKind::RegionNotAllowed,
+            ExchangeError::Ineligible(IneligibleReason::ZoneEvacuated) => ErrorKind::ZoneEvacuated,
             ExchangeError::WarmingUp { .. } => ErrorKind::WarmingUp,
             _ => ErrorKind::BackEndUnreachable,
         }
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -356,7 +356,7 @@
     }
 
     /// Takes the live idle connection of `user` that needs the fewest steps to match `session`.
-    /// Dead connections found on the way are dropped. Fails if the pool is retired.
+    /// Closed connections found in the process are dropped. Fails if the pool is retired.
     fn take_idle(
         &self,
         user: &ConnectionUser,
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -35,8 +35,8 @@
 pub use contact::InstanceHealth;
 use lives::{PreviousLog, SteppedDown, start_incarnation};
 
-/// Most log lines per second about the records of single instances. A starting node reads
-/// the records of all instances within seconds.
+/// Maximum number of log lines per second about the records of single instances. A starting
+/// node reads the records of all instances within seconds.
 const INSTANCE_LINES_PER_SECOND: u64 = 20;
 
 /// What this node knows about one instance.
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -188,7 +188,7 @@
             return Ok(());
         };
         match begins_on_replica || self.is_evacuation_due(since) {
-            true => Err(AttemptError::Link(ExchangeError::IneligibleReason(
+            true => Err(AttemptError::Link(ExchangeError::Ineligible(
                 IneligibleReason::ZoneEvacuated,
             ))),
             false => Ok(()),
@@ -200,7 +200,7 @@
         let mut changes = self.directory.evacuation_changes();
         loop {
             let Some(since) = self.directory.evacuated_since(zone) else {
-                // Fails only if the sender is gone, which lives as long as the node.
+                // The sender lives as long as the node, so this cannot fail.
                 let _ = changes.changed().await;
                 continue;
             };
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -53,7 +53,7 @@
     /// attempt failed for that reason.
     pub const fn ineligible(&self) -> Option<IneligibleReason> {
         match self {
-            AttemptError::Link(ExchangeError::IneligibleReason(reason)) => Some(*reason),
+            AttemptError::Link(ExchangeError::Ineligible(reason)) => Some(*reason),
             _ => None,
         }
     }
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -448,7 +448,7 @@
             replicas.retain(|known| !known.contact.is_unhealthy());
         }
         let demand = engine.leader_demands.total_demand(group);
-        let worth_in = |known: &KnownInstance| demand.served_in(engine.region_of(known));
+        let served_demand = |known: &KnownInstance| demand.served_in(engine.region_of(known));
         if replacement.reason.is_planned_move() {
             tokio::time::sleep(CATCH_UP_DELAY).await;
         }
@@ -478,7 +478,7 @@
                 received: status.received,
                 is_leaving: known.is_leaving,
                 is_evacuated: engine.directory.evacuated_since(&known.record.zone).is_some(),
-                servable_share: worth_in(known),
+                servable_share: served_demand(known),
                 is_cold: known.warm_up_status.is_cold(clock::now()),
                 is_named_in_order: previously_chosen.as_ref() == Some(&known.record.name),
                 is_in_own_zone: known.record.zone.as_str() == engine.settings.zone,
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -46,15 +46,9 @@
     (9, ExchangeError::NoObservation),
     (10, ExchangeError::OwnerUnreachable),
     (11, ExchangeError::NoPermit),
-    (
-        12,
-        ExchangeError::IneligibleReason(IneligibleReason::RegionNotAllowed),
-    ),
-    (
-        13,
-        ExchangeError::IneligibleReason(IneligibleReason::ZoneEvacuated),
-    ),
-    (14, ExchangeError::IneligibleReason(IneligibleReason::Leaving)),
+    (12, ExchangeError::Ineligible(IneligibleReason::RegionNotAllowed)),
+    (13, ExchangeError::Ineligible(IneligibleReason::ZoneEvacuated)),
+    (14, ExchangeError::Ineligible(IneligibleReason::Leaving)),
 ];
 
 fn micros_since(time: Instant) -> u64 {
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -336,7 +336,7 @@
         .check_eligibility(&known, usage, &AllowedRegions::Any)
         .map_err(|reason| match reason {
             IneligibleReason::Leaving => ExchangeError::PoolRetired,
-            reason => ExchangeError::IneligibleReason(reason),
+            reason => ExchangeError::Ineligible(reason),
         })
         .map_err(AttemptError::Link)?;
     let contact = &known.contact;
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -479,7 +479,7 @@
     }
 }
 
-/// Returns the time after which an instance without a record counts as gone: two
+/// Returns the time after which an instance without a record counts as removed: two
 /// heartbeats, limited to a third of the drain bound.
 fn gone_grace_ms(settings: &EngineSettings) -> u64 {
     (settings.heartbeat_ms * 2).min(settings.drain_bound_ms / 3)
@@ -585,7 +585,7 @@
     tokio::spawn(monitor.run());
 }
 
-/// Closes the pools of instances that are gone, and adjusts connection shares when the
+/// Closes the pools of removed instances, and adjusts connection shares when the
 /// set of nodes changes.
 async fn housekeeping(engine: Arc<Engine>) {
     let mut seen_version = 0;
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -285,7 +285,7 @@
 }
 
 fn ineligible(reason: IneligibleReason) -> AttemptError {
-    AttemptError::Link(ExchangeError::IneligibleReason(reason))
+    AttemptError::Link(ExchangeError::Ineligible(reason))
 }
 
 /// Returns the timeout after which a leader read is retried through another owner,
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -174,7 +174,7 @@
         reason.name(),
         operation.regions
     );
-    Refusal::new(ExchangeError::IneligibleReason(reason).kind(), detail)
+    Refusal::new(ExchangeError::Ineligible(reason).kind(), detail)
 }
 
 /// Waits for the delay that applies to a failed attempt before it is retried.
