--- a/crates/millwind-core/tests/catalog_freshness.rs
+++ b/crates/millwind-core/tests/catalog_freshness.rs
@@ -42,7 +42,7 @@
     Instances,
     Read,
     Unwatched,
-    Told(u64),
+    FromPeer(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -50,7 +50,7 @@
         Just(Event::Instances),
         Just(Event::Read),
         Just(Event::Unwatched),
-        (0_u64..5_000).prop_map(Event::Told),
+        (0_u64..5_000).prop_map(Event::FromPeer),
     ]
 }
 
@@ -76,7 +76,7 @@
                     freshness.configuration_watch_ended();
                     is_watched = false;
                 }
-                Event::Told(age) => {
+                Event::FromPeer(age) => {
                     freshness.received_from_peer(at(now - age));
                     last_known = last_known.max(now - age);
                 }
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -75,7 +75,7 @@
             let config = self.directory.config();
             let has_restrictions =
                 config.is_some_and(|config| config.allowed_regions().any(|regions| !regions.is_any()));
-            self.leader_demands.count(has_restrictions);
+            self.leader_demands.set_counted(has_restrictions);
             self.warn_about_regions();
             self.pools.set_shares(|record| self.connection_share(record));
             for known in self.directory.instances() {
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -38,9 +38,9 @@
     pub latency_us: u64,
     /// Moving average of health check latency, in microseconds; none before the first check.
     pub check_us: Option<u64>,
-    /// Whether a peer has reported doubts about the instance since its last response or
+    /// Whether a peer has reported that it suspects the instance since its last response or
     /// health check.
-    pub has_peer_doubt: bool,
+    pub is_suspected_by_peer: bool,
     /// Outcomes of recent statements, independent of health checks.
     pub statements: StatementHealth,
     /// Reads avoid the instance until this time.
@@ -127,7 +127,7 @@
             info!("event=instance_regained instance={instance}");
         }
         contact.is_refusing = false;
-        contact.has_peer_doubt = false;
+        contact.is_suspected_by_peer = false;
         if let Some(sample) = latency_us {
             contact.statements.record_response(clock::now());
             contact.latency_us = (contact.latency_us * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
@@ -137,7 +137,7 @@
     /// Records that a health check of `instance` starts.
     pub fn record_check_started(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.has_peer_doubt = false;
+            known.contact.is_suspected_by_peer = false;
         }
     }
 
@@ -149,10 +149,10 @@
         }
     }
 
-    /// Records that a peer has doubts about `instance`.
-    pub fn record_peer_doubt(&self, instance: &InstanceName) {
+    /// Records that a peer suspects `instance` of having failed.
+    pub fn record_peer_suspicion(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.has_peer_doubt = true;
+            known.contact.is_suspected_by_peer = true;
         }
     }
 
@@ -227,7 +227,7 @@
                 OTHER_ZONE_LATENCY_US
             },
             check_us: None,
-            has_peer_doubt: false,
+            is_suspected_by_peer: false,
             statements: StatementHealth::default(),
             avoid_until: Instant::default(),
         }
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -62,7 +62,7 @@
     let now = clock::now();
     let age = |time: Option<Instant>| time.map_or(u64::MAX, |time| now.millis_since(time));
     let contact_age_ms = age(known.contact.last_success);
-    if known.contact.has_peer_doubt {
+    if known.contact.is_suspected_by_peer {
         return true;
     }
     let (last_use, _) = engine.directory.usage(group);
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -76,7 +76,7 @@
 
     /// Turns counting on or off. Without region restrictions the demand never moves a
     /// leader, so that counting would only cost lock contention.
-    pub fn count(&self, is_counted: bool) {
+    pub fn set_counted(&self, is_counted: bool) {
         self.is_counted.store(is_counted, Ordering::Relaxed);
     }
 
--- a/crates/millwind-engine/src/peers/server.rs
+++ b/crates/millwind-engine/src/peers/server.rs
@@ -81,7 +81,7 @@
         }
         ExchangeRequest::Reach { instance } => {
             let instance = InstanceName::from(instance.as_str());
-            engine.directory.record_peer_doubt(&instance);
+            engine.directory.record_peer_suspicion(&instance);
             engine.wake_monitor();
             ExchangeReply::Reach(reachability(engine, &instance))
         }
