--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -75,7 +75,7 @@
             let config = self.directory.config();
             let has_restrictions =
                 config.is_some_and(|config| config.allowed_regions().any(|regions| !regions.is_any()));
-            self.leader_demands.count(has_restrictions);
+            self.leader_demands.set_counted(has_restrictions);
             self.warn_about_regions();
             self.pools.set_shares(|record| self.connection_share(record));
             for known in self.directory.instances() {
@@ -86,7 +86,7 @@
     }
 
     /// Opens connections in advance to an instance of a configured group if this node runs
-    /// statements on it. Stand-ins for owners connect on demand, which limits the number of
+    /// statements on it. Backup owners connect on demand, which limits the number of
     /// connections and the cost of ranking nodes at each configuration change.
     fn open_ahead(&self, record: &InstanceRecord) {
         let is_configured = self.directory.group_limits(&record.group).is_some();
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -1,5 +1,5 @@
 //! Probes leaders, and searches for a leader if none is known. The probe is an empty
-//! transaction: it takes no connection slot, only a leader accepts it, and the answer contains
+//! transaction: it takes no execution slot, only a leader accepts it, and the answer contains
 //! the position of the leader.
 
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 /// Time since the last successful contact below which a leader is not probed, in milliseconds.
 const CONTACT_MAX_AGE_MS: u64 = 250;
-/// Timeout for opening a connection, in milliseconds. On a busy instance the open waits for a
-/// turn among its statements.
+/// Timeout for opening a connection, in milliseconds. On a busy instance, opening a
+/// connection queues behind its statements.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Response timeout as a multiple of the mean response time.
 const RESPONSE_TIMEOUT_FACTOR: u64 = 6;
@@ -62,7 +62,7 @@
     let now = clock::now();
     let age = |time: Option<Instant>| time.map_or(u64::MAX, |time| now.millis_since(time));
     let contact_age_ms = age(known.contact.last_success);
-    if known.contact.has_peer_doubt {
+    if known.contact.is_suspected_by_peer {
         return true;
     }
     let (last_use, _) = engine.directory.usage(group);
@@ -161,7 +161,7 @@
 fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &ExchangeError) {
     // A refused connection alone is no evidence, since an instance at its connection limit
     // refuses connections. An instance that keeps refusing this node is unusable, though. While
-    // statements open connections too, a probe may not even get a turn.
+    // statements open connections too, a probe may not even get an execution slot.
     let is_refused = matches!(
         error,
         ExchangeError::ClosedDuringStartup | ExchangeError::QueueTimeout
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -46,15 +46,9 @@
     (9, ExchangeError::NoObservation),
     (10, ExchangeError::OwnerUnreachable),
     (11, ExchangeError::NoPermit),
-    (
-        12,
-        ExchangeError::IneligibleReason(IneligibleReason::RegionNotAllowed),
-    ),
-    (
-        13,
-        ExchangeError::IneligibleReason(IneligibleReason::ZoneEvacuated),
-    ),
-    (14, ExchangeError::IneligibleReason(IneligibleReason::Leaving)),
+    (12, ExchangeError::Ineligible(IneligibleReason::RegionNotAllowed)),
+    (13, ExchangeError::Ineligible(IneligibleReason::ZoneEvacuated)),
+    (14, ExchangeError::Ineligible(IneligibleReason::Leaving)),
 ];
 
 fn micros_since(time: Instant) -> u64 {
@@ -83,10 +77,10 @@
     match floor {
         MinimumReadPosition::Any => ForwardedFloor::Any,
         MinimumReadPosition::Position(position) => ForwardedFloor::Position(write_position(*position)),
-        MinimumReadPosition::Staleness(terms) => ForwardedFloor::Staleness {
-            arrived_ago_us: micros_since(terms.arrived),
-            staleness_ms: terms.staleness_ms,
-            written: terms.written.iter().map(write_commit).collect(),
+        MinimumReadPosition::Staleness(bound) => ForwardedFloor::Staleness {
+            arrived_ago_us: micros_since(bound.arrived),
+            staleness_ms: bound.staleness_ms,
+            written: bound.written.iter().map(write_commit).collect(),
         },
     }
 }
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -81,7 +81,7 @@
 /// Safety margin subtracted from the time in which a draining leader is still used.
 const DRAIN_MARGIN_MS: u64 = 1_500;
 
-/// Life-cycle phase of the process.
+/// Lifecycle phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// The node serves callers.
@@ -104,7 +104,7 @@
     pub request_log: RequestLog,
     /// Budget for hedged reads.
     pub retry_budget: SharedBudget,
-    /// Life-cycle phase of the process.
+    /// Lifecycle phase of the process.
     pub phase: watch::Sender<Phase>,
     /// Registered nodes of the deployment.
     pub registry: Arc<Registry>,
@@ -121,8 +121,8 @@
     /// Connectivity of the store.
     pub store_contact: Arc<StoreContact>,
     /// Groups for which this node is asking the watchers about the leader.
-    pub leader_inquiries: Arc<InProgressGroups>,
-    /// How this node leaves the deployment, once a stop has begun.
+    pub leader_queries: Arc<InProgressGroups>,
+    /// How this node leaves the deployment, once a stop has started.
     pub departure: watch::Sender<Option<Departure>>,
     /// Peers that did not answer catalog comparisons.
     pub unreachable_peers: UnreachablePeers,
@@ -134,15 +134,15 @@
     pub leader_demands: LeaderDemandTracker,
     /// Quotas of tenants.
     pub quotas: Quotas,
-    /// Limits on statements sent to cold instances.
-    pub cold_places: WarmUpCredits,
+    /// Warm-up credits that this node lends and borrows.
+    pub warm_up_credits: WarmUpCredits,
     /// Reachability of the other nodes.
     pub peer_reach: PeerReach,
     /// Number of connections leased to other nodes.
     pub forwarded_leases: AtomicUsize,
     pub(crate) pools: Pools,
     monitor_wake: Notify,
-    leader_doubted: Notify,
+    leader_suspected: Notify,
     sessions: AtomicUsize,
 }
 
@@ -264,7 +264,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval.saturating_sub(URGENT_INTERVAL)) => {}
-            () = self.leader_doubted.notified() => {}
+            () = self.leader_suspected.notified() => {}
         }
     }
 
@@ -276,7 +276,7 @@
     /// Shortens the current wait of [`Engine::wait_for_instance_batch`], because a group's
     /// leader is uncertain.
     pub fn expedite_instance_batch(&self) {
-        self.leader_doubted.notify_waiters();
+        self.leader_suspected.notify_waiters();
     }
 
     /// Asks the failover monitor to check the groups now.
@@ -399,13 +399,13 @@
             gone_grace_ms(&settings),
             settings.promotion_fences,
         ));
-        let duties = Arc::new(FailoverOwnership::new(
+        let ownership = Arc::new(FailoverOwnership::new(
             ports.store.clone(),
             format!("{}duty/", ports.catalog_codec.own_prefix()),
             settings.name.clone(),
             directory.clone(),
         ));
-        let engine = new_engine(settings, &ports, engine_metrics, directory, duties.clone());
+        let engine = new_engine(settings, &ports, engine_metrics, directory, ownership.clone());
         info!(
             "event=node_started name={} zone={} clients={} peers={}",
             engine.settings.name,
@@ -414,7 +414,7 @@
             engine.settings.peer_address
         );
         let exchange = CatalogExchange::new(engine.clone(), ports.catalog_codec.clone());
-        start_store_watches(&engine, ports, duties);
+        start_store_watches(&engine, ports, ownership);
         tokio::spawn(relays::decide_source_at_start(engine.clone()));
         tokio::spawn(exchange.run());
         tokio::spawn(peers::serve(peers, engine.clone()));
@@ -479,7 +479,7 @@
     }
 }
 
-/// Returns the time after which an instance without a record counts as gone: two
+/// Returns the time after which an instance without a record counts as removed: two
 /// heartbeats, limited to a third of the drain bound.
 fn gone_grace_ms(settings: &EngineSettings) -> u64 {
     (settings.heartbeat_ms * 2).min(settings.drain_bound_ms / 3)
@@ -490,7 +490,7 @@
     ports: &Ports<S>,
     metrics: Metrics,
     directory: Arc<Directory>,
-    duties: Arc<FailoverOwnership<S>>,
+    ownership: Arc<FailoverOwnership<S>>,
 ) -> Arc<Engine> {
     let nodes_prefix = format!("{}nodes/", ports.catalog_codec.own_prefix());
     let registry = Arc::new(Registry::new(
@@ -500,8 +500,8 @@
     ));
     let zones = settings.topology.zone_count();
     let relays = Relays::new(&settings.zone, zones, settings.config_bound_ms);
-    let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), duties];
-    let own_keys = SystemKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
+    let own_followers: Vec<Arc<dyn Follower>> = vec![registry.clone(), ownership];
+    let own_keys = OwnKeys::new(own_followers, relays.reading()).with_zone_first(registry.clone());
     Arc::new(Engine {
         directory,
         caller_codec: ports.caller_codec.clone(),
@@ -516,19 +516,19 @@
         own_keys: Arc::new(own_keys),
         relays,
         store_contact: Arc::new(StoreContact::default()),
-        leader_inquiries: Arc::default(),
+        leader_queries: Arc::default(),
         departure: watch::Sender::new(None),
         unreachable_peers: UnreachablePeers::default(),
         stepping_down: Arc::default(),
         owners: OwnerRouter::new(settings.topology.clone()),
         leader_demands: LeaderDemandTracker::default(),
         quotas: Quotas::default(),
-        cold_places: WarmUpCredits::default(),
+        warm_up_credits: WarmUpCredits::default(),
         peer_reach: PeerReach::default(),
         forwarded_leases: AtomicUsize::new(0),
         pools: Pools::new(ports.backend_codec.clone()),
         monitor_wake: Notify::new(),
-        leader_doubted: Notify::new(),
+        leader_suspected: Notify::new(),
         sessions: AtomicUsize::new(0),
         settings,
     })
@@ -537,7 +537,7 @@
 fn start_store_watches<S: Store + 'static>(
     engine: &Arc<Engine>,
     ports: Ports<S>,
-    duties: Arc<FailoverOwnership<S>>,
+    ownership: Arc<FailoverOwnership<S>>,
 ) {
     let catalog = &ports.catalog_codec;
     let config = ConfigFollower::new(engine.clone(), catalog.clone());
@@ -577,7 +577,7 @@
     }
     let monitor = FailoverMonitor::new(
         engine.clone(),
-        duties,
+        ownership,
         ports.promoter.clone(),
         ports.catalog_codec.clone(),
     );
@@ -585,7 +585,7 @@
     tokio::spawn(monitor.run());
 }
 
-/// Closes the pools of instances that are gone, and adjusts connection shares when the
+/// Closes the pools of removed instances, and adjusts connection shares when the
 /// set of nodes changes.
 async fn housekeeping(engine: Arc<Engine>) {
     let mut seen_version = 0;
--- a/crates/millwind-wire/src/forward.rs
+++ b/crates/millwind-wire/src/forward.rs
@@ -195,7 +195,7 @@
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// Statements that may be sent to an instance that is warming up.
+    /// Warm-up credits of an instance.
     #[brw(magic = 2u8)]
     Instance {
         /// Name of the instance.
@@ -203,7 +203,7 @@
         #[bw(write_with = text::write_text)]
         name: String,
     },
-    /// A promise to accept no other lender for an instance for a limited time.
+    /// A vote for the lender of an instance, which excludes other lenders for a limited time.
     #[brw(magic = 3u8)]
     LenderVote {
         /// Name of the instance.
@@ -217,7 +217,7 @@
     },
 }
 
-/// A request for a loan, or for a promise to a lender.
+/// A request for a loan, or for a vote for a lender.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -226,7 +226,7 @@
     pub call: u64,
     /// Subject of the loan.
     pub subject: LoanSubject,
-    /// Requested number of operations or statements.
+    /// Requested number of operations or credits.
     pub wanted: u32,
 }
 
@@ -237,10 +237,10 @@
 pub struct LoanReply {
     /// Number of the call.
     pub call: u64,
-    /// 1 if the node is the lender of the subject or gives the promise; if 0, the other
+    /// 1 if the node is the lender of the subject or gives its vote; if 0, the other
     /// fields have no meaning.
     pub is_granted: u8,
-    /// Number of operations or statements that may be admitted.
+    /// Number of operations or credits that are lent.
     pub operations: u32,
     /// Delay after which rejected clients may retry, in milliseconds.
     pub retry_after_ms: u32,
