--- a/crates/millwind-engine/src/metrics.rs
+++ b/crates/millwind-engine/src/metrics.rs
@@ -179,12 +179,12 @@
         );
         registry.register(
             "quota_refusals",
-            "Operations refused because their tenant exceeded its quota",
+            "Operations refused since their tenant was over its quota",
             metrics.quota_refusals.clone(),
         );
         registry.register(
             "quota_loans",
-            "Loans of tenants' operations that this node requested",
+            "Loans of tenants' operations that this node asked for",
             metrics.quota_loans.clone(),
         );
         registry.register(
@@ -199,7 +199,7 @@
         );
         registry.register(
             "cold_refusals",
-            "Statements refused because no warm-up credit of a cold instance was available",
+            "Statements that found no place at an instance while it was cold",
             metrics.cold_refusals.0.clone(),
         );
         registry.register(
@@ -214,12 +214,12 @@
         );
         registry.register(
             "evacuated_leaders",
-            "Groups whose leader is in an evacuated zone",
+            "Groups whose leader stands in an evacuated zone",
             metrics.evacuated_leaders.clone(),
         );
         registry.register(
             "evacuated_transactions",
-            "Transactions ended because the zone of their instance is being evacuated",
+            "Transactions ended since the zone of their instance is evacuated",
             metrics.evacuated_transactions.clone(),
         );
         registry.register(
@@ -235,28 +235,28 @@
         registry.register("promotions", "Promotions ordered", metrics.promotions.clone());
         registry.register(
             "lead_relocations",
-            "Hand-overs started because customers' region restrictions exclude the leader's region",
+            "Hand-overs begun since customers' terms exclude the leader's region",
             metrics.lead_relocations.clone(),
         );
         registry.register(
             "step_downs",
-            "Leaders that stepped down on request",
+            "Leaders that stepped down when told to",
             metrics.step_downs.clone(),
         );
         registry.register(
             "permits_waited_out",
-            "Promotions that waited until permits had expired",
+            "Promotions that waited until permits had run out",
             metrics.permits_waited_out.clone(),
         );
         registry.register(
             "answers_without_permit",
-            "Answers rejected because another instance may have been the leader",
+            "Answers that did not count, since another instance may have led",
             metrics.answers_without_permit.clone(),
         );
         registry.register("sessions", "Sessions opened", metrics.sessions.clone());
         registry.register(
             "groups_judged",
-            "Groups for which this node evaluated whether to monitor them",
+            "Groups of which this node asked itself whether it keeps an eye on them",
             metrics.groups_evaluated.clone(),
         );
         registry.register(
@@ -271,12 +271,12 @@
         );
         registry.register(
             "config_age_seconds",
-            "Age of a configuration when it is activated, since a node first read it",
+            "Age of a configuration when it is put in force, from when some node first read it",
             metrics.config_age.clone(),
         );
         registry.register(
             "forwarded_out",
-            "Statements forwarded to nodes that own connections",
+            "Statements passed on to nodes that own connections",
             metrics.forwarded_out.clone(),
         );
         registry.register(
@@ -291,7 +291,7 @@
         );
         registry.register(
             "lives_begun",
-            "Instances that restarted under the same name",
+            "Instances that began anew under the name that they had",
             metrics.instance_restarts.clone(),
         );
         Metrics { registry, ..metrics }
