--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -36,7 +36,7 @@
 
 /// Validity of a node's permit for a leader's term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Permit {
+pub enum LeadPermit {
     /// Answers count, and new statements may be sent.
     Valid,
     /// The term is being closed: answers still count, but no new statements may be sent.
@@ -47,10 +47,10 @@
     Expired,
 }
 
-impl Permit {
+impl LeadPermit {
     /// Returns whether an answer that arrives now counts.
     pub const fn covers_answer(self) -> bool {
-        matches!(self, Permit::Valid | Permit::Draining)
+        matches!(self, LeadPermit::Valid | LeadPermit::Draining)
     }
 }
 
@@ -103,17 +103,17 @@
 
     /// Returns the permit for a leader of `term` at `now`, on a node that last read all closed
     /// terms at `confirmed`.
-    pub fn permit(&self, term: Term, now: Instant, confirmed: Option<Instant>) -> Permit {
+    pub fn permit(&self, term: Term, now: Instant, confirmed: Option<Instant>) -> LeadPermit {
         if !are_permits_valid(now, confirmed) {
-            return Permit::Expired;
+            return LeadPermit::Expired;
         }
         if term > self.newest_closed {
-            return Permit::Valid;
+            return LeadPermit::Valid;
         }
         let is_draining = term > self.handed_back && now < self.draining_until;
         match is_draining {
-            true => Permit::Draining,
-            false => Permit::Closed,
+            true => LeadPermit::Draining,
+            false => LeadPermit::Closed,
         }
     }
 }
--- a/crates/millwind-core/tests/lead_permit.rs
+++ b/crates/millwind-core/tests/lead_permit.rs
@@ -2,7 +2,7 @@
 
 use millwind_core::Instant;
 use millwind_core::lead_permit::{
-    ClosedTerms, DRAIN_MS, PERMIT_MS, Permit, Revocation, may_promote, term_to_close,
+    ClosedTerms, DRAIN_MS, LeadPermit, PERMIT_MS, Revocation, may_promote, term_to_close,
 };
 use millwind_core::position::Term;
 use proptest::prelude::*;
@@ -13,10 +13,10 @@
 fn a_permit_expires_without_a_recent_read_of_closed_terms() {
     let terms = ClosedTerms::default();
     let last = START.plus_millis(PERMIT_MS - 1);
-    assert_eq!(terms.permit(Term(1), last, Some(START)), Permit::Valid);
+    assert_eq!(terms.permit(Term(1), last, Some(START)), LeadPermit::Valid);
     let after = START.plus_millis(PERMIT_MS);
-    assert_eq!(terms.permit(Term(1), after, Some(START)), Permit::Expired);
-    assert_eq!(terms.permit(Term(1), START, None), Permit::Expired);
+    assert_eq!(terms.permit(Term(1), after, Some(START)), LeadPermit::Expired);
+    assert_eq!(terms.permit(Term(1), START, None), LeadPermit::Expired);
 }
 
 #[test]
@@ -28,10 +28,10 @@
         "closing a closed term again must return false"
     );
     let soon = START.plus_millis(DRAIN_MS - 1);
-    assert_eq!(terms.permit(Term(3), soon, Some(START)), Permit::Draining);
+    assert_eq!(terms.permit(Term(3), soon, Some(START)), LeadPermit::Draining);
     let later = START.plus_millis(DRAIN_MS);
-    assert_eq!(terms.permit(Term(3), later, Some(START)), Permit::Closed);
-    assert_eq!(terms.permit(Term(4), later, Some(START)), Permit::Valid);
+    assert_eq!(terms.permit(Term(3), later, Some(START)), LeadPermit::Closed);
+    assert_eq!(terms.permit(Term(4), later, Some(START)), LeadPermit::Valid);
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let mut terms = ClosedTerms::default();
     terms.close(Term(3), START, Some(START));
     terms.return_permits(Term(3));
-    assert_eq!(terms.permit(Term(3), START, Some(START)), Permit::Closed);
+    assert_eq!(terms.permit(Term(3), START, Some(START)), LeadPermit::Closed);
 }
 
 #[test]
@@ -49,8 +49,8 @@
     terms.return_permits(Term(3));
     terms.close(Term(4), START.plus_millis(1_000), Some(START));
     let now = START.plus_millis(1_001);
-    assert_eq!(terms.permit(Term(3), now, Some(START)), Permit::Closed);
-    assert_eq!(terms.permit(Term(4), now, Some(START)), Permit::Draining);
+    assert_eq!(terms.permit(Term(3), now, Some(START)), LeadPermit::Closed);
+    assert_eq!(terms.permit(Term(4), now, Some(START)), LeadPermit::Draining);
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let mut terms = ClosedTerms::default();
     let late = START.plus_millis(PERMIT_MS + 1);
     terms.close(Term(3), late, Some(START));
-    assert_eq!(terms.permit(Term(3), late, Some(late)), Permit::Closed);
+    assert_eq!(terms.permit(Term(3), late, Some(late)), LeadPermit::Closed);
 }
 
 /// Event times of one node and the store around a promotion, in milliseconds.
--- a/crates/millwind-engine/src/catalog_watch.rs
+++ b/crates/millwind-engine/src/catalog_watch.rs
@@ -75,7 +75,7 @@
         self.engine.relays.configuration_watch_ended();
     }
 
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.engine.relays.reading())
     }
 
@@ -148,7 +148,7 @@
         self.engine.record_store_contact();
     }
 
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.engine.relays.reading())
     }
 
--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -78,7 +78,7 @@
         let is_reachable = self
             .directory
             .instance(&record.name)
-            .is_none_or(|known| known.contact.failing_since.is_none());
+            .is_none_or(|known| known.health.failing_since.is_none());
         let request = RouteRequest {
             registry: &self.registry,
             record,
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -74,7 +74,7 @@
     }
 
     /// What peers reported about an instance within the last `max_age_ms`.
-    pub fn testimony(&self, instance: &InstanceName, max_age_ms: u64) -> Option<PeerReachability> {
+    pub fn peer_report(&self, instance: &InstanceName, max_age_ms: u64) -> Option<PeerReachability> {
         let state = self.state();
         let (reported_at, reachability) = state.instances.get(instance)?.peer_report?;
         (clock::now().millis_since(reported_at) <= max_age_ms).then_some(reachability)
@@ -87,7 +87,7 @@
         state
             .instances
             .get(instance)
-            .is_none_or(|known| known.contact.failing_since.is_some())
+            .is_none_or(|known| known.health.failing_since.is_some())
     }
 
     /// Makes reads avoid an instance for a short time.
@@ -104,14 +104,14 @@
     fn avoid_for(&self, instance: &InstanceName, avoid_ms: u64) {
         if let Some(known) = self.state().instances.get_mut(instance) {
             let until = clock::now().plus_millis(avoid_ms);
-            known.contact.avoid_until = known.contact.avoid_until.max(until);
+            known.health.avoid_until = known.health.avoid_until.max(until);
         }
     }
 
     /// Records that a statement was sent to `instance`.
     pub fn record_statement_sent(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.statements.record_sent(clock::now());
+            known.health.statements.record_sent(clock::now());
         }
     }
 
@@ -121,7 +121,7 @@
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        let contact = &mut known.contact;
+        let contact = &mut known.health;
         contact.last_success = Some(clock::now());
         if contact.failing_since.take().is_some() {
             info!("event=instance_regained instance={instance}");
@@ -137,29 +137,29 @@
     /// Records that a health check of `instance` starts.
     pub fn record_check_started(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.is_suspected_by_peer = false;
+            known.health.is_suspected_by_peer = false;
         }
     }
 
     /// Records that a health check of `instance` took `micros`.
     pub fn record_check_latency(&self, instance: &InstanceName, micros: u64) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            let mean = known.contact.check_us.unwrap_or(micros);
-            known.contact.check_us = Some((mean * (LATENCY_WEIGHT - 1) + micros) / LATENCY_WEIGHT);
+            let mean = known.health.check_us.unwrap_or(micros);
+            known.health.check_us = Some((mean * (LATENCY_WEIGHT - 1) + micros) / LATENCY_WEIGHT);
         }
     }
 
     /// Records that a peer suspects `instance` of having failed.
     pub fn record_peer_suspicion(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.is_suspected_by_peer = true;
+            known.health.is_suspected_by_peer = true;
         }
     }
 
     /// Records that a statement on `instance` is no longer pending.
     pub fn record_statement_finished(&self, instance: &InstanceName, was_answered: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.statements.record_end(was_answered);
+            known.health.statements.record_end(was_answered);
         }
     }
 
@@ -167,7 +167,7 @@
     /// against the instance.
     pub fn record_outcome(&self, instance: &InstanceName, succeeded: bool) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            let statements = &mut known.contact.statements;
+            let statements = &mut known.health.statements;
             if succeeded {
                 statements.record_success(clock::now());
             } else {
@@ -181,7 +181,7 @@
     pub fn reset_silence(&self) {
         let now = clock::now();
         for known in self.state().instances.values_mut() {
-            known.contact.statements.record_response(now);
+            known.health.statements.record_response(now);
         }
     }
 
@@ -192,7 +192,7 @@
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        let contact = &mut known.contact;
+        let contact = &mut known.health;
         contact.avoid_until = clock::now().plus_millis(FAILURE_AVOID_MS);
         if contact.last_success.is_some_and(|success| success > asked) {
             return;
@@ -210,7 +210,7 @@
     /// Makes reads avoid `instance`, which lagged behind the position that a read requires.
     pub fn avoid_lagging(&self, instance: &InstanceName) {
         if let Some(known) = self.state().instances.get_mut(instance) {
-            known.contact.avoid_until = clock::now().plus_millis(LAGGING_AVOID_MS);
+            known.health.avoid_until = clock::now().plus_millis(LAGGING_AVOID_MS);
         }
     }
 
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -56,7 +56,7 @@
     /// be decoded, or the record has been absent for longer than the grace period.
     pub is_leaving: bool,
     /// How the instance has responded to this node.
-    pub contact: InstanceHealth,
+    pub health: InstanceHealth,
     /// What peers last reported about the instance, and when.
     pub peer_report: Option<(Instant, PeerReachability)>,
     /// Observations of the current incarnation from which `warm_up_status` is computed.
@@ -328,7 +328,7 @@
             self.leaders_changed.notify_waiters();
         }
         let known = KnownInstance {
-            contact: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.contact),
+            health: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.health),
             peer_report: same_incarnation.and_then(|known| known.peer_report),
             incarnation_seen_at: match restart {
                 Some(_) => Some(now),
--- a/crates/millwind-engine/src/directory/permits.rs
+++ b/crates/millwind-engine/src/directory/permits.rs
@@ -4,7 +4,7 @@
 use log::info;
 use millwind_core::Instant;
 use millwind_core::ids::{GroupName, InstanceName};
-use millwind_core::lead_permit::{ClosedTerms, Permit, are_permits_valid};
+use millwind_core::lead_permit::{ClosedTerms, LeadPermit, are_permits_valid};
 use millwind_core::position::Term;
 
 use super::lives::SteppedDown;
@@ -157,9 +157,9 @@
     }
 
     /// The permit for a leader of `term`.
-    pub(super) fn permit_for_term(&self, state: &State, group: &GroupName, term: Term) -> Permit {
+    pub(super) fn permit_for_term(&self, state: &State, group: &GroupName, term: Term) -> LeadPermit {
         if self.is_fenced {
-            return Permit::Valid;
+            return LeadPermit::Valid;
         }
         let entry = state.groups.get(group);
         let closed = entry.map_or_else(ClosedTerms::default, |entry| entry.closed_terms);
--- a/crates/millwind-engine/src/evacuation.rs
+++ b/crates/millwind-engine/src/evacuation.rs
@@ -221,7 +221,7 @@
     pub fn has_eligible_instance(&self, group: &GroupName, regions: &AllowedRegions) -> bool {
         let is_usable = |known: &KnownInstance| {
             !known.is_removed
-                && known.contact.failing_since.is_none()
+                && known.health.failing_since.is_none()
                 && self
                     .check_eligibility(known, InstanceUse::Replica, regions)
                     .is_ok()
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -61,8 +61,8 @@
 fn is_check_due(engine: &Engine, group: &GroupName, known: &KnownInstance) -> bool {
     let now = clock::now();
     let age = |time: Option<Instant>| time.map_or(u64::MAX, |time| now.millis_since(time));
-    let contact_age_ms = age(known.contact.last_success);
-    if known.contact.is_suspected_by_peer {
+    let contact_age_ms = age(known.health.last_success);
+    if known.health.is_suspected_by_peer {
         return true;
     }
     let (last_use, _) = engine.directory.usage(group);
@@ -180,7 +180,7 @@
     let mean_us = engine
         .directory
         .instance(instance)
-        .and_then(|known| known.contact.check_us);
+        .and_then(|known| known.health.check_us);
     mean_us.map_or(MAX_RESPONSE_TIMEOUT_MS, |mean| {
         (mean * RESPONSE_TIMEOUT_FACTOR / 1_000).clamp(MIN_RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS)
     })
@@ -188,6 +188,6 @@
 
 fn was_reached_recently(engine: &Engine, record: &InstanceRecord) -> bool {
     let known = engine.directory.instance(&record.name);
-    let last_success = known.and_then(|known| known.contact.last_success);
+    let last_success = known.and_then(|known| known.health.last_success);
     last_success.is_some_and(|heard| clock::now().millis_since(heard) < REFUSAL_TOLERANCE_MS)
 }
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -340,10 +340,10 @@
             Some(&known.record.name) != leader
                 && !known.is_removed
                 && !known.is_leaving
-                && known.contact.failing_since.is_none()
+                && known.health.failing_since.is_none()
         });
         let replicas_reached = replicas.len();
-        replicas.retain(|known| !known.contact.is_unhealthy());
+        replicas.retain(|known| !known.health.is_unhealthy());
         let known = leader.and_then(|leader| directory.instance(leader));
         let mut evidence = LeaderEvidence {
             replicas_reached,
@@ -361,19 +361,19 @@
         let store_heard = directory
             .last_store_contact()
             .filter(|heard| now.millis_since(*heard) < STORE_CONTACT_MAX_AGE_MS);
-        evidence.failing_since = known.contact.failing_since;
-        evidence.refuses_connections = known.contact.is_refusing;
+        evidence.failing_since = known.health.failing_since;
+        evidence.refuses_connections = known.health.is_refusing;
         evidence.is_leaving = known.is_leaving;
         evidence.is_zone_evacuated = self.must_leave_zone(&known);
         if self.engine.runs_statements_on(&known.record) {
-            let statements = &known.contact.statements;
-            let silent_since = known.contact.unresponsive_since();
+            let statements = &known.health.statements;
+            let silent_since = known.health.unresponsive_since();
             // Statements that wait for a warm-up credit of a cold instance hang as well.
             let is_unresponsive = statements.has_repeated_silence() && !known.warm_up_status.is_cold(now);
             evidence.unresponsive_since = silent_since.filter(|_| is_unresponsive);
             evidence.is_outlier = statements.is_outlier(now);
         }
-        if let Some(reachability) = directory.testimony(&known.record.name, PEER_REPORT_MAX_AGE_MS) {
+        if let Some(reachability) = directory.peer_report(&known.record.name, PEER_REPORT_MAX_AGE_MS) {
             evidence.peers_reaching = reachability.reaching;
             evidence.peers_failing = reachability.failing;
         }
@@ -392,9 +392,9 @@
         }
         let is_successor = |known: &KnownInstance| {
             known.record.name != leader.record.name
-                && !known.contact.is_unhealthy()
+                && !known.health.is_unhealthy()
                 && !known.is_removed
-                && known.contact.failing_since.is_none()
+                && known.health.failing_since.is_none()
                 && self
                     .engine
                     .check_eligibility(known, InstanceUse::Replica, &AllowedRegions::Any)
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -28,7 +28,7 @@
         let Some(known) = old_leader.and_then(|old_leader| directory.instance(old_leader)) else {
             return true;
         };
-        if known.contact.failing_since.is_some() {
+        if known.health.failing_since.is_some() {
             return true;
         }
         let Some(leader) = leader else {
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -220,7 +220,7 @@
         leader: &KnownInstance,
     ) {
         // Shutdown and failover take precedence and choose their own successor.
-        if leader.is_leaving || leader.contact.failing_since.is_some() {
+        if leader.is_leaving || leader.health.failing_since.is_some() {
             return;
         }
         if self.ownership.has_recent_promotion_by_other(group) {
@@ -292,7 +292,7 @@
         let fit = present.filter(|known| !(is_demand_served && known.warm_up_status.is_cold(clock::now())));
         let usable = fit.filter(|known| {
             let eligibility = engine.check_eligibility(known, InstanceUse::Replica, &AllowedRegions::Any);
-            eligibility.is_ok() && known.contact.failing_since.is_none() && !known.contact.is_unhealthy()
+            eligibility.is_ok() && known.health.failing_since.is_none() && !known.health.is_unhealthy()
         });
         usable
             .filter_map(|known| engine.region_of(known).cloned())
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -189,7 +189,7 @@
             return true;
         }
         directory.instance(&leader.instance).is_some_and(|known| {
-            let contact = &known.contact;
+            let contact = &known.health;
             contact.failing_since.is_none()
                 && !contact.is_unhealthy()
                 && !known.is_leaving
@@ -444,8 +444,8 @@
             .filter(|known| !known.is_removed)
             .collect();
         // With synchronous replicas the comparison needs every answer.
-        if sync_replicas == 0 && replicas.iter().any(|known| !known.contact.is_unhealthy()) {
-            replicas.retain(|known| !known.contact.is_unhealthy());
+        if sync_replicas == 0 && replicas.iter().any(|known| !known.health.is_unhealthy()) {
+            replicas.retain(|known| !known.health.is_unhealthy());
         }
         let demand = engine.leader_demands.total_demand(group);
         let served_demand = |known: &KnownInstance| demand.served_in(engine.region_of(known));
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -339,15 +339,15 @@
             reason => ExchangeError::Ineligible(reason),
         })
         .map_err(AttemptError::Link)?;
-    let contact = &known.contact;
+    let contact = &known.health;
     let is_backing_off = clock::now() < contact.avoid_until || contact.statements.in_flight() > 0;
     if contact.failing_since.is_some() && is_backing_off {
         return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     // Hanging statements occupy connections, so an instance that hangs must not
     // exhaust the pool.
-    let is_outlier = known.contact.statements.is_outlier(clock::now());
-    if !known.contact.admits_statement() || (is_outlier && avoids_outliers) {
+    let is_outlier = known.health.statements.is_outlier(clock::now());
+    if !known.health.admits_statement() || (is_outlier && avoids_outliers) {
         return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     Ok(known.record)
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reads_store.clone())
     }
 
--- a/crates/millwind-engine/src/peers/server.rs
+++ b/crates/millwind-engine/src/peers/server.rs
@@ -105,11 +105,11 @@
     let Some(known) = engine.directory.instance(instance) else {
         return Reach::Unknown;
     };
-    if known.contact.failing_since.is_some() {
+    if known.health.failing_since.is_some() {
         return Reach::Failing;
     }
     let is_recent = known
-        .contact
+        .health
         .last_success
         .is_some_and(|success| clock::now().millis_since(success) < CONTACT_MAX_AGE_MS);
     if is_recent { Reach::Reached } else { Reach::Unknown }
--- a/crates/millwind-engine/src/session/reads.rs
+++ b/crates/millwind-engine/src/session/reads.rs
@@ -206,16 +206,16 @@
         .iter()
         .map(|known| ReadCandidate {
             instance: known.record.name.clone(),
-            latency_us: known.contact.latency_us,
-            outstanding: known.contact.statements.in_flight(),
+            latency_us: known.health.latency_us,
+            outstanding: known.health.statements.in_flight(),
             slots: known.record.slots,
             is_same_zone: known.record.zone.as_str() == engine.settings.zone,
             is_leader: leader
                 .as_ref()
                 .is_some_and(|leader| leader.instance == known.record.name),
-            is_avoided: known.contact.avoid_until > now
-                || known.contact.failing_since.is_some()
-                || known.contact.is_unhealthy(),
+            is_avoided: known.health.avoid_until > now
+                || known.health.failing_since.is_some()
+                || known.health.is_unhealthy(),
             is_cold: known.warm_up_status.is_cold(now),
         })
         .collect();
@@ -301,7 +301,7 @@
 
 fn mean_latency_us(engine: &Engine, record: &InstanceRecord) -> u64 {
     let known = engine.directory.instance(&record.name);
-    known.map_or(0, |known| known.contact.latency_us)
+    known.map_or(0, |known| known.health.latency_us)
 }
 
 fn next_hedge_time(engine: &Engine, record: &InstanceRecord) -> millwind_core::Instant {
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -152,7 +152,7 @@
 /// group has no health data, and a node that forwards statements needs no permit; in
 /// both cases the owner that runs the statement performs the check.
 fn is_usable(engine: &Engine, known: &KnownInstance, watches: bool) -> bool {
-    let is_reached = !watches || known.contact.failing_since.is_none();
+    let is_reached = !watches || known.health.failing_since.is_none();
     let runs_here = engine.runs_statements_on(&known.record);
     let may_lead = engine
         .directory
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -125,7 +125,7 @@
     }
     /// Returns a receiver of where the node reads the prefix from, or `None` if it always
     /// reads the store.
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         None
     }
     /// Returns the maximum delay between two retries while the store does not answer.
@@ -208,7 +208,7 @@
     contact: Arc<StoreContact>,
 ) {
     let mut state = FollowState::new();
-    let mut reads = follower.reads();
+    let mut reads = follower.catalog_source();
     loop {
         follower.watch_stopped();
         if wait_while_relayed(&mut reads).await {
@@ -271,14 +271,14 @@
 
 /// Returns whether relays deliver the prefix.
 fn is_relayed(follower: &dyn Follower) -> bool {
-    let reads = follower.reads();
+    let reads = follower.catalog_source();
     reads.is_some_and(|reads| *reads.borrow() == CatalogSource::Relays)
 }
 
 /// Waits for a limited time for the decision where this node reads the catalog from.
 /// Returns whether relays deliver it.
 async fn await_source_decision(follower: &dyn Follower) -> bool {
-    let Some(mut reads) = follower.reads() else {
+    let Some(mut reads) = follower.catalog_source() else {
         return false;
     };
     let decided = reads.wait_for(|reads| *reads != CatalogSource::Undecided);
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -39,7 +39,7 @@
     if let Some(known) = &leader {
         if closing.steps_down == 0 {
             wait_for_connections(engine, &known.record).await;
-        } else if is_recent_contact(known.contact.last_success) {
+        } else if is_recent_contact(known.health.last_success) {
             step_down_in_background(engine, &known.record, term);
         }
     }
--- a/crates/millwind-engine/tests/incarnations.rs
+++ b/crates/millwind-engine/tests/incarnations.rs
@@ -60,7 +60,7 @@
 #[test]
 fn a_restarted_instance_starts_without_contact_history() {
     let directory = directory_with_leader(true);
-    let initial_contact = directory.instance(&leader()).unwrap().contact;
+    let initial_contact = directory.instance(&leader()).unwrap().health;
     directory.record_response(&leader(), Some(700_000));
     directory.record_failure(&leader(), clock::now().plus_millis(1), false);
     directory.record_outcome(&leader(), false);
@@ -73,8 +73,8 @@
     );
     let change = directory.apply_record(record(500, true));
     assert!(change.has_restarted);
-    assert_eq!(directory.instance(&leader()).unwrap().contact, initial_contact);
-    assert_eq!(directory.testimony(&leader(), 10_000), None);
+    assert_eq!(directory.instance(&leader()).unwrap().health, initial_contact);
+    assert_eq!(directory.peer_report(&leader(), 10_000), None);
 }
 
 #[test]
--- a/crates/millwind-engine/tests/inquiry.rs
+++ b/crates/millwind-engine/tests/inquiry.rs
@@ -33,7 +33,7 @@
     let instance = InstanceName::from(INSTANCE);
     directory.record_failure(&instance, clock::now(), false);
     RequestTracker::new(&directory, &instance).answered_by_peer();
-    let contact = directory.instance(&instance).unwrap().contact;
+    let contact = directory.instance(&instance).unwrap().health;
     assert!(directory.is_failing(&instance));
     assert_eq!(contact.last_success, None);
     assert_eq!(contact.statements.in_flight(), 0);
--- a/crates/millwind-engine/tests/store_watch.rs
+++ b/crates/millwind-engine/tests/store_watch.rs
@@ -67,7 +67,7 @@
 
     fn changed(&self, _entries: Vec<Entry>) {}
 
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reading.clone())
     }
 }
@@ -141,7 +141,7 @@
         self.reading.send_replace(CatalogSource::Relays);
     }
 
-    fn reads(&self) -> Option<watch::Receiver<CatalogSource>> {
+    fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
         Some(self.reading.subscribe())
     }
 }
--- a/crates/millwind-model/src/leadership.rs
+++ b/crates/millwind-model/src/leadership.rs
@@ -12,7 +12,7 @@
 
 use millwind_core::Instant;
 use millwind_core::invariant::Invariant;
-use millwind_core::lead_permit::{ClosedTerms, PERMIT_MS, Permit, Revocation, may_promote};
+use millwind_core::lead_permit::{ClosedTerms, LeadPermit, PERMIT_MS, Revocation, may_promote};
 use millwind_core::position::Term;
 
 use crate::checker::Model;
@@ -124,7 +124,7 @@
         self.broken != Some(rule)
     }
 
-    fn permit(&self, state: &State, node: &Node) -> Permit {
+    fn permit(&self, state: &State, node: &Node) -> LeadPermit {
         let mut confirmed = node.confirmed_unit.map(at);
         if !self.enforces(Rule::PermitExpires) {
             confirmed = confirmed.map(|_| at(state.unit));
@@ -190,7 +190,7 @@
             let mut next = state.clone();
             let permit = self.permit(state, node);
             match node.write {
-                None if permit == Permit::Valid => {
+                None if permit == LeadPermit::Valid => {
                     next.nodes[index].write = Some(Write::Sent);
                     steps.push((format!("node {index} sends a write to the old leader"), next));
                 }
