--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -32,7 +32,7 @@
     pub tenant: TenantName,
     /// Weight of the tenant in the fair queue; zero counts as one.
     pub weight: u32,
-    /// Priority of the request: a full queue evicts requests of lower value first.
+    /// Priority of the request: a full queue evicts requests of lower priority first.
     pub priority: u32,
     /// Time by which the request must be answered.
     pub deadline: Instant,
@@ -98,7 +98,7 @@
 
     /// Requests a slot for `ticket` at `now`.
     ///
-    /// If the queue is full, a ticket of higher value evicts a ticket of the lowest value,
+    /// If the queue is full, a ticket of higher priority evicts a ticket of the lowest priority,
     /// the newest one of the first tenant that has such tickets. The id of the evicted
     /// ticket is pushed to `evicted`.
     pub fn admit(&mut self, now: Instant, ticket: Ticket, evicted: &mut Vec<u64>) -> Admission {
@@ -109,7 +109,7 @@
         if self.estimated_completion(now) > ticket.deadline {
             return Admission::Refused(ErrorKind::DeadlineTooShort);
         }
-        if self.queued >= self.limits.queue_length && !self.evict_lowest_value(ticket.priority, evicted) {
+        if self.queued >= self.limits.queue_length && !self.evict_lowest_priority(ticket.priority, evicted) {
             return Admission::Refused(ErrorKind::QueueFull);
         }
         self.enqueue(ticket);
@@ -122,7 +122,7 @@
         Instant(now.0 + rounds * self.service_time_us)
     }
 
-    fn evict_lowest_value(&mut self, value: u32, evicted: &mut Vec<u64>) -> bool {
+    fn evict_lowest_priority(&mut self, priority: u32, evicted: &mut Vec<u64>) -> bool {
         let lowest = self
             .tenants
             .iter()
@@ -133,10 +133,10 @@
                     .map(move |ticket| (ticket.priority, tenant.clone()))
             })
             .min();
-        let Some((lowest_value, tenant)) = lowest else {
+        let Some((lowest_priority, tenant)) = lowest else {
             return false;
         };
-        if lowest_value >= value {
+        if lowest_priority >= priority {
             return false;
         }
         let Some(queue) = self.tenants.get_mut(&tenant) else {
@@ -145,7 +145,7 @@
         let Some(index) = queue
             .waiting
             .iter()
-            .rposition(|ticket| ticket.priority == lowest_value)
+            .rposition(|ticket| ticket.priority == lowest_priority)
         else {
             return false;
         };
--- a/crates/millwind-core/src/catalog_freshness.rs
+++ b/crates/millwind-core/src/catalog_freshness.rs
@@ -20,9 +20,9 @@
 }
 
 impl CatalogFreshness {
-    /// Records that the store reported its instances to this node at `heard`.
-    pub fn instances_heard(&mut self, heard: Instant) {
-        self.instances = self.instances.max(Some(heard));
+    /// Records that the store reported its instances to this node at `reported_at`.
+    pub fn instances_heard(&mut self, reported_at: Instant) {
+        self.instances = self.instances.max(Some(reported_at));
     }
 
     /// Records that this node has read the configuration with a call sent at `asked` and
@@ -41,10 +41,10 @@
     }
 
     /// Records that another node has transferred its whole catalog, which matched the store
-    /// at `heard`.
-    pub fn received_from_peer(&mut self, heard: Instant) {
-        self.instances = self.instances.max(Some(heard));
-        self.configuration = self.configuration.max(Some(heard));
+    /// at `matched_at`.
+    pub fn received_from_peer(&mut self, matched_at: Instant) {
+        self.instances = self.instances.max(Some(matched_at));
+        self.configuration = self.configuration.max(Some(matched_at));
     }
 
     /// Returns the time at which the catalog was last known to match the store; `None` if
--- a/crates/millwind-core/src/catalog_relay.rs
+++ b/crates/millwind-core/src/catalog_relay.rs
@@ -95,10 +95,10 @@
         if self.is_relay {
             return true;
         }
-        let is_asked = self
+        let was_contacted = self
             .contacted_as_relay_at
-            .is_some_and(|asked| now.millis_since(asked) < RELAY_ROLE_MS);
-        if is_asked {
+            .is_some_and(|contacted_at| now.millis_since(contacted_at) < RELAY_ROLE_MS);
+        if was_contacted {
             return true;
         }
         // A fresh catalog contains everything in the store, even if it is incomplete.
@@ -120,6 +120,6 @@
     /// Whether the catalog recently matched the store.
     fn is_fresh(&self, now: Instant, times: &RelayTimes) -> bool {
         self.matched_store_at
-            .is_some_and(|heard| now.millis_since(heard) < times.max_fresh_age_ms)
+            .is_some_and(|matched_at| now.millis_since(matched_at) < times.max_fresh_age_ms)
     }
 }
--- a/crates/millwind-core/src/config_state.rs
+++ b/crates/millwind-core/src/config_state.rs
@@ -340,8 +340,8 @@
 }
 
 fn check_name_matches_key(document: &WireDocument, found: &str) -> Result<(), DocumentError> {
-    let stored = document.key.split_once('/').map_or("", |(_, name)| name);
-    if stored == found {
+    let expected = document.key.split_once('/').map_or("", |(_, name)| name);
+    if expected == found {
         return Ok(());
     }
     Err(DocumentError::NameMismatch {
@@ -350,7 +350,7 @@
     })
 }
 
-fn range_error(document: &WireDocument) -> impl FnOnce(TenantError) -> DocumentError + use<> {
+fn invalid_value(document: &WireDocument) -> impl FnOnce(TenantError) -> DocumentError + use<> {
     let key = document.key.clone();
     move |source| DocumentError::InvalidValue {
         key,
@@ -361,14 +361,14 @@
 fn parse_group(document: &WireDocument) -> Result<GroupSpec, DocumentError> {
     let group: GroupSpec = parse(document)?;
     check_name_matches_key(document, group.name.as_str())?;
-    group.check().map_err(range_error(document))?;
+    group.check().map_err(invalid_value(document))?;
     Ok(group)
 }
 
 fn parse_template(document: &WireDocument) -> Result<Template, DocumentError> {
     let template: Template = parse(document)?;
     check_name_matches_key(document, &template.name)?;
-    template.check().map_err(range_error(document))?;
+    template.check().map_err(invalid_value(document))?;
     Ok(template)
 }
 
@@ -390,7 +390,7 @@
             field: "template",
             name: tenant.template.clone(),
         })?;
-    template.settings_for(tenant).map_err(range_error(document))
+    template.settings_for(tenant).map_err(invalid_value(document))
 }
 
 /// The parsed configuration that applies to requests.
--- a/crates/millwind-core/src/control.rs
+++ b/crates/millwind-core/src/control.rs
@@ -146,11 +146,11 @@
 
     /// Announces to all relays that this node has stopped serving.
     pub fn announce_departure(&mut self) -> Vec<Outgoing> {
-        let goodbye = self.membership.stopped_message();
+        let message = self.membership.stopped_message();
         let mut out = Vec::new();
         let zones: Vec<String> = self.membership.zones().keys().cloned().collect();
         for relay in zones.iter().flat_map(|zone| self.relays_without_self(zone)) {
-            self.send(relay.as_str(), goodbye.clone(), &mut out);
+            self.send(relay.as_str(), message.clone(), &mut out);
         }
         out
     }
--- a/crates/millwind-core/src/control/rollout_state.rs
+++ b/crates/millwind-core/src/control/rollout_state.rs
@@ -46,14 +46,14 @@
                     .get(&record.node)
                     .is_some_and(|report| report.revision >= revision);
                 let has_left = record.liveness == Liveness::Dead && record.leaving == 1;
-                let standing = if confirmed {
+                let state = if confirmed {
                     RolloutState::InForce
                 } else if has_left || is_past_bound && self.scope_is_reachable(now, record) {
                     RolloutState::Stopped
                 } else {
                     RolloutState::Pending
                 };
-                (record.node.clone(), standing)
+                (record.node.clone(), state)
             })
             .collect()
     }
--- a/crates/millwind-core/src/error_kind.rs
+++ b/crates/millwind-core/src/error_kind.rs
@@ -1,6 +1,6 @@
 //! The kinds of errors that the proxy reports, and the answer to the caller for each kind.
 //!
-//! `docs/ERRORS.md` documents this table.
+//! `docs/ERRORS.md` documents the kinds and their answers.
 
 /// The known effect of a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/millwind-core/src/freshness.rs
+++ b/crates/millwind-core/src/freshness.rs
@@ -117,7 +117,7 @@
         if self
             .zones
             .get(&zone)
-            .is_some_and(|held| held.reported_at >= reported_at)
+            .is_some_and(|stored| stored.reported_at >= reported_at)
         {
             return;
         }
--- a/crates/millwind-core/src/incarnation.rs
+++ b/crates/millwind-core/src/incarnation.rs
@@ -77,6 +77,6 @@
         return Some(RestartEvidence::ShutdownWithdrawn);
     }
     let heartbeat_went_down =
-        matches!((previous.heartbeat, current.heartbeat), (Some(held), Some(new)) if new < held);
+        matches!((previous.heartbeat, current.heartbeat), (Some(old), Some(new)) if new < old);
     heartbeat_went_down.then_some(RestartEvidence::Heartbeat)
 }
--- a/crates/millwind-core/src/lead_relocation.rs
+++ b/crates/millwind-core/src/lead_relocation.rs
@@ -109,21 +109,21 @@
     let is_in_cooldown = lead.unchanged_ms < RELOCATION_COOLDOWN_MS
         || lead
             .since_attempt_ms
-            .is_some_and(|tried_ms| tried_ms < RETRY_COOLDOWN_MS);
+            .is_some_and(|attempt_ms| attempt_ms < RETRY_COOLDOWN_MS);
     if is_in_cooldown {
         return None;
     }
-    let worth_before = demand.served_in(lead.region);
+    let weight_before = demand.served_in(lead.region);
     let targets = lead
         .candidates
         .iter()
         .filter(|region| !lead.left_regions.contains(*region));
     let weights = targets.map(|region| (demand.served_in(Some(region)), region));
-    let (worth_after, region) = weights.max()?;
-    justifies_move(worth_before, worth_after).then(|| Relocation {
+    let (weight_after, region) = weights.max()?;
+    justifies_move(weight_before, weight_after).then(|| Relocation {
         region: region.clone(),
-        weight_before: worth_before,
-        weight_after: worth_after,
+        weight_before,
+        weight_after,
     })
 }
 
--- a/crates/millwind-core/src/lender_lease.rs
+++ b/crates/millwind-core/src/lender_lease.rs
@@ -99,13 +99,13 @@
     ) -> bool {
         let was_held = self.state(now) != LeaseState::NotHeld;
         if !is_majority(votes, owners) {
-            let pause_ms = VOTE_MS + rank as u64 * RANK_BACKOFF_MS;
-            self.ask_not_before = (!was_held).then(|| now.plus_millis(pause_ms));
+            let backoff_ms = VOTE_MS + rank as u64 * RANK_BACKOFF_MS;
+            self.ask_not_before = (!was_held).then(|| now.plus_millis(backoff_ms));
             return false;
         }
         self.ask_not_before = None;
         let until = asked.plus_millis(VOTE_MS);
-        self.until = Some(self.until.map_or(until, |held| held.max(until)));
+        self.until = Some(self.until.map_or(until, |current| current.max(until)));
         !was_held && self.state(now) != LeaseState::NotHeld
     }
 }
--- a/crates/millwind-core/src/quota.rs
+++ b/crates/millwind-core/src/quota.rs
@@ -1,7 +1,7 @@
 //! Tenant quotas, enforced across all nodes.
 //!
 //! One node is the lender of a tenant's budget. The nodes that serve the tenant's clients
-//! borrow operations from the lender, ahead of need and in proportion to their recent use.
+//! borrow operations from the lender, ahead of demand and in proportion to their recent use.
 //! Over any window, the operations that run stay within rate times window plus burst, with
 //! a tolerance of a tenth. Three rules ensure this: loans expire, a new budget starts
 //! almost empty, and a part of the burst is reserved for operations that run later than
@@ -26,10 +26,10 @@
 const LENDABLE_BURST_PERCENT: u64 = 80;
 /// Initial content of a new budget, in percent of one second's rate. The content is small
 /// because a previous lender may just have lent the full burst.
-const INITIAL_LOAN_PERCENT: u64 = 20;
+const INITIAL_OPERATIONS_PERCENT: u64 = 20;
 /// Minimum initial content of a new budget in operations, so that the first operations of a
 /// small tenant are admitted.
-const MIN_INITIAL_LOAN: f64 = 2.0;
+const MIN_INITIAL_OPERATIONS: f64 = 2.0;
 /// Percentage of the quota that the backup lender lends while it reaches the primary
 /// lender. Both may lend at the same time; the tolerance of a tenth covers the excess.
 pub const BACKUP_LENDER_PERCENT: u32 = 25;
@@ -40,7 +40,7 @@
 const LOAN_LIFETIME_MS: u64 = 1_000;
 /// Length of the window over which use is counted, in milliseconds.
 const USE_WINDOW_MS: u64 = 500;
-/// Part of the use in one window that a node requests ahead of need, in percent.
+/// Part of the use in one window that a node requests ahead of demand, in percent.
 const PREFETCH_PERCENT: u32 = 50;
 /// Delay before a node whose request was denied asks again, in milliseconds. The delay
 /// bounds the request rate at the lender of a tenant that has reached its limit.
@@ -106,11 +106,11 @@
         let rate_per_s = self.rate_per_s as f64 * percent / 100.0;
         let burst = self.burst as f64 * percent / 100.0;
         let max_saved = (burst * LENDABLE_BURST_PERCENT as f64 / 100.0).max(1.0);
-        let initial_operations = rate_per_s * INITIAL_LOAN_PERCENT as f64 / 100.0;
+        let initial_operations = rate_per_s * INITIAL_OPERATIONS_PERCENT as f64 / 100.0;
         Supply {
             rate_per_s,
             max_saved,
-            initial_operations: initial_operations.max(MIN_INITIAL_LOAN).min(max_saved),
+            initial_operations: initial_operations.max(MIN_INITIAL_OPERATIONS).min(max_saved),
         }
     }
 
--- a/crates/millwind-core/src/routing.rs
+++ b/crates/millwind-core/src/routing.rs
@@ -143,7 +143,7 @@
     pub regions: AllowedRegions,
 }
 
-/// Returns the group's instances ranked for a read, best first. IneligibleReason instances come
+/// Returns the group's instances ranked for a read, best first. Ineligible instances come
 /// last and keep their reason, so that it can be reported.
 pub fn order_for_read(
     now: Instant,
--- a/crates/millwind-core/src/tenant.rs
+++ b/crates/millwind-core/src/tenant.rs
@@ -67,7 +67,7 @@
     /// Time limit from arrival to response, in milliseconds.
     pub window_ms: u64,
     /// Value of a request that completes within its window; requests of lower value are
-    /// displaced first from a full queue.
+    /// evicted first from a full queue.
     #[serde(default = "default_request_value")]
     pub value: u32,
     /// Whether the proxy may retry a write of this class.
@@ -145,9 +145,9 @@
     pub name: TenantName,
     /// Template that the tenant is created from.
     pub template: String,
-    /// Database group it uses.
+    /// Database group that the tenant uses.
     pub group: GroupName,
-    /// Password callers must prove; empty for none.
+    /// Password that callers must prove; empty for none.
     #[serde(default)]
     pub password: String,
     /// Values of the template's parameters.
@@ -243,9 +243,9 @@
 pub struct TenantSettings {
     /// The tenant.
     pub name: TenantName,
-    /// Database group it uses.
+    /// Database group that the tenant uses.
     pub group: GroupName,
-    /// Password callers must prove; empty for none.
+    /// Password that callers must prove; empty for none.
     pub password: String,
     /// How old the data of a replica read may be, in milliseconds.
     pub staleness_ms: u64,
--- a/crates/millwind-core/src/warm_up.rs
+++ b/crates/millwind-core/src/warm_up.rs
@@ -1,5 +1,5 @@
 //! Detects cold instances, and limits the rate of statements that all nodes together send
-//! to one. An instance is cold, and therefore slower, for a while after its start.
+//! to a cold instance. An instance is cold, and therefore slower, for a while after its start.
 
 use crate::Instant;
 use crate::lending::{BorrowingSettings, Supply};
@@ -203,7 +203,7 @@
 /// credit.
 const ROUNDING_MARGIN: f64 = 0.98;
 
-/// Settings under which nodes borrow credits. Nothing is requested ahead of need, because
+/// Settings under which nodes borrow credits. Nothing is requested ahead of demand, because
 /// credits are scarce and a credit that its borrower does not use is lost.
 pub const BORROWING_SETTINGS: BorrowingSettings = BorrowingSettings {
     loan_ms: CREDIT_LIFETIME_MS,
