--- a/crates/millwind-core/src/lead_permit.rs
+++ b/crates/millwind-core/src/lead_permit.rs
@@ -71,16 +71,16 @@
     /// Records that `term` and all earlier terms are closed. Returns false if that was already
     /// known.
     ///
-    /// `confirmed` is when this node last read all closed terms before this call. If the permit
+    /// `last_read` is when this node last read all closed terms before this call. If the permit
     /// has expired since then, answers in flight no longer count, because the promotion may
     /// already have been ordered.
-    pub fn close(&mut self, term: Term, now: Instant, confirmed: Option<Instant>) -> bool {
+    pub fn close(&mut self, term: Term, now: Instant, last_read: Option<Instant>) -> bool {
         if term <= self.newest_closed {
             return false;
         }
         self.newest_closed = term;
         self.closed_at = now;
-        let permit_end = confirmed.map_or(now, |confirmed| confirmed.plus_millis(PERMIT_MS));
+        let permit_end = last_read.map_or(now, |last_read| last_read.plus_millis(PERMIT_MS));
         self.draining_until = now.plus_millis(DRAIN_MS).min(permit_end);
         true
     }
@@ -102,9 +102,9 @@
     }
 
     /// Returns the permit for a leader of `term` at `now`, on a node that last read all closed
-    /// terms at `confirmed`.
-    pub fn permit(&self, term: Term, now: Instant, confirmed: Option<Instant>) -> LeadPermit {
-        if !are_permits_valid(now, confirmed) {
+    /// terms at `last_read`.
+    pub fn permit(&self, term: Term, now: Instant, last_read: Option<Instant>) -> LeadPermit {
+        if !are_permits_valid(now, last_read) {
             return LeadPermit::Expired;
         }
         if term > self.newest_closed {
@@ -118,9 +118,9 @@
     }
 }
 
-/// Returns whether a read of all closed terms at `confirmed` keeps permits valid at `now`.
-pub fn are_permits_valid(now: Instant, confirmed: Option<Instant>) -> bool {
-    confirmed.is_some_and(|confirmed| now < confirmed.plus_millis(PERMIT_MS))
+/// Returns whether a read of all closed terms at `last_read` keeps permits valid at `now`.
+pub fn are_permits_valid(now: Instant, last_read: Option<Instant>) -> bool {
+    last_read.is_some_and(|last_read| now < last_read.plus_millis(PERMIT_MS))
 }
 
 /// Progress of revoking the permits for a closed term, as the promoting node knows it.
--- a/crates/millwind-core/tests/affinity.rs
+++ b/crates/millwind-core/tests/affinity.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Returns the number of connections opened if each owner keeps the most recently used.
+/// Returns the number of connections opened if each owner keeps its [`CONNECTIONS`] most
+/// recently used connections.
 fn count_opened(mut select_owner: impl FnMut(usize, &mut ChaCha8Rng) -> usize) -> usize {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut open_connections: Vec<Vec<usize>> = vec![Vec::new(); OWNERS.len()];
--- a/crates/millwind-core/tests/catalog_freshness.rs
+++ b/crates/millwind-core/tests/catalog_freshness.rs
@@ -1,4 +1,5 @@
-//! Tests of catalog freshness: the catalog never counts as newer than its oldest document.
+//! Tests of catalog freshness: the catalog never counts as newer than its instances or its
+//! configuration.
 
 use millwind_core::Instant;
 use millwind_core::catalog_freshness::CatalogFreshness;
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn freshness_requires_both_documents() {
+fn freshness_requires_instances_and_configuration() {
     let mut freshness = CatalogFreshness::default();
     assert_eq!(freshness.current_as_of(), None);
     freshness.instances_heard(at(1_000));
--- a/crates/millwind-core/tests/catalog_relay.rs
+++ b/crates/millwind-core/tests/catalog_relay.rs
@@ -47,26 +47,26 @@
         ..state()
     };
     assert!(relay.must_read_store(NOW, &times()));
-    let asked = CatalogState {
+    let contacted = CatalogState {
         contacted_as_relay_at: Some(Instant::from_millis(95_000)),
         ..state()
     };
-    assert!(asked.must_read_store(NOW, &times()));
-    let asked_long_ago = CatalogState {
+    assert!(contacted.must_read_store(NOW, &times()));
+    let contacted_long_ago = CatalogState {
         contacted_as_relay_at: Some(Instant::from_millis(90_000)),
         ..state()
     };
-    assert!(!asked_long_ago.must_read_store(NOW, &times()));
+    assert!(!contacted_long_ago.must_read_store(NOW, &times()));
 }
 
 #[test]
 fn node_with_stale_catalog_reads_store() {
-    for heard in [None, Some(Instant::from_millis(97_000))] {
+    for matched_at in [None, Some(Instant::from_millis(97_000))] {
         let stale = CatalogState {
-            matched_store_at: heard,
+            matched_store_at: matched_at,
             ..state()
         };
-        assert!(stale.must_read_store(NOW, &times()), "{heard:?}");
+        assert!(stale.must_read_store(NOW, &times()), "{matched_at:?}");
     }
 }
 
--- a/crates/millwind-core/tests/connection_queue.rs
+++ b/crates/millwind-core/tests/connection_queue.rs
@@ -6,11 +6,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn waiting(rank: u8, is_same_user: bool, passed_over: u8) -> WaitingRequest {
+fn waiting(rank: u8, is_same_user: bool, overtaken_count: u8) -> WaitingRequest {
     WaitingRequest {
         rank,
         is_same_user,
-        overtaken_count: passed_over,
+        overtaken_count,
     }
 }
 
--- a/crates/millwind-core/tests/control_fuzz.rs
+++ b/crates/millwind-core/tests/control_fuzz.rs
@@ -231,13 +231,9 @@
             );
         }
         let plane = &self.nodes[0].plane;
-        let standings = plane.rollout_states(self.now, revision, &reports);
-        let known = standings.len() == NODES;
-        if known
-            && standings
-                .values()
-                .all(|standing| *standing != RolloutState::Pending)
-        {
+        let states = plane.rollout_states(self.now, revision, &reports);
+        let has_all_nodes = states.len() == NODES;
+        if has_all_nodes && states.values().all(|state| *state != RolloutState::Pending) {
             self.reported_in_force = self.reported_in_force.max(revision);
         }
     }
--- a/crates/millwind-core/tests/incarnation.rs
+++ b/crates/millwind-core/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! Restart detection from the records of an instance.
+//! Tests of restart detection from the records of an instance.
 
 use std::net::SocketAddr;
 
--- a/crates/millwind-core/tests/lead_permit.rs
+++ b/crates/millwind-core/tests/lead_permit.rs
@@ -1,4 +1,4 @@
-//! Permits to accept a leader's answers on a platform that does not fence on promotion.
+//! Tests of permits to accept a leader's answers on a platform that does not fence on promotion.
 
 use millwind_core::Instant;
 use millwind_core::lead_permit::{
@@ -75,7 +75,7 @@
     /// term open.
     store_reads: Vec<u64>,
     closed: u64,
-    /// When the promoting node asks for the permit; `None` if this node is partitioned.
+    /// When the promoting node asks for the permit to be handed back; `None` if this node is partitioned.
     asked: Option<u64>,
     /// When an answer of the old leader reaches this node.
     answer: u64,
@@ -101,19 +101,19 @@
 fn accepts_answer(history: &History) -> bool {
     let at = |millis: u64| START.plus_millis(millis);
     let mut terms = ClosedTerms::default();
-    let mut confirmed = None;
+    let mut last_read = None;
     for read in history.store_reads.iter().filter(|sent| **sent <= history.answer) {
         if *read >= history.closed {
-            terms.close(Term(1), at(*read), confirmed);
+            terms.close(Term(1), at(*read), last_read);
         }
-        confirmed = Some(at(*read));
+        last_read = Some(at(*read));
     }
     if let Some(asked) = history.asked.filter(|asked| *asked <= history.answer) {
-        terms.close(Term(1), at(asked), confirmed);
+        terms.close(Term(1), at(asked), last_read);
         terms.return_permits(Term(1));
     }
     terms
-        .permit(Term(1), at(history.answer), confirmed)
+        .permit(Term(1), at(history.answer), last_read)
         .covers_answer()
 }
 
--- a/crates/millwind-core/tests/lead_relocation.rs
+++ b/crates/millwind-core/tests/lead_relocation.rs
@@ -1,4 +1,4 @@
-//! When a group's leader moves to another region.
+//! Tests of the decision to move a group's leader to another region.
 
 use std::collections::BTreeSet;
 
--- a/crates/millwind-core/tests/leader_observation.rs
+++ b/crates/millwind-core/tests/leader_observation.rs
@@ -1,4 +1,4 @@
-//! Observed leader positions, checked against a simulated commit history.
+//! Tests of the observed leader positions, checked against a simulated commit history.
 
 use millwind_core::Instant;
 use millwind_core::leader_observation::LeaderObservations;
--- a/crates/millwind-core/tests/owner_ranking.rs
+++ b/crates/millwind-core/tests/owner_ranking.rs
@@ -12,7 +12,7 @@
     owners: 3,
     backup_owners: 5,
 };
-const NEARNESS: [Proximity; 3] = [Proximity::Zone, Proximity::Region, Proximity::Elsewhere];
+const PROXIMITIES: [Proximity; 3] = [Proximity::Zone, Proximity::Region, Proximity::Elsewhere];
 
 fn candidate(weight: u64, proximity: Proximity) -> OwnerCandidate {
     OwnerCandidate {
@@ -25,7 +25,7 @@
 fn any_candidates() -> impl Strategy<Value = Vec<OwnerCandidate>> {
     let any_candidate = (
         any::<u64>(),
-        proptest::sample::select(&NEARNESS[..]),
+        proptest::sample::select(&PROXIMITIES[..]),
         any::<bool>(),
     );
     let any_candidate = any_candidate.prop_map(|(weight, proximity, is_allowed)| OwnerCandidate {
--- a/crates/millwind-core/tests/quota.rs
+++ b/crates/millwind-core/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas, simulated in virtual time with many nodes, two nodes that may lend, and
+//! Tests of tenant quotas, simulated in virtual time with many nodes, two nodes that may lend, and
 //! faults.
 
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The first lender is down for this time and then restarts.
+    /// The primary lender is down for this time and then restarts.
     Restart {
         at_ms: u64,
         for_ms: u64,
@@ -185,11 +185,11 @@
                 .iter()
                 .filter(|node| self.are_connected(own, **node, now_ms))
                 .count();
-            let is_gone = self.is_down(1 - index, now_ms);
-            let is_heard = self.are_connected(own, other, now_ms);
+            let is_terminated = self.is_down(1 - index, now_ms);
+            let is_reachable = self.are_connected(own, other, now_ms);
             self.reach[index] = LenderReach {
                 percent: ((reached + 1) * 100 / (probed.len() + 1)) as u32,
-                other: match (is_gone, is_heard) {
+                other: match (is_terminated, is_reachable) {
                     (true, _) => PeerLender::Terminated,
                     (false, true) => PeerLender::Reachable,
                     (false, false) => PeerLender::Unresponsive,
--- a/crates/millwind-core/tests/routing.rs
+++ b/crates/millwind-core/tests/routing.rs
@@ -248,12 +248,12 @@
     }
 }
 
-fn ticket(id: u64, tenant: &str, value: u32, deadline_ms: u64) -> Ticket {
+fn ticket(id: u64, tenant: &str, priority: u32, deadline_ms: u64) -> Ticket {
     Ticket {
         id,
         tenant: TenantName::from(tenant),
         weight: 1,
-        priority: value,
+        priority,
         deadline: NOW.plus_millis(deadline_ms),
     }
 }
@@ -263,37 +263,37 @@
 }
 
 #[test]
-fn a_full_queue_displaces_a_request_of_lower_value() {
+fn a_full_queue_evicts_a_request_of_lower_priority() {
     let mut queue = queue(1, 1);
-    let mut displaced = Vec::new();
+    let mut evicted = Vec::new();
     assert_eq!(
-        queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut displaced),
+        queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut evicted),
         Admission::Granted
     );
     assert_eq!(
-        queue.admit(NOW, ticket(2, "a", 1, 1_000), &mut displaced),
+        queue.admit(NOW, ticket(2, "a", 1, 1_000), &mut evicted),
         Admission::Queued
     );
-    let refused = queue.admit(NOW, ticket(3, "a", 1, 1_000), &mut displaced);
+    let refused = queue.admit(NOW, ticket(3, "a", 1, 1_000), &mut evicted);
     assert_eq!(refused, Admission::Refused(ErrorKind::QueueFull));
     assert_eq!(
-        queue.admit(NOW, ticket(4, "a", 2, 1_000), &mut displaced),
+        queue.admit(NOW, ticket(4, "a", 2, 1_000), &mut evicted),
         Admission::Queued
     );
-    assert_eq!(displaced, [2]);
+    assert_eq!(evicted, [2]);
 }
 
 #[test]
 fn a_request_that_cannot_meet_its_deadline_is_refused() {
     let mut queue = queue(1, 100);
     let mut expired = Vec::new();
-    let mut displaced = Vec::new();
-    queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut displaced);
+    let mut evicted = Vec::new();
+    queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut evicted);
     for _ in 0..50 {
         queue.release(NOW, 400_000, &mut expired);
-        queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut displaced);
+        queue.admit(NOW, ticket(1, "a", 1, 1_000), &mut evicted);
     }
-    let refused = queue.admit(NOW, ticket(2, "a", 1, 100), &mut displaced);
+    let refused = queue.admit(NOW, ticket(2, "a", 1, 100), &mut evicted);
     assert_eq!(refused, Admission::Refused(ErrorKind::DeadlineTooShort));
 }
 
@@ -333,7 +333,7 @@
 enum Step {
     Admit {
         tenant: u8,
-        value: u32,
+        priority: u32,
         deadline_ms: u64,
     },
     Release {
@@ -346,7 +346,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0u8..4, 1u32..3, 0u64..500).prop_map(|(tenant, value, deadline_ms)| Step::Admit { tenant, value, deadline_ms }),
+        3 => (0u8..4, 1u32..3, 0u64..500).prop_map(|(tenant, priority, deadline_ms)| Step::Admit { tenant, priority, deadline_ms }),
         2 => (0u64..5_000).prop_map(|held_us| Step::Release { held_us }),
         1 => (0u64..60).prop_map(|id| Step::Cancel { id }),
     ]
@@ -366,16 +366,16 @@
         for (id, step) in steps.into_iter().enumerate() {
             let id = id as u64;
             match step {
-                Step::Admit { tenant, value, deadline_ms } => {
-                    let mut displaced = Vec::new();
-                    let new_ticket = ticket(id, &format!("t{tenant}"), value, deadline_ms);
-                    match queue.admit(NOW, new_ticket, &mut displaced) {
+                Step::Admit { tenant, priority, deadline_ms } => {
+                    let mut evicted = Vec::new();
+                    let new_ticket = ticket(id, &format!("t{tenant}"), priority, deadline_ms);
+                    match queue.admit(NOW, new_ticket, &mut evicted) {
                         Admission::Granted => running += 1,
                         Admission::Queued => { waiting.insert(id); }
                         Admission::Refused(kind) => prop_assert_eq!(kind.answer().effect, millwind_core::error_kind::Effect::NotRun),
                     }
-                    for displaced_id in displaced {
-                        prop_assert!(waiting.remove(&displaced_id));
+                    for evicted_id in evicted {
+                        prop_assert!(waiting.remove(&evicted_id));
                     }
                 }
                 Step::Release { held_us } if running > 0 => {
--- a/crates/millwind-core/tests/warm_up_lending.rs
+++ b/crates/millwind-core/tests/warm_up_lending.rs
@@ -1,6 +1,6 @@
-//! Lending of statement slots at an instance that warms up, simulated in virtual time with
-//! many nodes, owners that lend, and faults. The tests bound the statements sent within any
-//! second.
+//! Tests of the lending of warm-up credits for a cold instance, simulated in virtual time
+//! with many nodes, owners that lend, and faults. The tests bound the statements sent within
+//! any second.
 
 use millwind_core::Instant;
 use millwind_core::lender_lease::{LeaseState, LenderLease, LenderVote, may_vote};
@@ -79,7 +79,7 @@
     tolerance: WarmUpTolerance,
     /// Statements per second that are meant for the instance.
     requested_per_s: u64,
-    /// Longest time between obtaining a slot and sending the statement, in milliseconds.
+    /// Longest time between obtaining a credit and sending the statement, in milliseconds.
     send_delay_ms: u64,
     fault: Fault,
 }
@@ -263,7 +263,7 @@
 
     fn send(&mut self, asked_ms: u64, now_ms: u64) {
         let sent_ms = now_ms + self.rng.random_range(0..=self.scenario.send_delay_ms);
-        // An expired slot is not used.
+        // An expired credit is not used.
         if sent_ms < asked_ms + warm_up::CREDIT_LIFETIME_MS {
             self.sent.push(sent_ms);
         }
@@ -368,7 +368,7 @@
         let mean = scenario.requested_per_s as f64 / 1_000.0;
         let arrivals = mean as u64 + u64::from(simulation.rng.random_bool(mean.fract()));
         for _ in 0..arrivals {
-            // Most statements run on owners.
+            // Most statements arrive at owners.
             let node = match simulation.rng.random_bool(0.7) {
                 true => simulation.rng.random_range(0..OWNERS),
                 false => simulation.rng.random_range(0..scenario.nodes),
