--- a/crates/millwind-core/src/admission.rs
+++ b/crates/millwind-core/src/admission.rs
@@ -26,7 +26,7 @@
 /// A request that asks for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// Identifies the request to the owner of the queue.
+    /// Identifies the request to the caller.
     pub id: u64,
     /// Tenant whose share of the queue the request uses.
     pub tenant: TenantName,
--- a/crates/millwind-core/src/confirmation.rs
+++ b/crates/millwind-core/src/confirmation.rs
@@ -40,7 +40,7 @@
 /// A commit that awaits confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PendingCommit {
-    /// Identifies the commit to the owner of the tracker.
+    /// Identifies the commit to the caller.
     pub id: u64,
     /// Log position of the commit.
     pub position: Position,
--- a/crates/millwind-core/src/lead_relocation.rs
+++ b/crates/millwind-core/src/lead_relocation.rs
@@ -105,19 +105,19 @@
 }
 
 /// Returns where to move the leader, or `None` if the leader stays.
-pub fn decide_relocation(demand: &LeaderDemand, lead: &LeadershipState<'_>) -> Option<Relocation> {
-    let is_in_cooldown = lead.unchanged_ms < RELOCATION_COOLDOWN_MS
-        || lead
+pub fn decide_relocation(demand: &LeaderDemand, state: &LeadershipState<'_>) -> Option<Relocation> {
+    let is_in_cooldown = state.unchanged_ms < RELOCATION_COOLDOWN_MS
+        || state
             .since_attempt_ms
             .is_some_and(|attempt_ms| attempt_ms < RETRY_COOLDOWN_MS);
     if is_in_cooldown {
         return None;
     }
-    let weight_before = demand.served_in(lead.region);
-    let targets = lead
+    let weight_before = demand.served_in(state.region);
+    let targets = state
         .candidates
         .iter()
-        .filter(|region| !lead.left_regions.contains(*region));
+        .filter(|region| !state.left_regions.contains(*region));
     let weights = targets.map(|region| (demand.served_in(Some(region)), region));
     let (weight_after, region) = weights.max()?;
     justifies_move(weight_before, weight_after).then(|| Relocation {
--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -203,8 +203,8 @@
         self.advance_usage_window(now);
         let valid = self.loans.iter().filter(|(_, until)| *until > now);
         let left: u32 = valid.map(|(left, _)| *left).sum();
-        let ahead = self.ahead_of_demand() / 2;
-        ahead > 0 && left < ahead && self.denied.is_none_or(|(until, _)| until <= now)
+        let threshold = self.ahead_of_demand() / 2;
+        threshold > 0 && left < threshold && self.denied.is_none_or(|(until, _)| until <= now)
     }
 
     /// Records the lender's answer to a request sent at `asked`.
--- a/crates/millwind-core/src/quota.rs
+++ b/crates/millwind-core/src/quota.rs
@@ -1,11 +1,11 @@
 //! Tenant quotas, enforced across all nodes.
 //!
-//! One node is the lender of a tenant's budget. The nodes that serve the tenant's clients
-//! borrow operations from the lender, ahead of demand and in proportion to their recent use.
-//! Over any window, the operations that run stay within rate times window plus burst, with
-//! a tolerance of a tenth. Three rules ensure this: loans expire, a new budget starts
-//! almost empty, and a part of the burst is reserved for operations that run later than
-//! they were admitted.
+//! One node is the primary lender of a tenant's budget, and another is the backup lender.
+//! The nodes that serve the tenant's clients borrow operations from a lender, ahead of
+//! demand and in proportion to their recent use. Over any window, the operations that run
+//! stay within rate times window plus burst, with a tolerance of a tenth. Three rules ensure
+//! this: loans expire, a new budget starts almost empty, and a part of the burst is reserved
+//! for operations that run later than they were admitted.
 
 use crate::lending::{BorrowingSettings, Supply};
 
@@ -82,16 +82,16 @@
     pub other: PeerLender,
 }
 
-/// Returns the percentage of a quota that a lender may lend. `is_first` is true for the
+/// Returns the percentage of a quota that a lender may lend. `is_primary` is true for the
 /// primary lender and false for the backup lender.
 ///
 /// Nodes that reach neither lender use [`UNREACHED_LENDER_PERCENT`] of the quota together, so the
 /// lender deducts the parts of the nodes that it does not reach. While the other lender may
 /// be active on the other side of a network partition, each lender lends in proportion to
 /// the nodes that it reaches. Otherwise the two sides together would exceed the quota.
-pub fn lendable_percent(is_first: bool, reach: LenderReach) -> u32 {
+pub fn lendable_percent(is_primary: bool, reach: LenderReach) -> u32 {
     let reached = reach.percent.min(100);
-    match (is_first, reach.other) {
+    match (is_primary, reach.other) {
         (false, PeerLender::Reachable) => BACKUP_LENDER_PERCENT,
         (_, PeerLender::Unresponsive) => reached,
         (true, PeerLender::Reachable) | (_, PeerLender::Terminated) => {
--- a/crates/millwind-core/tests/lead_relocation.rs
+++ b/crates/millwind-core/tests/lead_relocation.rs
@@ -35,15 +35,15 @@
 /// Decides for a leader in the north whose cooldown has passed.
 fn decide(demand: &LeaderDemand, change: impl FnOnce(&mut LeadershipState<'_>)) -> Option<Relocation> {
     let (north, candidates, left) = (region("north"), regions(&["south", "east"]), regions(&[]));
-    let mut facts = LeadershipState {
+    let mut state = LeadershipState {
         region: Some(&north),
         unchanged_ms: RELOCATION_COOLDOWN_MS,
         since_attempt_ms: None,
         candidates: &candidates,
         left_regions: &left,
     };
-    change(&mut facts);
-    decide_relocation(demand, &facts)
+    change(&mut state);
+    decide_relocation(demand, &state)
 }
 
 #[test]
@@ -77,13 +77,13 @@
 #[test]
 fn the_leader_stays_during_the_cooldown_after_a_change_or_an_attempt() {
     let demand = demand(&[(&["south"], 40)]);
-    let early = decide(&demand, |facts| facts.unchanged_ms = RELOCATION_COOLDOWN_MS - 1);
+    let early = decide(&demand, |state| state.unchanged_ms = RELOCATION_COOLDOWN_MS - 1);
     assert_eq!(early, None);
-    let tried = decide(&demand, |facts| {
-        facts.since_attempt_ms = Some(RETRY_COOLDOWN_MS - 1)
+    let tried = decide(&demand, |state| {
+        state.since_attempt_ms = Some(RETRY_COOLDOWN_MS - 1)
     });
     assert_eq!(tried, None);
-    assert!(decide(&demand, |facts| facts.since_attempt_ms = Some(RETRY_COOLDOWN_MS)).is_some());
+    assert!(decide(&demand, |state| state.since_attempt_ms = Some(RETRY_COOLDOWN_MS)).is_some());
 }
 
 #[test]
@@ -106,16 +106,16 @@
     // The demand shifts entirely from one region to the other.
     for (north, south) in [(0, 50), (50, 0), (0, 50), (50, 0)] {
         let demand = demand(&[(&["north"], north), (&["south"], south)]);
-        let (present, candidates) = (region(leader_region), regions(&["north", "south"]));
-        let facts = LeadershipState {
-            region: Some(&present),
+        let (current, candidates) = (region(leader_region), regions(&["north", "south"]));
+        let state = LeadershipState {
+            region: Some(&current),
             unchanged_ms: RELOCATION_COOLDOWN_MS,
             since_attempt_ms: None,
             candidates: &candidates,
             left_regions: &left,
         };
-        if let Some(moved) = decide_relocation(&demand, &facts) {
-            left.insert(present);
+        if let Some(moved) = decide_relocation(&demand, &state) {
+            left.insert(current);
             leader_region = REGIONS.iter().find(|name| moved.region == region(name)).unwrap();
             moves += 1;
         }
