--- a/crates/millwind-core/src/lending.rs
+++ b/crates/millwind-core/src/lending.rs
@@ -51,7 +51,8 @@
 pub enum InitialBudget {
     /// Nothing, because many nodes may create such a budget at the same moment.
     Empty,
-    /// [`Supply::initial_operations`], because another node may have lent the full supply a moment ago.
+    /// [`Supply::initial_operations`], because another node may have lent the full supply
+    /// a moment ago.
     Reduced,
     /// [`Supply::max_saved`], because no node has lent from this supply recently.
     Full,
--- a/crates/millwind-core/tests/lead_permit.rs
+++ b/crates/millwind-core/tests/lead_permit.rs
@@ -75,7 +75,8 @@
     /// term open.
     store_reads: Vec<u64>,
     closed: u64,
-    /// When the promoting node asks for the permit to be handed back; `None` if this node is partitioned.
+    /// When the promoting node asks for the permit to be handed back; `None` if this
+    /// node is partitioned.
     asked: Option<u64>,
     /// When an answer of the old leader reaches this node.
     answer: u64,
