--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -121,16 +121,16 @@
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        let contact = &mut known.health;
-        contact.last_success = Some(clock::now());
-        if contact.failing_since.take().is_some() {
+        let health = &mut known.health;
+        health.last_success = Some(clock::now());
+        if health.failing_since.take().is_some() {
             info!("event=instance_regained instance={instance}");
         }
-        contact.is_refusing = false;
-        contact.is_suspected_by_peer = false;
+        health.is_refusing = false;
+        health.is_suspected_by_peer = false;
         if let Some(sample) = latency_us {
-            contact.statements.record_response(clock::now());
-            contact.latency_us = (contact.latency_us * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
+            health.statements.record_response(clock::now());
+            health.latency_us = (health.latency_us * (LATENCY_WEIGHT - 1) + sample) / LATENCY_WEIGHT;
         }
     }
 
@@ -192,16 +192,16 @@
         let Some(known) = state.instances.get_mut(instance) else {
             return;
         };
-        let contact = &mut known.health;
-        contact.avoid_until = clock::now().plus_millis(FAILURE_AVOID_MS);
-        if contact.last_success.is_some_and(|success| success > asked) {
+        let health = &mut known.health;
+        health.avoid_until = clock::now().plus_millis(FAILURE_AVOID_MS);
+        if health.last_success.is_some_and(|success| success > asked) {
             return;
         }
-        if contact.failing_since.is_none() {
+        if health.failing_since.is_none() {
             info!("event=instance_failing instance={instance} refusing={is_refusing}");
         }
-        contact.failing_since.get_or_insert(asked);
-        contact.is_refusing = is_refusing;
+        health.failing_since.get_or_insert(asked);
+        health.is_refusing = is_refusing;
         if is_refusing {
             state.discard_announcements(instance);
         }
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -41,9 +41,9 @@
             (change, state.evacuations.clone())
         };
         for zone in &change.started {
-            let may_be_asked = after.since(zone).map_or(0, |since| now.millis_since(since));
+            let max_age_ms = after.since(zone).map_or(0, |since| now.millis_since(since));
             info!(
-                "event=zone_evacuation_heard zone={zone} revision={} asked_ms_ago_at_most={may_be_asked}",
+                "event=zone_evacuation_heard zone={zone} revision={} asked_ms_ago_at_most={max_age_ms}",
                 after.revision()
             );
         }
--- a/crates/millwind-engine/src/directory/lives.rs
+++ b/crates/millwind-engine/src/directory/lives.rs
@@ -55,11 +55,11 @@
     /// Discards the state of the previous incarnation of `instance`, whose new record claims
     /// leadership or not (`claims_lead`).
     fn start_incarnation(&mut self, instance: &InstanceName, claims_lead: bool) {
-        let led = self
+        let may_have_led = self
             .leader
             .as_ref()
             .is_none_or(|leader| leader.instance == *instance);
-        let newest = self.observations.newest().filter(|_| led);
+        let newest = self.observations.newest().filter(|_| may_have_led);
         if let Some(newest) = newest {
             let now = clock::now();
             self.previous_logs.retain(|_, previous| now < previous.until);
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether `instance`, which answers as leader of `term` at `position`, has lost log that
-    /// its previous incarnation held in this term or a later one.
+    /// Whether `instance`, which answers as leader of `term` at `position`, lacks log
+    /// entries that its previous incarnation held in this term or a later one.
     pub(super) fn lacks_previous_log(&self, instance: &InstanceName, term: Term, position: Position) -> bool {
         self.previous_logs.get(instance).is_some_and(|previous| {
             let is_no_later_term = term <= previous.position.term;
--- a/crates/millwind-engine/src/directory/removals.rs
+++ b/crates/millwind-engine/src/directory/removals.rs
@@ -63,7 +63,7 @@
     pub fn drop_removed(&self, bound_ms: u64) -> Vec<InstanceName> {
         let now = clock::now();
         let mut state = self.state();
-        let forgotten: Vec<_> = state
+        let dropped: Vec<_> = state
             .instances
             .values()
             .filter(|known| known.is_removed)
@@ -74,7 +74,7 @@
             })
             .map(|known| known.record.name.clone())
             .collect();
-        for name in &forgotten {
+        for name in &dropped {
             let group = state.instances.get(name).map(|known| known.record.group.clone());
             if let Some(group) = group {
                 state.mark_group_changed(&group);
@@ -86,6 +86,6 @@
             }
             state.remove(name);
         }
-        forgotten
+        dropped
     }
 }
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -161,7 +161,7 @@
 fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &ExchangeError) {
     // A refused connection alone is no evidence, since an instance at its connection limit
     // refuses connections. An instance that keeps refusing this node is unusable, though. While
-    // statements open connections too, a probe may not even get an execution slot.
+    // statements open connections too, a probe may time out in the queue for a connection.
     let is_refused = matches!(
         error,
         ExchangeError::ClosedDuringStartup | ExchangeError::QueueTimeout
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -74,8 +74,9 @@
         (is_fresh && !directory.is_failing(&known.record.name)).then_some(newest.position)
     }
 
-    /// Returns whether `chosen` is a better leader. For a relocation its region must serve more
-    /// demand, and the replica must not have to leave.
+    /// Returns whether the placement of `chosen` permits its promotion. A relocation requires
+    /// that its region serves more demand than the region of the old leader, and that the
+    /// replica is neither leaving nor in an evacuated zone. Other moves require nothing.
     pub(super) fn improves_placement(
         &self,
         replacement: &Replacement,
@@ -87,7 +88,7 @@
         }
         let leader = replacement.old_leader.as_ref();
         let leader = leader.and_then(|leader| self.engine.directory.instance(leader));
-        let worth_before = leader.map_or(0, |leader| demand.served_in(self.engine.region_of(&leader)));
-        chosen.servable_share > worth_before && !chosen.is_leaving && !chosen.is_evacuated
+        let served_before = leader.map_or(0, |leader| demand.served_in(self.engine.region_of(&leader)));
+        chosen.servable_share > served_before && !chosen.is_leaving && !chosen.is_evacuated
     }
 }
--- a/crates/millwind-engine/src/failover/relocation.rs
+++ b/crates/millwind-engine/src/failover/relocation.rs
@@ -2,7 +2,7 @@
 //! need a leader out of its current region.
 //!
 //! The failover owner of the group decides, from the demand of its own clients and the reports
-//! of other nodes. If the holder does not answer, the first of the group's watchers that does
+//! of other nodes. If the owner does not answer, the first of the group's watchers that does
 //! decides instead. Nodes report only while the region restrictions of a customer exclude the
 //! region of the leader, so a deployment without such restrictions sends no messages.
 
@@ -180,7 +180,7 @@
     }
 
     /// Reports the demand of this node's clients to the failover owner of the group. If the
-    /// holder does not answer, the first watcher of the group that does decides instead; this
+    /// owner does not answer, the first watcher of the group that does decides instead; this
     /// may be the node itself.
     async fn report_or_relocate(
         self: &Arc<Self>,
@@ -194,10 +194,10 @@
         }
         let report = encode_demand_report(&self.engine.settings.name, group, &demands.own_demand(group));
         let request = ExchangeRequest::LeaderDemand(report);
-        let holder = self.ownership.get(group).map(|ownership| ownership.record.holder);
-        let holder = holder.and_then(|holder| self.engine.registry.address_of(&holder));
-        if let Some(holder) = holder
-            && self.engine.peers.ask(holder, &request).await.is_ok()
+        let owner = self.ownership.get(group).map(|ownership| ownership.record.holder);
+        let owner = owner.and_then(|owner| self.engine.registry.address_of(&owner));
+        if let Some(owner) = owner
+            && self.engine.peers.ask(owner, &request).await.is_ok()
         {
             return;
         }
@@ -205,7 +205,7 @@
             if watcher.is_self {
                 return self.relocate_if_beneficial(config, group, leader);
             }
-            let is_other = Some(watcher.address) != holder;
+            let is_other = Some(watcher.address) != owner;
             if is_other && self.engine.peers.ask(watcher.address, &request).await.is_ok() {
                 return;
             }
@@ -259,7 +259,7 @@
             reason: ReplaceReason::Relocating,
         };
         tokio::spawn(async move {
-            // Probes the group first, because the holder may know the leader only from peer
+            // Probes the group first, because the owner may know the leader only from peer
             // reports.
             health::probe_group(&monitor.engine, &replacement.group).await;
             monitor.replace(&replacement).await;
@@ -289,8 +289,9 @@
             .iter()
             .filter(|known| known.record.name != leader.record.name);
         let present = others.filter(|known| !known.is_removed);
-        let fit = present.filter(|known| !(is_demand_served && known.warm_up_status.is_cold(clock::now())));
-        let usable = fit.filter(|known| {
+        let warm_enough =
+            present.filter(|known| !(is_demand_served && known.warm_up_status.is_cold(clock::now())));
+        let usable = warm_enough.filter(|known| {
             let eligibility = engine.check_eligibility(known, InstanceUse::Replica, &AllowedRegions::Any);
             eligibility.is_ok() && known.health.failing_since.is_none() && !known.health.is_unhealthy()
         });
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -145,8 +145,8 @@
             return 0;
         }
         let rank = self.engine.registry.rank(group.as_str());
-        let holder_goes_first = usize::from(self.ownership.get(group).is_some());
-        (rank + holder_goes_first).min(MAX_RANK)
+        let owner_goes_first = usize::from(self.ownership.get(group).is_some());
+        (rank + owner_goes_first).min(MAX_RANK)
     }
 
     /// Returns the rank of this node among the owners of connections to `leader`. Only owners
@@ -160,8 +160,8 @@
         index.unwrap_or(MAX_RANK).min(MAX_RANK)
     }
 
-    /// Returns the remaining time of another node's lease on failover ownership. Two holders
-    /// must not act within the lease that the platform sets.
+    /// Returns the remaining time of another node's lease on failover ownership. Two nodes
+    /// must not act as the owner of a group within one lease.
     fn remaining_lease(&self, group: &GroupName) -> Duration {
         let lease_ms = self.engine.settings.duty_lease_ms;
         match self.ownership.get(group) {
@@ -189,15 +189,15 @@
             return true;
         }
         directory.instance(&leader.instance).is_some_and(|known| {
-            let contact = &known.health;
-            contact.failing_since.is_none()
-                && !contact.is_unhealthy()
+            let health = &known.health;
+            health.failing_since.is_none()
+                && !health.is_unhealthy()
                 && !known.is_leaving
                 && !self.must_leave_zone(&known)
         })
     }
 
-    /// Attempts one promotion. The first attempt of a holder uses its current token, so that it
+    /// Attempts one promotion. The first attempt of the failover owner uses its held token, so that it
     /// works while the store is unavailable. Later attempts need a higher token, so that a
     /// delayed earlier request is rejected.
     async fn order_promotion(
@@ -355,13 +355,13 @@
         tokio::spawn(async move { monitor.ownership.take(&group, Claim::Promote(chosen)).await });
     }
 
-    /// Requests the promotion and waits until the replica leads.
+    /// Requests the promotion of the chosen replica and waits until the replica leads.
     async fn promote(&self, group: &GroupName, choice: SuccessorChoice, token: u64) -> OrderOutcome {
         if !choice.paused.are_all_paused(&self.engine.directory) {
             return OrderOutcome::Retry;
         }
         if self.incarnation_of(Some(&choice.instance)) != choice.incarnation {
-            // The new incarnation may hold less than the old one reported.
+            // The new incarnation may have lost log entries that the old one reported.
             info!(
                 "event=choice_began_anew group={group} instance={}",
                 choice.instance
--- a/crates/millwind-engine/src/failover/revocation.rs
+++ b/crates/millwind-engine/src/failover/revocation.rs
@@ -142,8 +142,8 @@
         watchers
     }
 
-    /// Requests the permits of this node and of all nodes that have not answered. Returns true
-    /// if the old leader has confirmed its step-down to one of them.
+    /// Gives up the permits of this node and asks all nodes that have not answered to return
+    /// theirs. Returns true if the old leader has confirmed its step-down to one of the nodes.
     async fn request_term_closing(
         &self,
         closed: &ClosedTerm,
