--- a/crates/millwind-engine/src/forward/lease.rs
+++ b/crates/millwind-engine/src/forward/lease.rs
@@ -147,8 +147,8 @@
         deadline: Instant,
     ) -> ForwardedStatement {
         let (text, execution) = write_command(&envelope.command);
-        let left_ms = clock::until(deadline).as_millis() as u64;
-        let limit_ms = left_ms.saturating_sub(ANSWER_MARGIN_MS).max(1);
+        let remaining_ms = clock::until(deadline).as_millis() as u64;
+        let limit_ms = remaining_ms.saturating_sub(ANSWER_MARGIN_MS).max(1);
         let start = self.start.take().map(|start| ForwardedStart {
             instance: self.record.name.0.clone(),
             user: write_user(&start.user),
--- a/crates/millwind-engine/src/forward/messages.rs
+++ b/crates/millwind-engine/src/forward/messages.rs
@@ -222,9 +222,9 @@
 }
 
 fn write_back_end_error(error: BackEndError) -> ForwardedOutcome {
-    let number = BACK_END_ERROR_CODES.iter().find(|(_, kind)| *kind == error.kind);
+    let entry = BACK_END_ERROR_CODES.iter().find(|(_, kind)| *kind == error.kind);
     ForwardedOutcome::BackEnd {
-        kind: number.map_or(0, |(number, _)| *number),
+        kind: entry.map_or(0, |(wire_code, _)| *wire_code),
         code: error.code,
         text: error.text,
     }
@@ -234,9 +234,9 @@
     if let ExchangeError::WarmingUp { retry_after_ms } = *error {
         return ForwardedOutcome::WarmingUp { retry_after_ms };
     }
-    let number = LINK_ERROR_CODES.iter().find(|(_, kind)| kind == error);
+    let entry = LINK_ERROR_CODES.iter().find(|(_, kind)| kind == error);
     ForwardedOutcome::Link {
-        kind: number.map_or(0, |(number, _)| *number),
+        kind: entry.map_or(0, |(wire_code, _)| *wire_code),
     }
 }
 
@@ -250,14 +250,16 @@
             position: answer.position.first().copied().map(read_position),
         }),
         ForwardedOutcome::BackEnd { kind, code, text } => {
-            let known = BACK_END_ERROR_CODES.iter().find(|(number, _)| *number == kind);
-            let kind = known.map_or(BackEndErrorKind::Other, |(_, kind)| *kind);
+            let entry = BACK_END_ERROR_CODES
+                .iter()
+                .find(|(wire_code, _)| *wire_code == kind);
+            let kind = entry.map_or(BackEndErrorKind::Other, |(_, kind)| *kind);
             Err(AttemptError::BackEnd(BackEndError { kind, code, text }))
         }
         ForwardedOutcome::Link { kind } => {
-            let known = LINK_ERROR_CODES.iter().find(|(number, _)| *number == kind);
+            let entry = LINK_ERROR_CODES.iter().find(|(wire_code, _)| *wire_code == kind);
             // An unknown code does not tell whether the statement has run.
-            let error = known.map_or(ExchangeError::Protocol, |(_, error)| error.clone());
+            let error = entry.map_or(ExchangeError::Protocol, |(_, error)| error.clone());
             Err(AttemptError::Link(error))
         }
         ForwardedOutcome::WarmingUp { retry_after_ms } => {
--- a/crates/millwind-engine/src/forward/owners.rs
+++ b/crates/millwind-engine/src/forward/owners.rs
@@ -149,14 +149,14 @@
         }
         let nodes = self.rank(registry, record, &AllowedRegions::Any);
         let ranked = nodes.owners.iter().chain(&nodes.backup_owners).cloned().collect();
-        let found = UnrestrictedRanking {
+        let ranking = UnrestrictedRanking {
             version,
             zone: record.zone.clone(),
             nodes: Arc::new(nodes),
             ranked: Arc::new(ranked),
         };
-        unrestricted.insert(record.name.clone(), found.clone());
-        found
+        unrestricted.insert(record.name.clone(), ranking.clone());
+        ranking
     }
 
     /// Returns the owners and backup owners that may receive the text of the statement. This
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -262,12 +262,12 @@
         ));
     };
     let mut connection = held.connection.lock().await;
-    let mut since = None;
+    let mut minimum_position = None;
     if let Some(start) = statement.start.first() {
         match begin(engine, start, statement, deadline).await {
-            Ok((opened, needed)) => {
+            Ok((opened, resolved)) => {
                 *connection = Some(opened);
-                since = needed;
+                minimum_position = resolved;
             }
             Err(error) => {
                 drop(connection);
@@ -279,7 +279,7 @@
     }
     let (result, state, group) = match connection.as_mut() {
         Some(connection) => {
-            let result = run_on_connection(engine, connection, statement, since, deadline).await;
+            let result = run_on_connection(engine, connection, statement, minimum_position, deadline).await;
             let group = connection.pool().record().group.clone();
             (result, connection.transaction(), Some(group))
         }
@@ -339,9 +339,9 @@
             reason => ExchangeError::Ineligible(reason),
         })
         .map_err(AttemptError::Link)?;
-    let contact = &known.health;
-    let is_backing_off = clock::now() < contact.avoid_until || contact.statements.in_flight() > 0;
-    if contact.failing_since.is_some() && is_backing_off {
+    let health = &known.health;
+    let is_backing_off = clock::now() < health.avoid_until || health.statements.in_flight() > 0;
+    if health.failing_since.is_some() && is_backing_off {
         return Err(AttemptError::Link(ExchangeError::InstanceFailing));
     }
     // Hanging statements occupy connections, so an instance that hangs must not
@@ -376,7 +376,7 @@
         _ => None,
     };
     engine.directory.record_use(&record.group, staleness);
-    let since = resolve(engine, &floor, &record, deadline).await?;
+    let minimum_position = resolve(engine, &floor, &record, deadline).await?;
     let user = read_user(&start.user);
     let session = read_session(&statement.values);
     let execution = read_execution(statement);
@@ -390,11 +390,11 @@
     };
     let mut connection = execution::connect(engine, &record, request).await?;
     let read_only = match start.begin {
-        ForwardedBegin::None => return Ok((connection, since)),
+        ForwardedBegin::None => return Ok((connection, minimum_position)),
         ForwardedBegin::ReadOnly => true,
         ForwardedBegin::ReadWrite => false,
     };
-    execution::begin(engine, &mut connection, read_only, since, deadline).await?;
+    execution::begin(engine, &mut connection, read_only, minimum_position, deadline).await?;
     Ok((connection, None))
 }
 
@@ -414,7 +414,7 @@
     engine: &Arc<Engine>,
     connection: &mut PooledConnection,
     statement: &ForwardedStatement,
-    since: Option<Position>,
+    minimum_position: Option<Position>,
     deadline: Instant,
 ) -> Result<Reply, AttemptError> {
     let session = read_session(&statement.values);
@@ -428,7 +428,7 @@
     };
     let envelope = Envelope {
         id: Some(&statement.id),
-        since,
+        since: minimum_position,
         command,
     };
     let confirms_leader = statement.confirms_leader == 1;
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -113,9 +113,9 @@
         SessionConnection::Leased(lease) => lease.set_begin(read_only, floor),
         SessionConnection::Local(local) => {
             let deadline = operation.deadline;
-            let since = floor.resolve(engine, &record.group, deadline).await;
-            let since = since.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
-            execution::begin(engine, local, read_only, since, deadline)
+            let position = floor.resolve(engine, &record.group, deadline).await;
+            let position = position.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
+            execution::begin(engine, local, read_only, position, deadline)
                 .await
                 .inspect_err(|error| operation.attempt_log.record(&record.name, error.name()))?;
         }
@@ -146,8 +146,8 @@
                 .await
         }
         SessionConnection::Local(local) => {
-            let since = floor.resolve(engine, operation.group(), deadline).await;
-            envelope.since = since.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
+            let position = floor.resolve(engine, operation.group(), deadline).await;
+            envelope.since = position.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
             execution::run(engine, local, session, &envelope, confirms_leader, deadline).await
         }
     };
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -166,8 +166,8 @@
         self.database = DatabaseName(database);
         self.key = key;
         let mut output = BytesMut::new();
-        let accepted = self.caller_context();
-        match &accepted {
+        let context = self.caller_context();
+        match &context {
             Ok(_) => self.engine.caller_codec.encode_startup_complete(&mut output),
             Err(refusal) => {
                 info!(
@@ -180,7 +180,7 @@
                 self.engine.caller_codec.encode_final_error(&mut output, &answer);
             }
         }
-        self.stream.write_all(&output).await.is_ok() && accepted.is_ok()
+        self.stream.write_all(&output).await.is_ok() && context.is_ok()
     }
 
     async fn run(&mut self) {
@@ -452,17 +452,17 @@
     fn last_commit_in(&self, group: &GroupName) -> Option<SessionCommit> {
         self.last_commit
             .as_ref()
-            .filter(|(committed, _)| committed == group)
-            .map(|(_, written)| *written)
+            .filter(|(commit_group, _)| commit_group == group)
+            .map(|(_, commit)| *commit)
     }
 
     fn record_commit(&mut self, group: &GroupName, position: Option<Position>) {
         if let Some(position) = position {
-            let written = SessionCommit {
+            let commit = SessionCommit {
                 position,
                 acknowledged: clock::now(),
             };
-            self.last_commit = Some((group.clone(), written));
+            self.last_commit = Some((group.clone(), commit));
         }
     }
 }
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -393,13 +393,14 @@
     matches!(error, AttemptError::Link(ExchangeError::WarmingUp { .. }))
 }
 
-/// Returns the failure of a transaction whose instance can no longer be used.
+/// Returns the failure of a transaction that is rolled back because its instance is ineligible
+/// or warming up.
 fn transaction_lost(error: &AttemptError) -> Failure {
     Refusal::new(ErrorKind::TransactionLost, error.name()).into()
 }
 
-/// Converts the error of a statement that ran before the commit was sent. If the
-/// connection was lost, the instance rolls the transaction back.
+/// Converts an error that does not leave the outcome of a commit unknown. If the connection
+/// was lost, the instance rolls the transaction back.
 fn transaction_failure(error: AttemptError) -> Failure {
     if error.has_not_run() {
         return error.into_failure();
