--- a/crates/millwind-engine/src/backend/connection.rs
+++ b/crates/millwind-engine/src/backend/connection.rs
@@ -47,8 +47,8 @@
 }
 
 impl Connection {
-    /// Connects to the instance and starts a session for `user`. Fails if this is rejected or
-    /// not done by `deadline`.
+    /// Connects to the instance and starts a session for `user`. Fails if the instance
+    /// rejects the session or the session is not established by `deadline`.
     pub async fn open(
         record: &InstanceRecord,
         codec: Arc<dyn BackEndCodec>,
--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -28,7 +28,7 @@
 /// Time, counted from the end of that pause, during which connections are opened one at a
 /// time, in milliseconds.
 const SERIAL_OPEN_MS: u64 = 2_000;
-/// Interval at which a waiting request retries to open a connection meanwhile, in
+/// Interval at which a waiting request retries to open a connection during that time, in
 /// milliseconds.
 const SERIAL_OPEN_RETRY_MS: u64 = 60;
 /// A new sample enters the moving average of the time of use with weight `1 / USE_WEIGHT`.
@@ -97,7 +97,7 @@
     rank: u8,
     user: ConnectionUser,
     /// Number of later requests that were served first.
-    passed_over: u8,
+    overtaken_count: u8,
     grant: oneshot::Sender<Grant>,
 }
 
@@ -141,11 +141,11 @@
         let view = |waiter: &Waiter| WaitingRequest {
             rank: waiter.rank,
             is_same_user: waiter.user == *user,
-            overtaken_count: waiter.passed_over,
+            overtaken_count: waiter.overtaken_count,
         };
         let index = select_next(self.waiters.iter().map(view))?;
         for skipped in self.waiters.iter_mut().take(index) {
-            skipped.passed_over += 1;
+            skipped.overtaken_count += 1;
         }
         self.waiters.remove(index)
     }
@@ -486,7 +486,7 @@
             let waiter = Waiter {
                 rank,
                 user: user.clone(),
-                passed_over: 0,
+                overtaken_count: 0,
                 grant: sender,
             };
             let index = state.waiters.partition_point(|other| other.rank <= rank);
--- a/crates/millwind-engine/src/backend/pools.rs
+++ b/crates/millwind-engine/src/backend/pools.rs
@@ -74,7 +74,7 @@
     /// load statistics. Lookups with the previous record return the new pool if the address
     /// is the same.
     pub fn replace_restarted(&self, record: &InstanceRecord, version: u64, share: usize) {
-        let former = {
+        let previous = {
             let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
             let Some(entry) = pools.get_mut(&record.name) else {
                 return;
@@ -83,7 +83,7 @@
             let pool = Pool::new(record.clone(), self.codec.clone(), share);
             std::mem::replace(&mut entry.pool, pool)
         };
-        former.retire();
+        previous.retire();
     }
 
     /// All pools.
--- a/crates/millwind-engine/src/backend/turns.rs
+++ b/crates/millwind-engine/src/backend/turns.rs
@@ -44,7 +44,7 @@
     urgency: Urgency,
     user: ConnectionUser,
     /// Number of later statements that were served first.
-    passed_over: u8,
+    overtaken_count: u8,
     slot: oneshot::Sender<ExecutionSlot>,
 }
 
@@ -114,8 +114,8 @@
             .await
     }
 
-    /// Waits for an execution slot for `user`. A statement whose answer is expected after the
-    /// target time `target_time` counts as late. Fails at `deadline`, or at once if the
+    /// Waits for an execution slot for `user`. A statement whose answer is expected after
+    /// `target_time` counts as late. Fails at `deadline`, or at once if the
     /// statement is not expected to be answered by then.
     pub async fn acquire_for(
         self: &Arc<Self>,
@@ -124,7 +124,7 @@
         target_time: Instant,
         deadline: Instant,
     ) -> Result<ExecutionSlot, ExchangeError> {
-        let waiting = {
+        let receiver = {
             let mut state = self.state();
             if state.running < state.limit.allowed() {
                 state.running += 1;
@@ -135,7 +135,7 @@
                 .ok_or(ExchangeError::QueueTimeout)?;
             state.enqueue(queued_urgency, user.clone())
         };
-        match tokio::time::timeout_at(clock::deadline(deadline), waiting).await {
+        match tokio::time::timeout_at(clock::deadline(deadline), receiver).await {
             Ok(Ok(slot)) => Ok(slot),
             Ok(Err(_)) => Err(ExchangeError::PoolRetired),
             Err(_) => Err(ExchangeError::QueueTimeout),
@@ -214,7 +214,7 @@
         let waiter = Waiter {
             urgency,
             user,
-            passed_over: 0,
+            overtaken_count: 0,
             slot,
         };
         self.waiters.insert(index, waiter);
@@ -228,11 +228,11 @@
         let view = |waiter: &Waiter| WaitingRequest {
             rank: waiter.urgency.rank(),
             is_same_user: waiter.user == *user,
-            overtaken_count: waiter.passed_over,
+            overtaken_count: waiter.overtaken_count,
         };
         let index = select_next(self.waiters.iter().map(view))?;
         for skipped in self.waiters.iter_mut().take(index) {
-            skipped.passed_over += 1;
+            skipped.overtaken_count += 1;
         }
         self.waiters.remove(index)
     }
--- a/crates/millwind-engine/src/peers/client.rs
+++ b/crates/millwind-engine/src/peers/client.rs
@@ -40,8 +40,8 @@
     /// Sends a request to the node at `address` and returns its reply.
     ///
     /// If the cached connection is busy, the request uses a separate connection instead of
-    /// waiting for a reply that may be long. If the cached connection fails, the request is
-    /// repeated on a new one; the call fails only if that one fails too.
+    /// waiting for the reply in progress, which may be long. If the cached connection fails,
+    /// the request is repeated on a new connection, and fails only if that also fails.
     pub async fn ask(
         &self,
         address: SocketAddr,
--- a/crates/millwind-engine/src/peers/exchange.rs
+++ b/crates/millwind-engine/src/peers/exchange.rs
@@ -61,7 +61,7 @@
         loop {
             tokio::time::sleep(self.interval()).await;
             if let Some(source) = self.choose_source() {
-                self.compare_and_update_reading(source).await;
+                self.compare_and_reconsider_source(source).await;
             }
             self.engine.relays.reconsider_source(&self.engine);
         }
@@ -72,7 +72,7 @@
     /// catalog may be older than the freshness limit, and all nodes would read the store
     /// without need. A comparison that takes longer than the interval does not delay the
     /// decision.
-    async fn compare_and_update_reading(&self, source: ComparisonPeer) {
+    async fn compare_and_reconsider_source(&self, source: ComparisonPeer) {
         let mut comparison = std::pin::pin!(self.compare_catalog(source));
         while tokio::time::timeout(COMPARISON_INTERVAL, &mut comparison)
             .await
@@ -172,9 +172,12 @@
                 return;
             }
         };
-        let documents = config.len() + instances.len() + own.len();
+        let document_count = config.len() + instances.len() + own.len();
         self.engine.metrics.catalog_comparisons.inc();
-        self.engine.metrics.catalog_documents.inc_by(documents as u64);
+        self.engine
+            .metrics
+            .catalog_documents
+            .inc_by(document_count as u64);
         if !config.is_empty() || !instances.is_empty() {
             info!(
                 "event=catalog_from_peer peer={address} config={} instances={}",
@@ -190,13 +193,13 @@
         for document in config {
             self.apply_config(address, &document);
         }
-        let known = self.engine.catalog_cache.instances_revision();
+        let known_revision = self.engine.catalog_cache.instances_revision();
         for document in &instances {
             let value = (document.removed == 0).then_some(document.value.as_slice());
             self.engine
                 .handle_instance_document(&*self.codec, &document.key, value, document.revision);
         }
-        if complete == 1 && instances_revision.era > known.era && !known.is_none() {
+        if complete == 1 && instances_revision.era > known_revision.era && !known_revision.is_none() {
             // The reply lists all instances in the store since its restoration, so all others
             // are gone.
             let present = instances.iter().filter(|document| document.removed == 0);
@@ -212,8 +215,8 @@
         }
         self.engine.own_keys.apply_documents(own, own_revision);
         if own_age_ms < u32::MAX {
-            let known = clock::minus_millis(sent, u64::from(own_age_ms));
-            self.engine.directory.confirm_closed_terms(known);
+            let known_at = clock::minus_millis(sent, u64::from(own_age_ms));
+            self.engine.directory.confirm_closed_terms(known_at);
         }
         let store_age_ms = (store_age_ms < u32::MAX).then_some(u64::from(store_age_ms));
         if let Some(age_ms) = store_age_ms {
