--- a/crates/millwind-engine/src/backend/pool.rs
+++ b/crates/millwind-engine/src/backend/pool.rs
@@ -28,8 +28,8 @@
 /// Time, counted from the end of that pause, during which connections are opened one at a
 /// time, in milliseconds.
 const SERIAL_OPEN_MS: u64 = 2_000;
-/// Interval at which a waiting request retries to open a connection during that time, in
-/// milliseconds.
+/// Interval at which a waiting request retries to open a connection after such a rejection,
+/// in milliseconds.
 const SERIAL_OPEN_RETRY_MS: u64 = 60;
 /// A new sample enters the moving average of the time of use with weight `1 / USE_WEIGHT`.
 const USE_WEIGHT: u64 = 16;
--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -67,7 +67,7 @@
         self.state().evacuations.since(zone)
     }
 
-    /// When this node learnt that the evacuation of a zone was cancelled. The instances of the
+    /// When this node learned that the evacuation of a zone was cancelled. The instances of the
     /// zone count as cold from that time on.
     pub fn evacuation_cancelled_at(&self, zone: &ZoneName) -> Option<Instant> {
         self.state().evacuations.withdrawn_at(zone)
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -46,7 +46,7 @@
     pub record: Arc<InstanceRecord>,
     /// When this node last received the record.
     pub last_seen: Instant,
-    /// When this node learnt that the instance is leaving or that its record was removed.
+    /// When this node learned that the instance is leaving or that its record was removed.
     pub leaving_since: Option<Instant>,
     /// Whether the record was removed from the store.
     pub is_removed: bool,
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -189,5 +189,5 @@
 fn was_reached_recently(engine: &Engine, record: &InstanceRecord) -> bool {
     let known = engine.directory.instance(&record.name);
     let last_success = known.and_then(|known| known.health.last_success);
-    last_success.is_some_and(|heard| clock::now().millis_since(heard) < REFUSAL_TOLERANCE_MS)
+    last_success.is_some_and(|success| clock::now().millis_since(success) < REFUSAL_TOLERANCE_MS)
 }
--- a/crates/millwind-engine/src/failover/mod.rs
+++ b/crates/millwind-engine/src/failover/mod.rs
@@ -358,9 +358,9 @@
             return evidence;
         };
         self.clear_leaderless(group);
-        let store_heard = directory
+        let store_contact = directory
             .last_store_contact()
-            .filter(|heard| now.millis_since(*heard) < STORE_CONTACT_MAX_AGE_MS);
+            .filter(|contact| now.millis_since(*contact) < STORE_CONTACT_MAX_AGE_MS);
         evidence.failing_since = known.health.failing_since;
         evidence.refuses_connections = known.health.is_refusing;
         evidence.is_leaving = known.is_leaving;
@@ -379,7 +379,7 @@
         }
         // The heartbeat age is measured up to the last answer from the store, because the
         // record may have been renewed since.
-        evidence.heartbeat_age_ms = store_heard.map(|heard| heard.millis_since(known.last_seen));
+        evidence.heartbeat_age_ms = store_contact.map(|contact| contact.millis_since(known.last_seen));
         evidence
     }
 
--- a/crates/millwind-engine/src/failover/moves.rs
+++ b/crates/millwind-engine/src/failover/moves.rs
@@ -76,7 +76,8 @@
 
     /// Returns whether the placement of `chosen` permits its promotion. A relocation requires
     /// that its region serves more demand than the region of the old leader, and that the
-    /// replica is neither leaving nor in an evacuated zone. Other moves require nothing.
+    /// replica is neither leaving nor in an evacuated zone. Other replacements have no such
+    /// requirement.
     pub(super) fn improves_placement(
         &self,
         replacement: &Replacement,
--- a/crates/millwind-engine/src/failover/replacement.rs
+++ b/crates/millwind-engine/src/failover/replacement.rs
@@ -197,8 +197,8 @@
         })
     }
 
-    /// Attempts one promotion. The first attempt of the failover owner uses its held token, so that it
-    /// works while the store is unavailable. Later attempts need a higher token, so that a
+    /// Attempts one promotion. The first attempt of the failover owner uses its held token, so
+    /// that it works while the store is unavailable. Later attempts need a higher token, so that a
     /// delayed earlier request is rejected.
     async fn order_promotion(
         self: &Arc<Self>,
