--- a/crates/millwind-engine/src/directory/evacuation.rs
+++ b/crates/millwind-engine/src/directory/evacuation.rs
@@ -41,9 +41,9 @@
             (change, state.evacuations.clone())
         };
         for zone in &change.started {
-            let may_be_asked = after.since(zone).map_or(0, |since| now.millis_since(since));
+            let max_age_ms = after.since(zone).map_or(0, |since| now.millis_since(since));
             info!(
-                "event=zone_evacuation_heard zone={zone} revision={} asked_ms_ago_at_most={may_be_asked}",
+                "event=zone_evacuation_heard zone={zone} revision={} asked_ms_ago_at_most={max_age_ms}",
                 after.revision()
             );
         }
@@ -67,7 +67,7 @@
         self.state().evacuations.since(zone)
     }
 
-    /// When this node learnt that the evacuation of a zone was cancelled. The instances of the
+    /// When this node learned that the evacuation of a zone was cancelled. The instances of the
     /// zone count as cold from that time on.
     pub fn evacuation_cancelled_at(&self, zone: &ZoneName) -> Option<Instant> {
         self.state().evacuations.withdrawn_at(zone)
--- a/crates/millwind-engine/src/failover/health.rs
+++ b/crates/millwind-engine/src/failover/health.rs
@@ -161,7 +161,7 @@
 fn record_failure(engine: &Engine, record: &InstanceRecord, asked: Instant, error: &ExchangeError) {
     // A refused connection alone is no evidence, since an instance at its connection limit
     // refuses connections. An instance that keeps refusing this node is unusable, though. While
-    // statements open connections too, a probe may not even get an execution slot.
+    // statements open connections too, a probe may time out in the queue for a connection.
     let is_refused = matches!(
         error,
         ExchangeError::ClosedDuringStartup | ExchangeError::QueueTimeout
@@ -189,5 +189,5 @@
 fn was_reached_recently(engine: &Engine, record: &InstanceRecord) -> bool {
     let known = engine.directory.instance(&record.name);
     let last_success = known.and_then(|known| known.health.last_success);
-    last_success.is_some_and(|heard| clock::now().millis_since(heard) < REFUSAL_TOLERANCE_MS)
+    last_success.is_some_and(|success| clock::now().millis_since(success) < REFUSAL_TOLERANCE_MS)
 }
