--- a/crates/millwind-engine/src/failover_ownership.rs
+++ b/crates/millwind-engine/src/failover_ownership.rs
@@ -45,7 +45,7 @@
     /// The leader of the closed term, if known.
     #[serde(default)]
     pub retired: Option<InstanceName>,
-    /// Whether a promotion of `chosen` may have been sent in the closed term.
+    /// Whether a promotion of `chosen` may have been sent since `closed_term` was closed.
     #[serde(default)]
     pub is_ordered: bool,
 }
@@ -81,17 +81,17 @@
 }
 
 impl Claim {
-    /// Returns the record that `holder` writes in place of `held`. Closed terms stay
-    /// closed.
-    fn record(self, holder: &str, held: Option<FailoverRecord>) -> FailoverRecord {
-        if let (Claim::Restore, Some(held)) = (&self, &held) {
+    /// Returns the record that `holder` writes after `known`, the latest known record.
+    /// Closed terms stay closed.
+    fn record(self, holder: &str, known: Option<FailoverRecord>) -> FailoverRecord {
+        if let (Claim::Restore, Some(known)) = (&self, &known) {
             return FailoverRecord {
                 holder: holder.to_owned(),
-                ..held.clone()
+                ..known.clone()
             };
         }
         let (closed_term, retired) =
-            held.map_or_else(Default::default, |held| (held.closed_term, held.retired));
+            known.map_or_else(Default::default, |known| (known.closed_term, known.retired));
         let record = FailoverRecord {
             holder: holder.to_owned(),
             chosen: None,
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Returns the latest known record of a group, either from the store or lost by it.
+    /// Returns the latest known record of a group: the last observed record or, unless it
+    /// covers the record that the store lost, the lost one.
     fn known_record(&self, group: &GroupName) -> Option<FailoverRecord> {
         let held = self.get(group).map(|ownership| ownership.record);
         let lost = self.lost().get(group).map(|(record, _)| record.clone());
@@ -293,7 +294,7 @@
     pub async fn take(&self, group: &GroupName, claim: Claim) -> Result<u64, FailoverOwnershipError> {
         let key = self.key(group);
         let held = self.get(group);
-        let known = held
+        let expected = held
             .as_ref()
             .map_or(StoreRevision::NONE, |ownership| ownership.revision);
         let record = claim.record(&self.node, self.known_record(group));
@@ -301,16 +302,19 @@
             key: key.clone(),
             value: encode(&record),
         };
-        let condition = Condition { key, revision: known };
+        let condition = Condition {
+            key,
+            revision: expected,
+        };
         match self.store.swap(&[condition], &[write]).await {
             Ok(Swap::Done { revision }) => {
                 let token = revision.fencing_token();
-                info!("event=duty_taken group={group} token={token} revision={revision} previous={known}");
+                info!("event=duty_taken group={group} token={token} revision={revision} previous={expected}");
                 self.observe(group.clone(), record, revision);
                 Ok(token)
             }
             Ok(Swap::Conflict { current }) => {
-                info!("event=duty_conflict group={group} expected={known}");
+                info!("event=duty_conflict group={group} expected={expected}");
                 self.apply_entries(current);
                 Err(FailoverOwnershipError::Taken)
             }
--- a/crates/millwind-engine/src/ports.rs
+++ b/crates/millwind-engine/src/ports.rs
@@ -96,7 +96,7 @@
     pub instance: InstanceName,
     /// Name of the node that holds failover ownership.
     pub holder: String,
-    /// Fencing token; increases when the holder changes.
+    /// Fencing token; increases with each new holder and each promotion.
     pub fencing_token: u64,
 }
 
