--- a/crates/millwind-engine/src/catalog_cache.rs
+++ b/crates/millwind-engine/src/catalog_cache.rs
@@ -86,8 +86,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stores the configuration of `version`, which any node first read from the store at
-    /// `known_since`.
+    /// Stores the configuration of `version`. `known_since` is the time at which the first
+    /// node read it from the store.
     pub fn store_config(&self, version: u64, value: &[u8], known_since: Instant) {
         self.state().config = Some(CachedConfig {
             version,
--- a/crates/millwind-engine/src/catalog_intake.rs
+++ b/crates/millwind-engine/src/catalog_intake.rs
@@ -58,10 +58,10 @@
         self.relays.instances_heard();
     }
 
-    /// Records that a peer had current data from the store at `heard`. If that ends an
-    /// outage, all followers read again, since this node's watches may have been lost.
-    pub fn record_peer_store_contact(&self, heard: Instant) {
-        let ends_outage = self.relays.record_peer_freshness(heard);
+    /// Records that a peer had current data from the store at `current_as_of`. If that
+    /// ends an outage, all followers read again, since this node's watches may have been lost.
+    pub fn record_peer_store_contact(&self, current_as_of: Instant) {
+        let ends_outage = self.relays.record_peer_freshness(current_as_of);
         if ends_outage && !self.relays.is_reading_store() {
             self.store_contact.request_reread();
         }
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Decodes and applies a configuration document, which any node first read from the
-    /// store at `known_since`. An unreadable document is logged and ignored.
+    /// Decodes and applies a configuration document. `known_since` is the time at which the
+    /// first node read it from the store. An unreadable document is logged and ignored.
     pub fn handle_config_document(
         &self,
         codec: &dyn CatalogCodec,
--- a/crates/millwind-engine/src/catalog_watch.rs
+++ b/crates/millwind-engine/src/catalog_watch.rs
@@ -17,9 +17,9 @@
 use crate::ports::CatalogCodec;
 use crate::store_watch::{CatalogSource, Follower, MAX_RETRY_DELAY, MAX_RETRY_DELAY_BEHIND_RELAYS};
 
-/// Returns the longest pause of this node between two retries while the store is
+/// Returns the maximum delay of this node between two retries while the store is
 /// unavailable.
-fn max_retry_pause(engine: &Engine) -> Duration {
+fn retry_delay_limit(engine: &Engine) -> Duration {
     match engine.relays.is_relay(&engine.registry) {
         true => MAX_RETRY_DELAY,
         false => MAX_RETRY_DELAY_BEHIND_RELAYS,
@@ -80,7 +80,7 @@
     }
 
     fn max_retry_delay(&self) -> Duration {
-        max_retry_pause(&self.engine)
+        retry_delay_limit(&self.engine)
     }
 }
 
@@ -153,7 +153,7 @@
     }
 
     fn max_retry_delay(&self) -> Duration {
-        max_retry_pause(&self.engine)
+        retry_delay_limit(&self.engine)
     }
 
     fn is_sentinel(&self) -> bool {
--- a/crates/millwind-engine/src/own_keys.rs
+++ b/crates/millwind-engine/src/own_keys.rs
@@ -32,8 +32,8 @@
 pub struct SystemKeys {
     followers: Vec<Arc<dyn Follower>>,
     /// Registry to fill first with the nodes of the own zone, if enabled.
-    nodes: Option<Arc<Registry>>,
-    reads_store: watch::Receiver<CatalogSource>,
+    registry: Option<Arc<Registry>>,
+    catalog_source: watch::Receiver<CatalogSource>,
     state: Mutex<State>,
 }
 
@@ -44,22 +44,22 @@
 }
 
 impl SystemKeys {
-    /// Creates a replica that passes all documents to `followers`. `reads_store` tells
-    /// whether the node reads them from the store.
-    pub fn new(followers: Vec<Arc<dyn Follower>>, reads_store: watch::Receiver<CatalogSource>) -> Self {
+    /// Creates a replica that passes all documents to `followers`. `catalog_source`
+    /// tells where the node reads them from.
+    pub fn new(followers: Vec<Arc<dyn Follower>>, catalog_source: watch::Receiver<CatalogSource>) -> Self {
         SystemKeys {
             followers,
-            nodes: None,
-            reads_store,
+            registry: None,
+            catalog_source,
             state: Mutex::default(),
         }
     }
 
     /// Makes a starting node read the nodes of its own zone first. They include its
     /// relays, which deliver the rest.
-    pub fn with_zone_first(self, nodes: Arc<Registry>) -> Self {
+    pub fn with_zone_first(self, registry: Arc<Registry>) -> Self {
         SystemKeys {
-            nodes: Some(nodes),
+            registry: Some(registry),
             ..self
         }
     }
@@ -203,17 +203,17 @@
     }
 
     fn initial_prefix(&self) -> Option<String> {
-        self.nodes.as_ref().map(|nodes| nodes.zone_prefix())
+        self.registry.as_ref().map(|registry| registry.zone_prefix())
     }
 
     fn initial_prefix_listed(&self, listing: Listing) {
-        if let Some(nodes) = &self.nodes {
-            nodes.apply_zone_listing(listing);
+        if let Some(registry) = &self.registry {
+            registry.apply_zone_listing(listing);
         }
     }
 
     fn catalog_source(&self) -> Option<watch::Receiver<CatalogSource>> {
-        Some(self.reads_store.clone())
+        Some(self.catalog_source.clone())
     }
 
     fn await_next_batch(&self) -> BoxFuture<'_, ()> {
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -58,7 +58,7 @@
     zones: usize,
     times: RelayTimes,
     state: Mutex<State>,
-    reading: watch::Sender<CatalogSource>,
+    source: watch::Sender<CatalogSource>,
 }
 
 impl Relays {
@@ -70,7 +70,7 @@
             zones: zones.max(1),
             times: RelayTimes::for_config_bound(config_bound_ms),
             state: Mutex::new(State::default()),
-            reading: watch::Sender::new(CatalogSource::Undecided),
+            source: watch::Sender::new(CatalogSource::Undecided),
         }
     }
 
@@ -85,12 +85,12 @@
 
     /// Returns a receiver of where this node reads the catalog from.
     pub fn reading(&self) -> watch::Receiver<CatalogSource> {
-        self.reading.subscribe()
+        self.source.subscribe()
     }
 
     /// Returns whether this node reads the store now.
     pub fn is_reading_store(&self) -> bool {
-        *self.reading.borrow() != CatalogSource::Relays
+        *self.source.borrow() != CatalogSource::Relays
     }
 
     /// Records that another node asked this one as a relay.
@@ -114,23 +114,23 @@
         self.state().freshness.configuration_watch_ended();
     }
 
-    /// Records that a peer knew the catalog as of `heard`. Returns whether this ends a
-    /// gap so long that the store must have been down.
-    pub fn record_peer_freshness(&self, heard: Instant) -> bool {
+    /// Records that a peer knew the catalog as of `current_as_of`. Returns whether this
+    /// ends a gap so long that the store must have been down.
+    pub fn record_peer_freshness(&self, current_as_of: Instant) -> bool {
         let mut state = self.state();
         let silence_ms = state
             .freshness
             .current_as_of()
-            .map(|last| heard.millis_since(last));
-        state.freshness.received_from_peer(heard);
+            .map(|last| current_as_of.millis_since(last));
+        state.freshness.received_from_peer(current_as_of);
         silence_ms.is_some_and(|silence| silence >= self.times.max_fresh_age_ms)
     }
 
     /// Returns the age of the known catalog in milliseconds, or `None` if the
     /// configuration or the instances were never received.
     pub fn store_age_ms(&self) -> Option<u64> {
-        let heard = self.state().freshness.current_as_of()?;
-        Some(clock::now().millis_since(heard))
+        let current_as_of = self.state().freshness.current_as_of()?;
+        Some(clock::now().millis_since(current_as_of))
     }
 
     /// Stops asking a relay for a while because it gave no answer or no fresh data.
@@ -151,7 +151,7 @@
         state.avoided_until.insert(relay, now.plus_millis(duration_ms));
     }
 
-    /// Records the answer of a relay that heard from the store `store_age_ms` ago.
+    /// Records the answer of a relay whose catalog was current `store_age_ms` ago.
     ///
     /// A relay with old data is avoided if this node has fresh data. If neither has fresh
     /// data, the store is down, and asking other nodes as relays would only add load when
@@ -245,32 +245,37 @@
             return;
         }
         let is_relay = self.is_relay(&engine.registry);
-        let (known_since, asked, heard, relay_answered) = {
+        let (known_since, asked, current_as_of, relay_answered) = {
             let mut state = self.state();
             let known_since = *state.relays_known_since.get_or_insert_with(clock::now);
-            let heard = state.freshness.current_as_of();
-            (known_since, state.asked_at, heard, state.relay_answered_at)
+            let current_as_of = state.freshness.current_as_of();
+            (
+                known_since,
+                state.asked_at,
+                current_as_of,
+                state.relay_answered_at,
+            )
         };
         let catalog = CatalogState {
             is_relay,
             contacted_as_relay_at: asked,
             is_complete: engine.directory.is_complete(),
             members_known_since: known_since,
-            matched_store_at: heard,
+            matched_store_at: current_as_of,
             relay_answered,
         };
         let must_read = catalog.must_read_store(clock::now(), &self.times);
-        let reading = match must_read {
+        let source = match must_read {
             true => CatalogSource::Store,
             false => CatalogSource::Relays,
         };
-        let before = *self.reading.borrow();
+        let before = *self.source.borrow();
         if before == CatalogSource::Relays && must_read {
             // Lets a single call probe the store while the other followers wait.
             engine.store_contact.mark_lost();
         }
-        if before != reading {
-            self.reading.send_replace(reading);
+        if before != source {
+            self.source.send_replace(source);
             let age = self
                 .store_age_ms()
                 .map_or("none".to_owned(), |age| age.to_string());
--- a/crates/millwind-engine/src/store_watch.rs
+++ b/crates/millwind-engine/src/store_watch.rs
@@ -61,7 +61,7 @@
     /// Whether the store is presumed unreachable.
     is_lost: watch::Sender<bool>,
     /// Incremented when an outage ends or fresh data is needed.
-    regained: watch::Sender<u64>,
+    reread_count: watch::Sender<u64>,
 }
 
 impl StoreContact {
@@ -73,7 +73,7 @@
     /// Makes all followers read again after an outage or when fresh data is needed, since
     /// a watch may have been lost without an error.
     pub fn request_reread(&self) {
-        self.regained.send_modify(|count| *count += 1);
+        self.reread_count.send_modify(|count| *count += 1);
         // Wakes followers after the counter has changed, so that each of them reads only
         // once.
         self.is_lost.send_replace(false);
@@ -208,31 +208,31 @@
     contact: Arc<StoreContact>,
 ) {
     let mut state = FollowState::new();
-    let mut reads = follower.catalog_source();
+    let mut source = follower.catalog_source();
     loop {
         follower.watch_stopped();
-        if wait_while_relayed(&mut reads).await {
+        if wait_while_relayed(&mut source).await {
             state.mark_relayed();
         }
         if contact.is_lost() && !follower.is_sentinel() {
             contact.await_reachable(SENTINEL_TIMEOUT).await;
         }
-        let mut regained = contact.regained.subscribe();
+        let mut reread_count = contact.reread_count.subscribe();
         // Relays do not cancel the first listing, because they may be starting too.
         let may_cancel = state.has_read;
         let listing = list_prefix(&*store, &prefix, &*follower, &contact, &mut state);
         let read = tokio::select! {
             result = listing => result,
             // The listing may have been lost without an error.
-            Ok(()) = regained.changed(), if !follower.is_sentinel() => continue,
-            () = wait_until_relayed(&mut reads), if may_cancel => continue,
+            Ok(()) = reread_count.changed(), if !follower.is_sentinel() => continue,
+            () = wait_until_relayed(&mut source), if may_cancel => continue,
         };
         let outcome = match read {
             Ok(Some(revision)) => tokio::select! {
                 result = watch_changes(&*store, &prefix, &*follower, revision) => result,
                 // The watch may have been lost without an error.
-                Ok(()) = regained.changed(), if !follower.is_sentinel() => Ok(()),
-                () = wait_until_relayed(&mut reads) => Ok(()),
+                Ok(()) = reread_count.changed(), if !follower.is_sentinel() => Ok(()),
+                () = wait_until_relayed(&mut source) => Ok(()),
             },
             Ok(None) => Ok(()),
             Err(error) => Err(error),
@@ -245,43 +245,43 @@
         }
         tokio::select! {
             () = tokio::time::sleep(delay) => {}
-            Ok(()) = regained.changed(), if !follower.is_sentinel() => {}
-            () = wait_until_relayed(&mut reads) => {}
+            Ok(()) = reread_count.changed(), if !follower.is_sentinel() => {}
+            () = wait_until_relayed(&mut source) => {}
         }
     }
 }
 
 /// Waits while relays deliver the prefix. Returns whether they did when called.
-async fn wait_while_relayed(reads: &mut Option<watch::Receiver<CatalogSource>>) -> bool {
-    let Some(reads) = reads else { return false };
-    let was_relayed = *reads.borrow_and_update() == CatalogSource::Relays;
+async fn wait_while_relayed(source: &mut Option<watch::Receiver<CatalogSource>>) -> bool {
+    let Some(source) = source else { return false };
+    let was_relayed = *source.borrow_and_update() == CatalogSource::Relays;
     // The sender lives as long as the node.
-    let _ = reads.wait_for(|reads| *reads != CatalogSource::Relays).await;
+    let _ = source.wait_for(|source| *source != CatalogSource::Relays).await;
     was_relayed
 }
 
 /// Waits until relays deliver the prefix.
-async fn wait_until_relayed(reads: &mut Option<watch::Receiver<CatalogSource>>) {
-    let Some(reads) = reads else {
+async fn wait_until_relayed(source: &mut Option<watch::Receiver<CatalogSource>>) {
+    let Some(source) = source else {
         return std::future::pending().await;
     };
     // The sender lives as long as the node.
-    let _ = reads.wait_for(|reads| *reads == CatalogSource::Relays).await;
+    let _ = source.wait_for(|source| *source == CatalogSource::Relays).await;
 }
 
 /// Returns whether relays deliver the prefix.
 fn is_relayed(follower: &dyn Follower) -> bool {
-    let reads = follower.catalog_source();
-    reads.is_some_and(|reads| *reads.borrow() == CatalogSource::Relays)
+    let source = follower.catalog_source();
+    source.is_some_and(|source| *source.borrow() == CatalogSource::Relays)
 }
 
 /// Waits for a limited time for the decision where this node reads the catalog from.
 /// Returns whether relays deliver it.
 async fn await_source_decision(follower: &dyn Follower) -> bool {
-    let Some(mut reads) = follower.catalog_source() else {
+    let Some(mut source) = follower.catalog_source() else {
         return false;
     };
-    let decided = reads.wait_for(|reads| *reads != CatalogSource::Undecided);
+    let decided = source.wait_for(|source| *source != CatalogSource::Undecided);
     // After the timeout the node reads the store, whatever is decided later.
     let _ = tokio::time::timeout(SOURCE_DECISION_TIMEOUT, decided).await;
     is_relayed(follower)
