--- a/crates/millwind-engine/src/lending.rs
+++ b/crates/millwind-engine/src/lending.rs
@@ -1,4 +1,4 @@
-//! The loans that a node has from one lender, and the callers that wait for the next one.
+//! A node's loans for one resource, and the callers that wait for the next loan.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the share of reachable nodes and the state of the other lender. A
-    /// node that was not probed yet is reported as answering, the state in which the
+    /// node that was not probed yet is reported as reachable, the state in which the
     /// least is lent.
     pub fn reach(&self, other_lender: Option<SocketAddr>) -> LenderReach {
         let now = clock::now();
--- a/crates/millwind-engine/src/quota.rs
+++ b/crates/millwind-engine/src/quota.rs
@@ -192,8 +192,8 @@
         )
     }
 
-    /// Lends operations from a tenant's budget, or returns `None` if this node is no
-    /// lender of the tenant or the tenant has no quota. During a network partition the
+    /// Lends operations from a tenant's budget, or returns `None` if this node is not
+    /// a lender of the tenant or the tenant has no quota. During a network partition the
     /// loan covers only the share of the nodes on this side.
     pub(crate) fn lend(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let quota = self.tenant_quota(tenant)?;
@@ -202,7 +202,7 @@
         let other = lenders.iter().find(|node| !node.is_self);
         let reach = self.peer_reach.reach(other.map(|other| other.address));
         let supply = quota.share(f64::from(lendable_percent(rank == 0, reach)));
-        // The set of nodes is stable, so no other node has lent for the tenant.
+        // If the set of nodes is stable, no other node has lent for the tenant recently.
         let initial = match rank == 0 && self.registry.unchanged_ms() >= UNSPENT_AFTER_MS {
             true => InitialBudget::Full,
             false => InitialBudget::Reduced,
@@ -213,7 +213,7 @@
 
 impl OwnerLink {
     /// Requests operations of a tenant from the node at the other end. Returns `None` if
-    /// that node is no lender of the tenant or the link is lost.
+    /// that node is not a lender of the tenant or the link is lost.
     async fn borrow(&self, tenant: &TenantName, wanted: u32) -> Option<Loan> {
         let subject = LoanSubject::Tenant {
             name: tenant.0.clone(),
--- a/crates/millwind-engine/src/warm_up_credits.rs
+++ b/crates/millwind-engine/src/warm_up_credits.rs
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Counts and logs a refused credit, and steers reads away from the instance.
+    /// Counts and logs a refused credit, and makes reads avoid the instance.
     pub fn record_credit_refusal(&self, record: &InstanceRecord, refused: CreditRefused) {
         self.metrics.cold_refusals.count(&record.name);
         self.directory.avoid_while_full(&record.name);
@@ -338,6 +338,8 @@
         (none, clock::now())
     }
 
+    /// Requests a loan or a lender vote from another owner. Returns `None` if the owner does
+    /// not grant the request or does not answer in time.
     async fn query_owner(&self, owner: SocketAddr, subject: LoanSubject, wanted: u32) -> Option<Loan> {
         let request = async {
             let link = self.owners.link_to(owner).await?;
@@ -467,8 +469,8 @@
     /// Casts this node's vote for `lender` and returns whether it was given. The vote
     /// excludes other lenders for [`VOTE_MS`].
     ///
-    /// While this node is a candidate, it votes only for owners ranked before itself;
-    /// otherwise concurrent candidates could refuse each other indefinitely.
+    /// While this node is a candidate, it votes only for itself and for owners ranked
+    /// before it; otherwise concurrent candidates could refuse each other indefinitely.
     pub(crate) fn vote_for_lender(&self, instance: &InstanceName, lender: SocketAddr) -> bool {
         let Some(known) = self.directory.instance(instance) else {
             return false;
@@ -500,9 +502,9 @@
     /// Updates the set of cold instances and the owners of each.
     pub(crate) fn update_cold_instances(&self) {
         let config = self.directory.config();
-        let warms_up =
+        let has_warm_up_limits =
             config.is_some_and(|config| config.groups.values().any(|limits| limits.warm_up.is_some()));
-        if !warms_up {
+        if !has_warm_up_limits {
             return self.log_cold_changes(Vec::new());
         }
         let now = clock::now();
