--- a/crates/millwind-engine/src/connection_shares.rs
+++ b/crates/millwind-engine/src/connection_shares.rs
@@ -30,7 +30,7 @@
         limits.map_or(1, |limits| limits.connections as usize)
     }
 
-    /// Returns the number of connections if all nodes share equally, less one that is
+    /// Returns each node's number of connections if all nodes share equally, less one that is
     /// reserved for health checks.
     pub(crate) fn even_share(&self, group: &GroupName) -> usize {
         (self.connection_limit(group) / self.registry.count()).saturating_sub(1)
--- a/crates/millwind-engine/src/counted_store.rs
+++ b/crates/millwind-engine/src/counted_store.rs
@@ -55,14 +55,14 @@
 impl<S: Store> Store for CountedStore<S> {
     type Watch = CountingWatch<S::Watch>;
 
-    async fn list(&self, prefix: &str, silence: Duration) -> Result<Listing, StoreError> {
-        self.count("list", self.store.list(prefix, silence).await)
+    async fn list(&self, prefix: &str, idle_timeout: Duration) -> Result<Listing, StoreError> {
+        self.count("list", self.store.list(prefix, idle_timeout).await)
     }
 
-    async fn list_serializable(&self, prefix: &str, silence: Duration) -> Result<Listing, StoreError> {
+    async fn list_serializable(&self, prefix: &str, idle_timeout: Duration) -> Result<Listing, StoreError> {
         self.count(
             "list_serializable",
-            self.store.list_serializable(prefix, silence).await,
+            self.store.list_serializable(prefix, idle_timeout).await,
         )
     }
 
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -202,7 +202,7 @@
     let ConnectionRequest {
         user,
         session,
-        prepared_statement: needed,
+        prepared_statement: statement,
         deadline,
         ..
     } = request;
@@ -211,14 +211,14 @@
         .admission()
         .acquire_for(user, urgency, request.target_time, deadline)
         .await?;
-    let immediate = pool.acquire_at_once(purpose, user, session, needed, deadline);
+    let immediate = pool.acquire_at_once(purpose, user, session, statement, deadline);
     if let Some(mut connection) = immediate.await? {
         connection.store_slot(slot);
         return Ok(connection);
     }
     // Idle transactions hold all connections: release the slot while waiting for one.
     drop(slot);
-    pool.acquire(purpose, user, session, needed, deadline).await
+    pool.acquire(purpose, user, session, statement, deadline).await
 }
 
 /// Marks the instance's process as possibly restarted if the instance has closed all idle
@@ -440,14 +440,14 @@
     let Some(position) = position else {
         return engine.directory.is_fenced();
     };
-    let counts = engine
+    let may_deliver = engine
         .directory
         .record_leader_proof(&record.group, &record.name, asked, position);
-    if !counts {
+    if !may_deliver {
         engine.metrics.answers_without_permit.inc();
         engine.wake_monitor();
     }
-    counts
+    may_deliver
 }
 
 /// Updates the directory with what an error of an instance shows about its role and load.
--- a/crates/millwind-engine/src/in_progress_groups.rs
+++ b/crates/millwind-engine/src/in_progress_groups.rs
@@ -12,7 +12,7 @@
 /// Guard that marks one group as in progress until it is dropped.
 #[derive(Debug)]
 pub struct GroupGuard {
-    marks: Arc<InProgressGroups>,
+    in_progress: Arc<InProgressGroups>,
     group: GroupName,
 }
 
@@ -25,7 +25,7 @@
     pub fn enter(self: &Arc<Self>, group: &GroupName) -> Option<GroupGuard> {
         let is_new = self.groups().insert(group.clone());
         is_new.then(|| GroupGuard {
-            marks: self.clone(),
+            in_progress: self.clone(),
             group: group.clone(),
         })
     }
@@ -40,6 +40,6 @@
 
 impl Drop for GroupGuard {
     fn drop(&mut self) {
-        self.marks.groups().remove(&self.group);
+        self.in_progress.groups().remove(&self.group);
     }
 }
--- a/crates/millwind-engine/src/lead_terms.rs
+++ b/crates/millwind-engine/src/lead_terms.rs
@@ -13,7 +13,8 @@
 pub struct LeaderRegionRules<'a> {
     /// Version of the configuration that the restrictions come from.
     pub config_version: u64,
-    /// Apply to all groups, since any tenant may use any database.
+    /// Restrictions of the tenants. They apply to all groups, since any tenant may use any
+    /// database.
     tenant_regions: BTreeSet<&'a AllowedRegions>,
     group_regions: HashMap<&'a GroupName, BTreeSet<&'a AllowedRegions>>,
 }
--- a/crates/millwind-engine/src/leader_demand.rs
+++ b/crates/millwind-engine/src/leader_demand.rs
@@ -75,7 +75,7 @@
     }
 
     /// Turns counting on or off. Without region restrictions the demand never moves a
-    /// leader, so that counting would only cost lock contention.
+    /// leader, and counting would only cost lock contention.
     pub fn set_counted(&self, is_counted: bool) {
         self.is_counted.store(is_counted, Ordering::Relaxed);
     }
@@ -167,7 +167,7 @@
         _ => AllowedRegions::Only(
             part.regions
                 .iter()
-                .map(|text| RegionName(text.name.clone()))
+                .map(|entry| RegionName(entry.name.clone()))
                 .collect(),
         ),
     }
--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -46,9 +46,9 @@
 const HEDGE_BUDGET_MAX: u32 = 20;
 /// Interval between two batches of changed instance records.
 const INSTANCE_BATCH_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval between batches when many nodes share what they read, in percent of the time
-/// after which a draining instance must receive nothing new. [`MAX_SHARED_INTERVAL_MS`]
-/// limits the result.
+/// Interval between batches when nodes share a group's connections through owners, in
+/// percent of the time after which a draining instance must receive nothing new.
+/// [`MAX_SHARED_INTERVAL_MS`] limits the result.
 const SHARED_INTERVAL_PERCENT: u64 = 40;
 const MAX_SHARED_INTERVAL_MS: u64 = 4_000;
 /// Interval between batches while a group's leader is uncertain.
@@ -142,7 +142,7 @@
     pub forwarded_leases: AtomicUsize,
     pub(crate) pools: Pools,
     monitor_wake: Notify,
-    leader_suspected: Notify,
+    leader_uncertain: Notify,
     sessions: AtomicUsize,
 }
 
@@ -151,7 +151,7 @@
 pub struct SharedBudget(Mutex<RetryBudget>);
 
 impl SharedBudget {
-    /// Adds a first attempt to the budget.
+    /// Credits the budget for one first attempt.
     pub fn deposit(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).deposit();
     }
@@ -243,14 +243,14 @@
             .is_none_or(|since| clock::now().millis_since(since) < bound)
     }
 
-    /// Waits before the next batch of changed instance records. Nodes that share what
-    /// they read wait longer, unless a group's leader is uncertain.
+    /// Waits before the next batch of changed instance records. The wait is longer if nodes
+    /// share a group's connections through owners, unless a group's leader is uncertain.
     pub async fn wait_for_instance_batch(&self) {
-        let is_shared = self.directory.config().is_some_and(|config| {
+        let shares_connections = self.directory.config().is_some_and(|config| {
             let mut groups = config.groups.keys();
             groups.any(|group| !self.has_ample_connections(group))
         });
-        if !is_shared {
+        if !shares_connections {
             return tokio::time::sleep(INSTANCE_BATCH_INTERVAL).await;
         }
         let has_relays = !self.relays.relays_to_ask(&self.registry).is_empty();
@@ -264,7 +264,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval.saturating_sub(URGENT_INTERVAL)) => {}
-            () = self.leader_suspected.notified() => {}
+            () = self.leader_uncertain.notified() => {}
         }
     }
 
@@ -276,7 +276,7 @@
     /// Shortens the current wait of [`Engine::wait_for_instance_batch`], because a group's
     /// leader is uncertain.
     pub fn expedite_instance_batch(&self) {
-        self.leader_suspected.notify_waiters();
+        self.leader_uncertain.notify_waiters();
     }
 
     /// Asks the failover monitor to check the groups now.
@@ -311,11 +311,11 @@
         } else {
             PROBE_FAILURE_DELAY.min(Duration::from_millis(self.settings.grace_ms / 2))
         };
-        let start = since.plus_millis(delay.as_millis() as u64);
+        let earliest = since.plus_millis(delay.as_millis() as u64);
         // A session that is never idle is closed between two statements.
         let latest = since.plus_millis(self.settings.grace_ms * BUSY_GRACE_PERCENT / 100);
         let rest = idle_time.min(clock::until(latest));
-        tokio::time::sleep(clock::until(start).max(rest)).await;
+        tokio::time::sleep(clock::until(earliest).max(rest)).await;
     }
 }
 
@@ -528,7 +528,7 @@
         forwarded_leases: AtomicUsize::new(0),
         pools: Pools::new(ports.backend_codec.clone()),
         monitor_wake: Notify::new(),
-        leader_suspected: Notify::new(),
+        leader_uncertain: Notify::new(),
         sessions: AtomicUsize::new(0),
         settings,
     })
--- a/crates/millwind-engine/src/region_warnings.rs
+++ b/crates/millwind-engine/src/region_warnings.rs
@@ -1,4 +1,5 @@
-//! Warns operators of configured regions that exclude all zones or each other.
+//! Warns operators about configured regions that have no zone, and about databases and
+//! tenants whose allowed regions do not overlap.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,8 @@
 
 impl Engine {
     /// Logs a warning for each region in the active configuration that has no zone, and
-    /// one for all databases and tenants whose allowed regions do not overlap.
+    /// a single warning for all pairs of a database and a tenant whose allowed regions do
+    /// not overlap.
     pub(crate) fn warn_about_regions(&self) {
         let Some(config) = self.directory.config() else {
             return;
--- a/crates/millwind-engine/src/registration.rs
+++ b/crates/millwind-engine/src/registration.rs
@@ -120,10 +120,10 @@
 }
 
 /// Marks unreachable nodes for the lifetime of the process.
-pub async fn mark_unreachable<S: Store>(registry: &Registry, store: &S, unreached: &UnreachablePeers) {
+pub async fn mark_unreachable<S: Store>(registry: &Registry, store: &S, unreachable: &UnreachablePeers) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        for address in unreached.take_unreachable() {
+        for address in unreachable.take_unreachable() {
             let Some((name, record, revision)) = registry.present_at(address) else {
                 continue;
             };
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -113,12 +113,12 @@
 fn owner_candidate(
     (weight, name, node): &WeightedNode<'_>,
     query: &OwnerQuery<'_>,
-    own: &str,
+    own_name: &str,
 ) -> OwnerCandidate {
     OwnerCandidate {
         weight: *weight,
         proximity: Proximity::between(query.topology, query.zone, &node.zone),
-        is_allowed: name.as_str() == own
+        is_allowed: name.as_str() == own_name
             || OwnerCandidate::may_forward(query.regions, query.topology, &node.zone),
     }
 }
@@ -131,13 +131,13 @@
 fn owner_shortlist<'a>(
     nodes: &'a Nodes,
     query: &OwnerQuery<'_>,
-    own: &str,
+    own_name: &str,
     counts: OwnerCounts,
 ) -> Vec<WeightedNode<'a>> {
     let count = counts.owners + counts.backup_owners;
     let mut classes: BTreeMap<(Proximity, bool), Vec<WeightedNode<'a>>> = BTreeMap::new();
     for weighted in weighted_nodes(nodes, query.instance.as_str()) {
-        let candidate = owner_candidate(&weighted, query, own);
+        let candidate = owner_candidate(&weighted, query, own_name);
         let class = (candidate.proximity, candidate.is_allowed);
         classes.entry(class).or_default().push(weighted);
     }
@@ -266,10 +266,10 @@
     /// enough to run for every group.
     fn ranks_within(&self, count: usize, key: &str, hashes: &[u64]) -> bool {
         let key = hash_of(key);
-        let own = rendezvous_weight(key, hash_of(&self.node));
+        let own_weight = rendezvous_weight(key, hash_of(&self.node));
         let mut ahead = 0;
         let last = hashes.iter().position(|node| {
-            ahead += usize::from(rendezvous_weight(key, *node) > own);
+            ahead += usize::from(rendezvous_weight(key, *node) > own_weight);
             ahead == count
         });
         let computed = last.map_or(hashes.len(), |last| last + 1);
@@ -321,20 +321,20 @@
     /// Returns how many nodes of `zone` rank before this node as relays.
     pub fn zone_rank(&self, zone: &str) -> usize {
         let nodes = self.nodes();
-        let own = relay_rank(&self.node, nodes.get(&self.node));
+        let own_rank = relay_rank(&self.node, nodes.get(&self.node));
         let in_zone = nodes.by_name.iter().filter(|(_, node)| node.record.zone == zone);
         in_zone
-            .filter(|(name, node)| relay_rank(name, Some(node)) > own)
+            .filter(|(name, node)| relay_rank(name, Some(node)) > own_rank)
             .count()
     }
 
     /// Returns how many of the hashed nodes rank before this node for `key`.
     fn count_ranked_ahead(&self, key: &str, hashes: &[u64]) -> usize {
         let key = hash_of(key);
-        let own = rendezvous_weight(key, hash_of(&self.node));
+        let own_weight = rendezvous_weight(key, hash_of(&self.node));
         hashes
             .iter()
-            .filter(|node| rendezvous_weight(key, **node) > own)
+            .filter(|node| rendezvous_weight(key, **node) > own_weight)
             .count()
     }
 
--- a/crates/millwind-engine/src/term_closing.rs
+++ b/crates/millwind-engine/src/term_closing.rs
@@ -55,7 +55,7 @@
 /// Asks the old leader to step down without delaying the answer, since a silent leader
 /// would hold up the caller until the timeout.
 fn step_down_in_background(engine: &Arc<Engine>, record: &Arc<InstanceRecord>, term: Term) {
-    let Some(mark) = engine.stepping_down.enter(&record.group) else {
+    let Some(guard) = engine.stepping_down.enter(&record.group) else {
         return;
     };
     if engine.directory.stepped_down_term(&record.group) >= term {
@@ -65,7 +65,7 @@
     let record = record.clone();
     tokio::spawn(async move {
         step_down(&engine, &record, term).await;
-        drop(mark);
+        drop(guard);
     });
 }
 
--- a/crates/millwind-engine/src/unreadable_documents.rs
+++ b/crates/millwind-engine/src/unreadable_documents.rs
@@ -68,10 +68,10 @@
         self.documents().remove(key);
     }
 
-    /// Forgets the documents under `prefix` for which `present` returns false.
-    pub fn retain_listed(&self, prefix: &str, present: impl Fn(&str) -> bool) {
+    /// Forgets the documents under `prefix` for which `is_listed` returns false.
+    pub fn retain_listed(&self, prefix: &str, is_listed: impl Fn(&str) -> bool) {
         self.documents()
-            .retain(|key, _| !key.starts_with(prefix) || present(key));
+            .retain(|key, _| !key.starts_with(prefix) || is_listed(key));
     }
 
     /// Returns the number of remembered unreadable documents.
--- a/crates/millwind-engine/src/watch_list.rs
+++ b/crates/millwind-engine/src/watch_list.rs
@@ -40,7 +40,9 @@
         };
         let now = clock::now();
         let changed = engine.directory.take_changed_groups();
-        let is_current = |(used, at): (Inputs, Instant)| used == inputs && now.millis_since(at) < MAX_AGE_MS;
+        let is_current = |(computed_from, at): (Inputs, Instant)| {
+            computed_from == inputs && now.millis_since(at) < MAX_AGE_MS
+        };
         if !self.computed.is_some_and(is_current) {
             self.groups = Arc::new(watched_groups(engine));
             self.computed = Some((inputs, now));
