--- a/crates/millwind-engine/src/node.rs
+++ b/crates/millwind-engine/src/node.rs
@@ -314,8 +314,8 @@
         let earliest = since.plus_millis(delay.as_millis() as u64);
         // A session that is never idle is closed between two statements.
         let latest = since.plus_millis(self.settings.grace_ms * BUSY_GRACE_PERCENT / 100);
-        let rest = idle_time.min(clock::until(latest));
-        tokio::time::sleep(clock::until(earliest).max(rest)).await;
+        let idle_wait = idle_time.min(clock::until(latest));
+        tokio::time::sleep(clock::until(earliest).max(idle_wait)).await;
     }
 }
 
--- a/crates/millwind-engine/src/peer_reach.rs
+++ b/crates/millwind-engine/src/peer_reach.rs
@@ -85,8 +85,8 @@
     }
 
     /// Returns the share of reachable nodes and the state of the other lender. A
-    /// node that was not probed yet is reported as reachable, the state in which the
-    /// least is lent.
+    /// lender that was not probed yet is reported as reachable, so that a backup lender
+    /// lends only its regular share until the first probe.
     pub fn reach(&self, other_lender: Option<SocketAddr>) -> LenderReach {
         let now = clock::now();
         let mut state = self.state();
--- a/crates/millwind-engine/src/registry.rs
+++ b/crates/millwind-engine/src/registry.rs
@@ -268,14 +268,14 @@
         let key = hash_of(key);
         let own_weight = rendezvous_weight(key, hash_of(&self.node));
         let mut ahead = 0;
-        let last = hashes.iter().position(|node| {
+        let cutoff = hashes.iter().position(|node| {
             ahead += usize::from(rendezvous_weight(key, *node) > own_weight);
             ahead == count
         });
-        let computed = last.map_or(hashes.len(), |last| last + 1);
+        let computed = cutoff.map_or(hashes.len(), |cutoff| cutoff + 1);
         self.weights_computed
             .fetch_add(computed as u64, Ordering::Relaxed);
-        last.is_none()
+        cutoff.is_none()
     }
 
     /// Returns the number of rendezvous weights computed so far, a measure of the cost of
