--- a/crates/millwind-core/src/catalog_freshness.rs
+++ b/crates/millwind-core/src/catalog_freshness.rs
@@ -21,13 +21,13 @@
 
 impl CatalogFreshness {
     /// Records that the store reported its instances to this node at `reported_at`.
-    pub fn instances_heard(&mut self, reported_at: Instant) {
+    pub fn record_instances(&mut self, reported_at: Instant) {
         self.instances = self.instances.max(Some(reported_at));
     }
 
     /// Records that this node has read the configuration with a call sent at `asked` and
     /// watches it from now on.
-    pub fn configuration_read(&mut self, asked: Instant) {
+    pub fn record_configuration_read(&mut self, asked: Instant) {
         self.configuration = self.configuration.max(Some(asked));
         self.is_configuration_watched = true;
     }
@@ -42,7 +42,7 @@
 
     /// Records that another node has transferred its whole catalog, which matched the store
     /// at `matched_at`.
-    pub fn received_from_peer(&mut self, matched_at: Instant) {
+    pub fn record_peer_catalog(&mut self, matched_at: Instant) {
         self.instances = self.instances.max(Some(matched_at));
         self.configuration = self.configuration.max(Some(matched_at));
     }
--- a/crates/millwind-core/src/membership.rs
+++ b/crates/millwind-core/src/membership.rs
@@ -22,7 +22,7 @@
 
 /// Minimum number of relays per zone. Relays watch the platform and carry updates between
 /// zones.
-pub const MINIMUM_RELAYS: usize = 3;
+pub const MIN_RELAYS: usize = 3;
 /// A zone has one relay per this many nodes, if that is more than [`MINIMUM_RELAYS`].
 pub const NODES_PER_RELAY: usize = 36;
 const UPDATES_PER_MESSAGE: usize = 6;
@@ -181,7 +181,7 @@
             .filter(|record| record.zone == zone && record.leaving == 0)
             .map(|record| NodeName::from(record.node.as_str()))
             .collect();
-        let count = MINIMUM_RELAYS.max(names.len() / NODES_PER_RELAY);
+        let count = MIN_RELAYS.max(names.len() / NODES_PER_RELAY);
         placement::select_relays(zone, names.iter(), count)
             .into_iter()
             .cloned()
--- a/crates/millwind-core/tests/catalog_freshness.rs
+++ b/crates/millwind-core/tests/catalog_freshness.rs
@@ -12,21 +12,21 @@
 #[test]
 fn fresh_instances_do_not_refresh_the_configuration() {
     let mut freshness = CatalogFreshness::default();
-    freshness.received_from_peer(at(1_000));
-    freshness.instances_heard(at(5_000));
+    freshness.record_peer_catalog(at(1_000));
+    freshness.record_instances(at(5_000));
     assert_eq!(freshness.current_as_of(), Some(at(1_000)));
-    freshness.configuration_read(at(4_900));
+    freshness.record_configuration_read(at(4_900));
     assert_eq!(freshness.current_as_of(), Some(at(5_000)));
 }
 
 #[test]
 fn unwatched_configuration_ages() {
     let mut freshness = CatalogFreshness::default();
-    freshness.instances_heard(at(1_000));
-    freshness.configuration_read(at(1_000));
-    freshness.instances_heard(at(3_000));
+    freshness.record_instances(at(1_000));
+    freshness.record_configuration_read(at(1_000));
+    freshness.record_instances(at(3_000));
     freshness.configuration_watch_ended();
-    freshness.instances_heard(at(9_000));
+    freshness.record_instances(at(9_000));
     assert_eq!(freshness.current_as_of(), Some(at(3_000)));
 }
 
@@ -34,7 +34,7 @@
 fn freshness_requires_instances_and_configuration() {
     let mut freshness = CatalogFreshness::default();
     assert_eq!(freshness.current_as_of(), None);
-    freshness.instances_heard(at(1_000));
+    freshness.record_instances(at(1_000));
     assert_eq!(freshness.current_as_of(), None);
 }
 
@@ -67,9 +67,9 @@
         for (event, elapsed) in events {
             now += elapsed;
             match event {
-                Event::Instances => freshness.instances_heard(at(now)),
+                Event::Instances => freshness.record_instances(at(now)),
                 Event::Read => {
-                    freshness.configuration_read(at(now));
+                    freshness.record_configuration_read(at(now));
                     is_watched = true;
                     last_known = now;
                 }
@@ -78,7 +78,7 @@
                     is_watched = false;
                 }
                 Event::FromPeer(age) => {
-                    freshness.received_from_peer(at(now - age));
+                    freshness.record_peer_catalog(at(now - age));
                     last_known = last_known.max(now - age);
                 }
             }
--- a/crates/millwind-engine/src/directory/contact.rs
+++ b/crates/millwind-engine/src/directory/contact.rs
@@ -215,7 +215,7 @@
     }
 
     /// The initial health of the instance of `record`, before any request was sent.
-    pub(super) fn initial_contact(&self, record: &InstanceRecord) -> InstanceHealth {
+    pub(super) fn initial_health(&self, record: &InstanceRecord) -> InstanceHealth {
         let is_same_zone = record.zone.as_str() == self.zone;
         InstanceHealth {
             last_success: None,
--- a/crates/millwind-engine/src/directory/mod.rs
+++ b/crates/millwind-engine/src/directory/mod.rs
@@ -328,7 +328,7 @@
             self.leaders_changed.notify_waiters();
         }
         let known = KnownInstance {
-            health: same_incarnation.map_or_else(|| self.initial_contact(&record), |known| known.health),
+            health: same_incarnation.map_or_else(|| self.initial_health(&record), |known| known.health),
             peer_report: same_incarnation.and_then(|known| known.peer_report),
             incarnation_seen_at: match restart {
                 Some(_) => Some(now),
--- a/crates/millwind-engine/src/execution.rs
+++ b/crates/millwind-engine/src/execution.rs
@@ -269,7 +269,7 @@
     let record = pool.record();
     let envelope = Envelope {
         id: None,
-        since,
+        minimum_position: since,
         command: Command::Begin { read_only },
     };
     engine.check_evacuation(record, read_only)?;
--- a/crates/millwind-engine/src/forward/server.rs
+++ b/crates/millwind-engine/src/forward/server.rs
@@ -428,7 +428,7 @@
     };
     let envelope = Envelope {
         id: Some(&statement.id),
-        since: minimum_position,
+        minimum_position,
         command,
     };
     let confirms_leader = statement.confirms_leader == 1;
--- a/crates/millwind-engine/src/relays.rs
+++ b/crates/millwind-engine/src/relays.rs
@@ -100,13 +100,13 @@
 
     /// Records that the store delivered instance records.
     pub fn instances_heard(&self) {
-        self.state().freshness.instances_heard(clock::now());
+        self.state().freshness.record_instances(clock::now());
     }
 
     /// Records that the configuration was read by a call sent at `asked`, and is being
     /// watched.
     pub fn configuration_read(&self, asked: Instant) {
-        self.state().freshness.configuration_read(asked);
+        self.state().freshness.record_configuration_read(asked);
     }
 
     /// Records that the configuration is no longer watched.
@@ -122,7 +122,7 @@
             .freshness
             .current_as_of()
             .map(|last| current_as_of.millis_since(last));
-        state.freshness.received_from_peer(current_as_of);
+        state.freshness.record_peer_catalog(current_as_of);
         silence_ms.is_some_and(|silence| silence >= self.times.max_fresh_age_ms)
     }
 
--- a/crates/millwind-engine/src/session/attempt.rs
+++ b/crates/millwind-engine/src/session/attempt.rs
@@ -135,7 +135,7 @@
     let deadline = operation.deadline;
     let mut envelope = Envelope {
         id: Some(&operation.id),
-        since: None,
+        minimum_position: None,
         command: operation.command(),
     };
     let result = match connection {
@@ -147,7 +147,8 @@
         }
         SessionConnection::Local(local) => {
             let position = floor.resolve(engine, operation.group(), deadline).await;
-            envelope.since = position.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
+            envelope.minimum_position =
+                position.map_err(|_| AttemptError::Link(ExchangeError::NoObservation))?;
             execution::run(engine, local, session, &envelope, confirms_leader, deadline).await
         }
     };
--- a/crates/millwind-engine/src/statement.rs
+++ b/crates/millwind-engine/src/statement.rs
@@ -140,7 +140,7 @@
     /// Id of the caller's statement, or `None` for the engine's own commands.
     pub id: Option<&'a str>,
     /// Position that the instance's log must have reached.
-    pub since: Option<Position>,
+    pub minimum_position: Option<Position>,
     /// Command to run.
     pub command: Command<'a>,
 }
@@ -150,7 +150,7 @@
     pub const fn own(command: Command<'a>) -> Self {
         Envelope {
             id: None,
-            since: None,
+            minimum_position: None,
             command,
         }
     }
