--- a/crates/millwind-core/src/membership.rs
+++ b/crates/millwind-core/src/membership.rs
@@ -23,7 +23,7 @@
 /// Minimum number of relays per zone. Relays watch the platform and carry updates between
 /// zones.
 pub const MIN_RELAYS: usize = 3;
-/// A zone has one relay per this many nodes, if that is more than [`MINIMUM_RELAYS`].
+/// A zone has one relay per this many nodes, if that is more than [`MIN_RELAYS`].
 pub const NODES_PER_RELAY: usize = 36;
 const UPDATES_PER_MESSAGE: usize = 6;
 const INDIRECT_PROBES: usize = 2;
--- a/crates/millwind-engine/src/warm_up_credits.rs
+++ b/crates/millwind-engine/src/warm_up_credits.rs
@@ -287,7 +287,7 @@
         }
     }
 
-    /// Counts and logs a refused credit, and makes reads avoid the instance.
+    /// Counts and logs a refused credit, and steers reads away from the instance.
     pub fn record_credit_refusal(&self, record: &InstanceRecord, refused: CreditRefused) {
         self.metrics.cold_refusals.count(&record.name);
         self.directory.avoid_while_full(&record.name);
@@ -338,8 +338,6 @@
         (none, clock::now())
     }
 
-    /// Requests a loan or a lender vote from another owner. Returns `None` if the owner does
-    /// not grant the request or does not answer in time.
     async fn query_owner(&self, owner: SocketAddr, subject: LoanSubject, wanted: u32) -> Option<Loan> {
         let request = async {
             let link = self.owners.link_to(owner).await?;
@@ -469,8 +467,8 @@
     /// Casts this node's vote for `lender` and returns whether it was given. The vote
     /// excludes other lenders for [`VOTE_MS`].
     ///
-    /// While this node is a candidate, it votes only for itself and for owners ranked
-    /// before it; otherwise concurrent candidates could refuse each other indefinitely.
+    /// While this node is a candidate, it votes only for itself and for owners ranked before
+    /// itself; otherwise concurrent candidates could refuse each other indefinitely.
     pub(crate) fn vote_for_lender(&self, instance: &InstanceName, lender: SocketAddr) -> bool {
         let Some(known) = self.directory.instance(instance) else {
             return false;
@@ -502,9 +500,9 @@
     /// Updates the set of cold instances and the owners of each.
     pub(crate) fn update_cold_instances(&self) {
         let config = self.directory.config();
-        let has_warm_up_limits =
+        let warms_up =
             config.is_some_and(|config| config.groups.values().any(|limits| limits.warm_up.is_some()));
-        if !has_warm_up_limits {
+        if !warms_up {
             return self.log_cold_changes(Vec::new());
         }
         let now = clock::now();
