--- a/crates/millwind-engine/src/backend/link_error.rs
+++ b/crates/millwind-engine/src/backend/link_error.rs
@@ -11,50 +11,50 @@
 pub enum ExchangeError {
     /// The TCP connection failed other than by a timeout: it was refused, reset, or the address
     /// is unreachable.
-    #[error("connection to the instance refused")]
+    #[error("connection refused")]
     Refused,
     /// The connection or its session was not established in time.
-    #[error("timed out connecting to the instance")]
+    #[error("connection did not open in time")]
     ConnectTimeout,
     /// The connection failed before the session was established. Instances that have reached
     /// their connection limit may close new connections.
-    #[error("connection closed during session startup")]
+    #[error("connection was closed while opening")]
     ClosedDuringStartup,
     /// The instance rejected the session startup with an error.
-    #[error("session startup rejected: {} {}", .0.code, .0.text)]
+    #[error("startup refused: {} {}", .0.code, .0.text)]
     StartupRefused(BackEndError),
     /// No connection or execution slot became free in time, or none was expected to.
-    #[error("no connection or execution slot became free in time")]
+    #[error("no connection or turn free in time")]
     QueueTimeout,
     /// The pool of the instance was retired.
     #[error("instance is no longer used")]
     PoolRetired,
     /// None of the nodes that hold connections to the instance was reachable.
-    #[error("no node with connections to the instance was reachable")]
+    #[error("no node that holds connections was reached")]
     OwnerUnreachable,
     /// The node that holds the connections cannot reach the instance.
-    #[error("the node that holds the connections cannot reach the instance")]
+    #[error("the node that holds connections does not reach the instance")]
     InstanceFailing,
     /// No leader position was observed in time.
-    #[error("no recent log position of the leader is known")]
+    #[error("no recent position of a leader")]
     NoObservation,
     /// The connection broke after bytes were sent.
-    #[error("connection to the instance broke")]
+    #[error("connection broke")]
     Lost,
     /// No reply arrived in time after bytes were sent.
-    #[error("no reply from the instance in time")]
+    #[error("no answer in time")]
     ReplyTimeout,
     /// The reply came from an instance that may no longer be the leader.
-    #[error("the instance that replied may no longer be the leader")]
+    #[error("the instance that answered may no longer lead")]
     NoPermit,
     /// The reply violates the protocol, or a command that prepares the session failed.
-    #[error("invalid reply from the instance")]
+    #[error("answer cannot be read")]
     Protocol,
     /// The statement may not use the instance or the route to it.
-    #[error("instance not eligible: {}", .0.name())]
+    #[error("not eligible: {}", .0.name())]
     Ineligible(IneligibleReason),
     /// The instance is warming up and accepts no further statements for now.
-    #[error("the instance is warming up and accepts no further statements for now")]
+    #[error("the instance is warming up and takes no more statements now")]
     WarmingUp {
         /// Delay after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
--- a/crates/millwind-engine/src/session/caller.rs
+++ b/crates/millwind-engine/src/session/caller.rs
@@ -54,7 +54,7 @@
             None if database.is_public => Ok(ConnectionUser::System),
             None => Err(Refusal::new(
                 ErrorKind::AuthenticationFailed,
-                "key does not belong to a tenant",
+                "the key is no tenant's",
             )),
         }
     }
@@ -87,7 +87,7 @@
         };
         if self.authenticate(&config, &database).as_ref() != Ok(&user) {
             self.log_key_revoked(config.version, "transaction");
-            self.abandon_transaction("the caller's key was revoked");
+            self.abandon_transaction("the caller's key was taken away");
         }
     }
 
--- a/crates/millwind-engine/src/session/mod.rs
+++ b/crates/millwind-engine/src/session/mod.rs
@@ -195,7 +195,7 @@
                 }
                 SessionEvent::InstanceEvacuated => self.abandon_if_evacuated(),
                 SessionEvent::TransactionIdleTimeout => {
-                    self.abandon_transaction("transaction idle timeout exceeded")
+                    self.abandon_transaction("transaction rested too long")
                 }
                 SessionEvent::ConfigChanged => {
                     self.abandon_if_key_revoked();
--- a/crates/millwind-engine/src/session/transaction.rs
+++ b/crates/millwind-engine/src/session/transaction.rs
@@ -62,7 +62,7 @@
     /// the first statement.
     pub(super) fn begin(&mut self, read_only: bool) -> Answer {
         if self.transaction.is_some() {
-            return Err(Refusal::new(ErrorKind::Unsupported, "a transaction is already open").into());
+            return Err(Refusal::new(ErrorKind::Unsupported, "a transaction is open").into());
         }
         self.transaction = Some(OpenTransaction {
             context: self.caller_context()?,
@@ -117,7 +117,7 @@
             );
         }
         self.engine.metrics.evacuated_transactions.inc();
-        self.abandon_transaction("zone of the instance is being evacuated");
+        self.abandon_transaction("its instance's zone is being evacuated");
     }
 
     /// Answers a statement in a failed transaction, which only a rollback or commit
@@ -127,11 +127,11 @@
             Statement::Rollback => self.rollback(),
             Statement::Commit => {
                 self.transaction = None;
-                Err(Refusal::new(ErrorKind::TransactionLost, "transaction was rolled back").into())
+                Err(Refusal::new(ErrorKind::TransactionLost, "it was rolled back").into())
             }
             _ => Err(Refusal::new(
                 ErrorKind::TransactionLost,
-                "transaction has failed; statements are refused until it ends",
+                "statements are refused until the transaction ends",
             )
             .into()),
         }
@@ -246,7 +246,7 @@
         let is_on_leader = open.is_on_leader();
         open.has_written |= operation.access == Access::Write;
         let Some(connection) = &mut open.connection else {
-            return Err(Refusal::new(ErrorKind::TransactionLost, "transaction has no connection").into());
+            return Err(Refusal::new(ErrorKind::TransactionLost, "its connection is gone").into());
         };
         retry_while_busy(&engine, connection, operation, &state, is_on_leader)
             .await
--- a/crates/millwind-engine/src/session/writes.rs
+++ b/crates/millwind-engine/src/session/writes.rs
@@ -100,7 +100,7 @@
                 match engine.check_eligibility(&known, InstanceUse::Leader, &operation.regions) {
                     Ok(()) => return Ok(known.record),
                     Err(IneligibleReason::Leaving) => {
-                        format!("leader {} is shutting down", known.record.name)
+                        format!("leader {} will end", known.record.name)
                     }
                     Err(IneligibleReason::ZoneEvacuated)
                         if engine.has_eligible_instance(group, &operation.regions) =>
